--- a/crates/damaskstile-gateway/src/emptied_list.rs
+++ b/crates/damaskstile-gateway/src/emptied_list.rs
@@ -1,4 +1,4 @@
-//! `emptied_list` takes in which data centres operators have emptied.
+//! The list of data centres that operators have evacuated.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::EmptiedNews;
@@ -9,12 +9,12 @@
 use crate::objects::{Change, Listing, ObjectStore};
 use crate::target_list::log_refused;
 
-/// Time after the store came back from an older copy in which entries may be missing that the
-/// operator has yet to write again.
+/// Time after the store was restored from an older copy during which entries may be missing until
+/// the operator writes them again.
 const RESTORED_WAIT: Duration = Duration::from_secs(2);
 
-/// Takes in all entries as of the listing's version. Returns false, with nothing taken in, where the
-/// store came back from an older copy and may lack entries that hold.
+/// Applies all entries as of the listing's version. Returns false without applying any if the store
+/// was restored from an older copy and may lack entries that are still valid.
 pub(crate) fn take_all(gateway: &Gateway, listing: &Listing) -> bool {
     let names = listing.objects.iter().map(|object| object.name.as_str());
     let all = names.filter_map(|name| read(gateway, name, listing.version));
@@ -34,7 +34,8 @@
     true
 }
 
-/// Tells whether entries that a listing lacks are gone, and not only missing in a copy.
+/// Returns whether entries that a listing lacks were removed, and are not merely missing from a
+/// restored copy.
 fn is_settled(gateway: &Gateway, now: Duration) -> bool {
     let history = gateway.store.history();
     let mut state = gateway.state();
@@ -46,7 +47,7 @@
     restored_at.is_none_or(|at| now.saturating_sub(at) >= RESTORED_WAIT)
 }
 
-/// Takes in what a watch showed up to a version.
+/// Applies the changes of a watch up to a version.
 pub(crate) fn take_changes(gateway: &Gateway, changes: &[Change], version: Version) {
     let changes: Vec<(DataCentreId, bool)> = changes
         .iter()
@@ -64,7 +65,7 @@
     note(gateway, &news, "store");
 }
 
-/// Takes in what a peer knows.
+/// Applies a peer's list of evacuated data centres.
 pub(crate) fn hear(gateway: &Gateway, version: Version, told: &[String], source: &str) {
     let all = told.iter().cloned().collect();
     let now = gateway.now();
@@ -82,7 +83,7 @@
     }
 }
 
-/// Notes that an entry names no data centre, once for each fault.
+/// Records that an entry names no data centre, once for each distinct fault.
 fn note_refused(gateway: &Gateway, name: &str, version: Version, error: &str) {
     let fault = fault(error);
     let before = gateway.state().emptied_fault.replace(fault.clone());
@@ -92,7 +93,7 @@
     }
 }
 
-/// Logs what changed, and has it told to peers at once.
+/// Logs changes and triggers a digest to peers.
 fn note(gateway: &Gateway, news: &EmptiedNews, source: &str) {
     if news.is_empty() {
         return;
--- a/crates/damaskstile-gateway/src/follow.rs
+++ b/crates/damaskstile-gateway/src/follow.rs
@@ -1,4 +1,5 @@
-//! `follow` keeps what the store holds of routes and targets up to date.
+//! Follows the store: keeps the catalogue, the list of targets and the list of evacuated data
+//! centres up to date by lists and watches.
 
 mod starting;
 mod watching;
@@ -18,24 +19,26 @@
 use self::starting::{is_overdue, is_told_at_start};
 use self::watching::{Watched, watch_once};
 
-/// Time between two lists of an instance that hears of changes from peers, for each instance that
-/// there is: all together make one call a second for each kind, whatever their number.
+/// Interval between lists of an instance that receives changes from peers, multiplied by the number
+/// of instances: all together make one call a second for each kind, whatever their number.
 const FOLLOWER_INTERVAL: Duration = Duration::from_secs(1);
-/// Numbers of which an instance draws one for its part of that time.
+/// Range of the random number by which an instance chooses its delay within that interval.
 pub const DRAWS: u64 = 1_000;
-/// Shortest time between two such lists.
+/// Shortest interval between two such lists.
 const FOLLOWER_INTERVAL_MIN: Duration = Duration::from_secs(20);
-/// Time between two looks at whether it must watch itself.
+/// Interval between checks whether this instance must watch the store itself.
 pub(crate) const FOLLOWER_LOOK: Duration = Duration::from_millis(250);
-/// Pause after changes, so that a burst of them comes with one call. Small beside the two seconds
-/// within which a change must be in force.
+/// Pause after changes, so that a burst of them takes one call. Short compared with the two seconds
+/// within which a change must take effect.
 const BURST_PAUSE: Duration = Duration::from_millis(100);
-/// The same in a large fleet, where targets come and go all the time, and the bounds leave more.
+/// Pause after changes in a large fleet, where targets come and go all the time and the time limits
+/// are longer.
 const LARGE_BURST_PAUSE: Duration = Duration::from_millis(300);
-/// Pause after a call that failed. Short beside the time within which a change must be in force.
+/// Pause after a failed call. Short compared with the time within which a change must take effect.
 const FAILURE_PAUSE: Duration = Duration::from_millis(150);
 
-/// The same in a large fleet, whose instances together would make thousands of calls in vain.
+/// Pause after a failed call in a large fleet, whose instances together would make thousands of
+/// useless calls.
 const LARGE_FAILURE_PAUSE: Duration = Duration::from_millis(600);
 
 fn burst_pause(state: &State) -> Duration {
@@ -46,7 +49,7 @@
     }
 }
 
-/// Returns the pause after a call that failed.
+/// Returns the pause after a failed call.
 pub(crate) fn failure_pause(state: &State) -> Duration {
     if state.is_large_fleet() {
         LARGE_FAILURE_PAUSE
@@ -55,14 +58,14 @@
     }
 }
 
-/// What is followed.
+/// `Followed` is a kind of objects that is followed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Followed {
     /// Routes, services and client accounts.
     Catalogue,
     /// The list of targets.
     Targets,
-    /// Data centres whose targets get nothing.
+    /// Evacuated data centres, whose targets get no calls.
     Emptied,
 }
 
@@ -110,7 +113,7 @@
             }
             Err(error) => note_failure(&gateway, &error),
         }
-        // What peers tell makes up for a list that failed too.
+        // Gossip from peers also makes up for a failed list.
         if is_due || must_watch(&gateway) {
             let pause = failure_pause(&gateway.state());
             tokio::time::sleep(pause).await;
@@ -118,17 +121,17 @@
     }
 }
 
-/// Waits while an outage goes on that others look out for, in a large fleet.
+/// Waits, in a large fleet, during an outage that other instances probe.
 async fn until_store_may_be_called(gateway: &Gateway) {
     let mut outages_over = gateway.outages_over.subscribe();
     while !gateway.state().may_call_store(gateway.now()) {
-        // Either the end of an outage or the passing of time brings the next look.
+        // Checked again at the end of an outage, at the latest after the interval.
         let _ = tokio::time::timeout(FOLLOWER_LOOK, outages_over.changed()).await;
     }
 }
 
-/// Returns the pause of an instance that hears of changes from peers until it lists, by a number below
-/// [`DRAWS`] that it drew. Instances that started together list at any time, and not together.
+/// Returns how long an instance that receives changes from peers waits before it lists, by a random
+/// number below [`DRAWS`]. The delay spreads the lists of instances that started together.
 ///
 /// ```
 /// use std::time::Duration;
@@ -144,13 +147,14 @@
     FOLLOWER_INTERVAL_MIN + all / parts * part
 }
 
-/// Waits, as an instance of a large fleet that hears of changes from peers. Returns whether a list
-/// is due: now and then, in case that it hears of nobody, or since peers know of a newer catalogue.
+/// Waits, as an instance of a large fleet that receives changes from peers. Returns whether a list
+/// is due: from time to time, in case no gossip arrives, or because peers know of a newer
+/// catalogue.
 async fn rest(gateway: &Gateway, followed: Followed) -> bool {
     let began_at = gateway.now();
     let draw = gateway.state().random.below(DRAWS);
     while !must_watch(gateway) {
-        // How many instances there are is known only a while after a start.
+        // The number of instances is known only a while after a start.
         let instances = gateway.state().known_instances();
         let is_due = gateway.now() >= began_at + list_pause(instances, draw);
         if is_due || is_overdue(gateway, followed) {
@@ -174,8 +178,8 @@
     gateway.state().must_watch(now)
 }
 
-/// Watches until a call fails, then the list is read anew, or until this instance hears of changes
-/// from peers.
+/// Watches until a call fails, after which the list is read again, or until this instance receives
+/// changes from peers.
 async fn watch(gateway: &Arc<Gateway>, followed: Followed, kind: &str, mut version: Version) {
     loop {
         let began_at = gateway.now();
@@ -184,7 +188,7 @@
                 version = next;
                 take_changes(gateway, followed, changes, version).await;
             }
-            // What changed meanwhile comes with the next watch, which begins at the same version.
+            // The next watch begins at the same version and covers the changes since.
             Watched::LostInOutage => {
                 note_unanswered(
                     gateway,
@@ -222,10 +226,10 @@
     for change in changes {
         is_news |= take_change(gateway, followed, change, version);
     }
-    // Peers read the list anew for each version, so what tells them nothing makes none.
+    // Peers pull the list for each new version, so changes without news to peers make none.
     if followed == Followed::Targets && is_news {
         let mut state = gateway.state();
-        // A list that a peer had may be newer than this watch.
+        // A list pulled from a peer may be newer than this watch.
         state.targets_version = state.targets_version.max(version);
         let known = state.targets_version;
         state.note_changes(known);
@@ -238,9 +242,9 @@
     }
 }
 
-/// Takes in that a watch failed. Where another call was answered since it was sent, the watch alone
-/// is no sign of an outage: taken for one, each watch that the store cuts would keep targets in use
-/// that have vanished from the list. An outage that goes on is met by the list that is read next.
+/// Handles a failed watch. If another call was answered since the watch was sent, its failure alone
+/// is no sign of an outage: otherwise each watch cut by the store would keep delisted targets in
+/// use. An ongoing outage makes the next list fail too.
 fn note_failed_watch(gateway: &Gateway, began_at: Duration, error: &StoreError) {
     let now = gateway.now();
     let waited = now.saturating_sub(began_at);
@@ -253,14 +257,14 @@
     }
 }
 
-/// Notes that the store answered a list or a watch.
+/// Records that the store answered a list or a watch.
 fn note_followed(gateway: &Gateway, followed: Followed) {
     note_answer(gateway);
     let now = gateway.now();
     gateway.state().followed_at.insert(followed, now);
 }
 
-/// Tells that a watch ended without news: calls that are answered beside it say nothing of it.
+/// Logs that a watch ended without an answer, which answers to other calls do not show.
 fn note_unanswered(gateway: &Gateway, followed: Followed, began_at: Duration, cause: &str) {
     let now = gateway.now();
     let waited_ms = now.saturating_sub(began_at).as_millis().to_string();
@@ -279,7 +283,7 @@
     );
 }
 
-/// Notes which history the store is in, and says so where that is another one.
+/// Records the history of the store and logs when it changes.
 fn note_history(gateway: &Gateway) {
     let history = gateway.store.history();
     let (is_other, targets_version) = {
@@ -298,28 +302,28 @@
     ];
     let fields = fields.map(|(name, value)| (name, value.as_str()));
     gateway.log(EventCode::StoreRestored, &fields);
-    // Watches go on at versions that the store gives out again.
+    // Restarts the watches: the store issues the versions that they wait on again.
     gateway.outages_over.send_modify(|count| *count += 1);
     gateway.round_wanted.notify_one();
     gateway.news.notify_one();
 }
 
-/// Notes that the store answered.
+/// Records an answer of the store.
 pub(crate) fn note_answer(gateway: &Gateway) {
     note_history(gateway);
     let now = gateway.now();
     if gateway.state().contact.answered(now) {
         gateway.outages_over.send_modify(|count| *count += 1);
-        // Peers that cannot reach the store should turn to this instance at once.
+        // Peers that cannot reach the store should learn at once that this instance can.
         gateway.news.notify_one();
         gateway.log(EventCode::StoreRegained, &[]);
     }
 }
 
-/// Notes that the store did not answer.
+/// Records that the store did not answer a call.
 pub(crate) fn note_failure(gateway: &Gateway, error: &StoreError) {
     let cause = match error {
-        // These are answers.
+        // These errors are answers of the store.
         StoreError::Outdated | StoreError::Conflict(_) => return note_history(gateway),
         StoreError::NotDone(cause) | StoreError::Lost(cause) => cause,
     };
@@ -329,7 +333,7 @@
     }
 }
 
-/// Takes in a listing; returns whether it can be relied on, or another one is needed.
+/// Applies a listing; returns whether it is reliable, false if another one is needed.
 fn take_all(gateway: &Gateway, followed: Followed, listing: &Listing) -> bool {
     match followed {
         Followed::Catalogue => {
@@ -346,14 +350,14 @@
     }
 }
 
-/// Takes in a change; returns whether it is news of a target.
+/// Applies a change; returns whether it is news of a target.
 fn take_change(gateway: &Gateway, followed: Followed, change: Change, version: Version) -> bool {
     match (followed, change) {
         (Followed::Catalogue, Change::Put(object)) => {
             take_catalogue(gateway, &object, "store");
             false
         }
-        // Routes that are gone as a whole were never accepted; the last good state stays.
+        // Deletion of the whole catalogue is never accepted; the last valid one stays in force.
         (Followed::Catalogue, Change::Gone(name)) => {
             gateway.log(EventCode::EntryRefused, &[("gone", &name)]);
             false
@@ -367,7 +371,7 @@
     }
 }
 
-/// Takes in a catalogue, from the store or a peer.
+/// Applies a catalogue from the store or a peer.
 pub(crate) fn take_catalogue(gateway: &Gateway, object: &StoredObject, source: &str) {
     match gateway.directory.catalogue(object) {
         Ok(Some(catalogue)) => {
@@ -405,8 +409,8 @@
     }
 }
 
-/// Notes that a catalogue cannot be used, once for each fault: a writer that repeats it must not
-/// fill the logs.
+/// Records that a catalogue is unusable, once for each distinct fault: a writer that repeats it
+/// must not fill the logs.
 fn note_refused(gateway: &Gateway, object: &StoredObject, error: &str) {
     let fault = fault(error);
     let before = gateway.state().catalogue_fault.replace(fault.clone());
--- a/crates/damaskstile-gateway/src/follow/starting.rs
+++ b/crates/damaskstile-gateway/src/follow/starting.rs
@@ -1,25 +1,25 @@
-//! `starting` keeps a fleet that starts together from listing everything at each instance.
+//! Start of a fleet: keeps instances that start together from all listing everything at the store.
 
 use std::time::Duration;
 
 use super::{Followed, must_watch};
 use crate::gateway::Gateway;
 
-/// Longest time after a first start until the seeds have listed everything and told of it: two
-/// digests and a list.
+/// Time limit after a first start for the seeds to list everything and announce it: two digests and
+/// a list.
 const START_TOLD_WAIT: Duration = Duration::from_millis(1_200);
-/// Time after a first start until an instance that was told that peers have everything reads it
-/// itself. A fleet hands on what there is from one to the other in some rounds.
+/// Time after a first start past which an instance that learned that peers have everything reads it
+/// itself. A fleet passes data from instance to instance in several rounds.
 const FIRST_START_PATIENCE: Duration = Duration::from_secs(5);
-/// Longest time until peers are heard where instances start while callers wait.
+/// Time limit for receiving digests of peers when instances restart while callers wait.
 const RESTART_TOLD_WAIT: Duration = Duration::from_millis(500);
-/// Time between two looks at whether peers have told.
+/// Interval between checks for digests of peers.
 const START_LOOK: Duration = Duration::from_millis(25);
 
-/// Tells whether peers say what there is, before anything was listed. Hundreds that start together
-/// and list everything fill the store's link for seconds; all but the seeds wait a moment to hear of
-/// peers in touch with the store. When a fleet starts for the first time no caller waits, so there is
-/// more time.
+/// Returns whether peers provide the data, before anything was listed. Hundreds of instances that
+/// start together and list everything would fill the store's link for seconds, so all but the seeds
+/// wait briefly for digests of peers in touch with the store. At the first start of a fleet no
+/// caller waits, so the limit is longer.
 pub(super) async fn is_told_at_start(gateway: &Gateway) -> bool {
     let options = &gateway.options;
     if options.seeds.is_empty() || options.seeds.contains(&options.peers_address) {
@@ -40,13 +40,13 @@
     !must_watch(gateway)
 }
 
-/// Tells whether a peer was heard and the fleet is small: each instance lists for itself then.
+/// Returns whether a peer is known and the fleet is small: then each instance lists for itself.
 fn is_of_small_fleet(gateway: &Gateway) -> bool {
     let state = gateway.state();
     !state.members.is_empty() && !state.is_large_fleet()
 }
 
-/// Tells whether nothing of a kind is known, although peers had the time to tell of it.
+/// Returns whether nothing of a kind is known although peers had time to provide it.
 pub(super) fn is_overdue(gateway: &Gateway, followed: Followed) -> bool {
     let is_unknown = {
         let state = gateway.state();
--- a/crates/damaskstile-gateway/src/follow/watching.rs
+++ b/crates/damaskstile-gateway/src/follow/watching.rs
@@ -1,11 +1,12 @@
-//! `watching` waits for one answer of a watch, and gives up a watch that an outage has lost.
+//! A single watch of the store, given up when an outage may have lost it.
 //!
-//! A store that falls silent may lose the watches that it was sent and answer all later calls. Such
-//! a watch ends only at its own limit, which is longer than a change may take to come into force.
-//! One notices it by event 508 with a recent answer to other calls. So each watch is tied to the
-//! answers of other calls: one is made right beside it, more follow while the store says nothing,
-//! and once an outage that one of them met is over, the watch is sent anew. An answer to an earlier
-//! call proves nothing: the store may have fallen silent after it took that call.
+//! A store that stops answering may lose the watches that it has received and still answer all
+//! later calls. Such a watch ends only at its own time limit, which is longer than a change may
+//! take to take effect. The symptom is event 508 with a recent answer to other calls. Each watch is
+//! therefore tied to the answers of other calls: one call is made right beside it, more follow
+//! while the store is silent, and at the end of an outage that one of them met, the watch is sent
+//! again. An answer to an earlier call proves nothing: the store may have stopped answering after
+//! it received that call.
 
 use std::time::Duration;
 
@@ -18,29 +19,29 @@
 use crate::objects::{Change, ObjectStore, StoreError};
 use crate::proof;
 
-/// Longest time that one watch waits. Each further one is a call to the store.
+/// Time limit of one watch. Each further watch is a call to the store.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// Time after a watch was sent until another call is made beside it: long enough for the watch to
-/// be on its way first, so that an outage in which the watch is lost meets the call too.
+/// Delay after a watch is sent before another call is made beside it: long enough for the watch to
+/// be under way, so that an outage that loses the watch affects the call too.
 const BESIDE_DELAY: Duration = Duration::from_millis(50);
-/// Shortest time between two watches that outages end. Where the store refuses some calls and
-/// answers others, each pair of them looks like an outage; without this an instance that lacks
-/// tokens sends 16 watches a second, with it 3 (real processes, six callers).
+/// Shortest interval between watches that are renewed because of outages. If the store refuses some
+/// calls and answers others, each such pair looks like an outage; without this limit an instance
+/// that lacks tokens for six callers sends 16 watches a second, with it 3.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(700);
-/// Time between two looks at whether a fleet that seemed small has turned out large. Instances of a
-/// small fleet are never relieved and should wake up seldom.
+/// Interval between checks whether a fleet that seemed small is large. Instances of a small fleet
+/// always watch for themselves and should wake up seldom.
 const SMALL_FLEET_LOOK: Duration = Duration::from_secs(1);
 
-/// `Watched` is how one watch ended.
+/// `Watched` is the outcome of one watch.
 #[derive(Debug)]
 pub(super) enum Watched {
-    /// With an answer: the changes, and the version to watch on from.
+    /// The changes, and the version from which to continue to watch.
     Changes(Vec<Change>, Version),
-    /// The store answers again after an outage in which this watch may have been lost.
+    /// The store answers again after an outage that may have lost this watch.
     LostInOutage,
-    /// Peers watch for this instance again, so their word counts and not this watch.
+    /// Peers watch for this instance again, so that their gossip replaces this watch.
     NotNeeded,
-    /// With an error.
+    /// The watch failed.
     Failed(StoreError),
 }
 
@@ -60,8 +61,8 @@
     }
 }
 
-/// Returns once peers watch for this instance. In a watch it would not hear what they tell it to
-/// read, and nobody makes up for it where the store has lost the watch.
+/// Returns once peers watch for this instance. While it watches itself, it would not read what they
+/// announce, and nothing would make up for a watch that the store has lost.
 async fn not_needed(gateway: &Gateway) {
     while must_watch(gateway) {
         let is_large = gateway.state().is_large_fleet();
@@ -74,15 +75,15 @@
     }
 }
 
-/// Returns once an outage is over that may have lost a watch that was sent just now.
+/// Returns once an outage has ended that may have lost a watch that was just sent.
 async fn outage_over(gateway: &Gateway, mut outages_over: Receiver<u64>) {
     let sent_at = Instant::now();
     tokio::time::sleep(BESIDE_DELAY).await;
     proof::prove(gateway).await;
-    // An outage that ends before this is still seen after it.
+    // An outage that ended before this point is still seen after it.
     tokio::time::sleep_until(sent_at + RENEWAL_INTERVAL).await;
     if outages_over.changed().await.is_err() {
-        // The gateway has ended, and this duty ends with it.
+        // The gateway has ended, and this task ends with it.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/damaskstile-gateway/src/lease.rs
+++ b/crates/damaskstile-gateway/src/lease.rs
@@ -1,4 +1,4 @@
-//! `lease` is a connection to a target while a call uses it.
+//! Leases: connections to targets while calls use them.
 
 use std::sync::Arc;
 
@@ -11,31 +11,32 @@
 
 use crate::pool::{Pool, Sender};
 
-/// Part of the time for which a target keeps a connection that is used. Closer to the end the
-/// target may close it just as a call is written, and nobody could tell whether the call ran.
+/// Percentage of the target's keep-alive time during which a connection is reused. Close to its end
+/// the target may close the connection just as a call is written, and it would be unknown whether
+/// the call ran.
 const REUSE_PERCENT: u32 = 70;
-/// Time in which a connection whose answer was read must be ready again.
+/// Time limit for a connection to become ready again after its answer was read.
 const READY_LIMIT: Duration = Duration::from_millis(5);
 
-/// `Lease` is a connection in use. Dropped before it is given back, it is closed, which cancels
-/// what the target does on it.
+/// `Lease` is a connection in use. If it is dropped before it is given back, the connection is
+/// closed, which cancels the target's work on it.
 #[derive(Debug)]
 pub struct Lease {
     pool: Arc<Pool>,
     target: TargetIdentity,
     sender: Option<Sender>,
-    /// Whether calls were sent on it before.
+    /// Whether earlier calls were sent on this connection.
     pub is_reused: bool,
     task: AbortHandle,
     is_returned: bool,
 }
 
-/// `SendError` tells how far a call got that was not answered.
+/// `SendError` tells how far an unanswered call got.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of it was sent.
+    /// No byte of the call was sent.
     NotSent,
-    /// It may have been read.
+    /// The target may have read the call.
     Broken(String),
 }
 
@@ -57,11 +58,12 @@
         }
     }
 
-    /// Sends a call; the answer's body is still to come.
+    /// Sends a call and returns the head of the answer; its body is still to be read.
     ///
     /// # Errors
     ///
-    /// Returns how it failed, and whether the call is proved not to have been sent.
+    /// Returns an error if the call failed; it tells whether the call is proved not to have been
+    /// sent.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -78,12 +80,12 @@
         }
     }
 
-    /// Gives the connection back for another call, once its answer was read to the end.
+    /// Returns the connection to the pool once its answer was read to the end.
     pub async fn give_back(mut self, reuse_for: Option<Duration>) {
         let (Some(reuse_for), Some(mut sender)) = (reuse_for, self.sender.take()) else {
             return;
         };
-        // The answer's end and the connection's readiness are two steps of the same task.
+        // The end of the answer and the readiness of the connection are two steps of the same task.
         let ready = tokio::time::timeout(READY_LIMIT, sender.ready()).await;
         if !matches!(ready, Ok(Ok(()))) {
             return;
--- a/crates/damaskstile-gateway/src/ledger_fault.rs
+++ b/crates/damaskstile-gateway/src/ledger_fault.rs
@@ -1,16 +1,16 @@
-//! `ledger_fault` is what makes the stored ledger unusable.
+//! Faults of a stored ledger that make it unusable.
 
 use damaskstile_core::prelude::*;
 
-/// Time between two reads of a ledger that cannot be used. Every call that lacks tokens asks for a
-/// read; an operator who mends the ledger is not kept waiting by a second.
+/// Interval between reads of an unusable ledger. Every call that lacks tokens asks for a read; the
+/// interval limits these and delays the detection of a repair by at most a second.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// `LedgerFault` is what makes the stored ledger unusable.
+/// `LedgerFault` describes why the stored ledger is unusable.
 ///
-/// Nothing is written while there is one: the sums that another writer left cannot be told from
-/// those that hold, and a ledger begun anew would hand tokens out again that are spent. Instances
-/// serve from what they hold until an operator mends the ledger.
+/// Nothing is written while there is a fault: sums corrupted by another writer cannot be
+/// distinguished from valid ones, and a rebuilt ledger would grant tokens again that are already
+/// spent. Instances serve from the tokens that they hold until an operator repairs the ledger.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LedgerFault {
     text: String,
@@ -22,12 +22,12 @@
         Self { text, read_at: now }
     }
 
-    /// Tells whether it is the same fault, found again.
+    /// Returns whether `other` is the same fault, found again.
     pub(crate) fn is_same(&self, other: &Self) -> bool {
         self.text == other.text
     }
 
-    /// Tells whether the ledger should be read again.
+    /// Returns whether the ledger should be read again.
     pub(crate) fn is_read_due(&self, now: Duration) -> bool {
         now.saturating_sub(self.read_at) >= READ_INTERVAL
     }
--- a/crates/damaskstile-gateway/src/loan.rs
+++ b/crates/damaskstile-gateway/src/loan.rs
@@ -1,4 +1,4 @@
-//! `loan` is what a call borrowed of a peer's tokens, or asks for.
+//! Loans of a peer's tokens to a call at this instance.
 
 use std::sync::Arc;
 
@@ -10,17 +10,17 @@
 use crate::gateway::Gateway;
 use crate::outgoing::Outgoing;
 
-/// Time after which an ask without an answer is sent once more: some round trips within a region,
-/// with room for a lender that is busy.
+/// Time after which an unanswered request is sent once more: a few round trips within a region,
+/// with a margin for a busy lender.
 const ASK_AGAIN_AFTER: Duration = Duration::from_millis(25);
-/// Time for which a lender is waited for that fetches tokens from the store: the pause between two
-/// writes, a call to the store and the messages. Longer waits mean that the store is out of reach.
+/// Time limit for a lender that fetches tokens from the store: the pause between two writes, a call
+/// to the store and the messages. A longer wait means that the store is unreachable.
 const WAITING_LIMIT: Duration = Duration::from_millis(150);
-/// Time without any answer after which another lender is asked.
+/// Time limit for any answer before another lender is asked.
 const ANSWER_LIMIT: Duration = Duration::from_millis(50);
 
-/// `Loan` is what a call borrowed of a peer's tokens, or asks for. Dropped, it is over: the lender
-/// is told what the call used.
+/// `Loan` is a requested or granted loan of a peer's tokens to one call. When dropped, the loan
+/// ends and the lender is sent the number of used tokens.
 #[derive(Debug)]
 pub struct Loan {
     gateway: Arc<Gateway>,
@@ -29,12 +29,12 @@
 }
 
 impl Loan {
-    /// Asks a lender for a call's tokens. Returns the loan if it was made by `until`, else what the
-    /// lender said last.
+    /// Requests the tokens of a call from a lender. Returns the loan if it is granted before
+    /// `until` and the time limits for answers.
     ///
     /// # Errors
     ///
-    /// Returns what the lender said, or `None` where it was silent.
+    /// Returns the lender's last answer, or `None` if there was none.
     pub async fn borrow(
         gateway: &Arc<Gateway>,
         lender: &Candidate,
@@ -63,7 +63,7 @@
         let mut again_at = Some(gateway.now() + ASK_AGAIN_AFTER);
         let send = || {
             let ask = Outgoing::Borrow(lender.address, ask.clone());
-            // An ask that finds no room goes the way of a lost one.
+            // A request dropped because the queue is full is treated like a lost datagram.
             let _ = gateway.outbox.try_send(ask);
         };
         send();
@@ -88,12 +88,12 @@
                 send();
             }
             let next = again_at.map_or(limit, |at| at.min(limit));
-            // Either an answer or the passing of time brings the next look.
+            // Woken by an answer, at the latest at the next time limit.
             let _ = timeout(next.saturating_sub(now), heard).await;
         }
     }
 
-    /// Notes what the call has used so far.
+    /// Records the number of tokens that the call has used so far.
     pub fn set_used(&mut self, used_tokens: u64) {
         self.used_tokens = used_tokens;
     }
--- a/crates/damaskstile-gateway/src/member.rs
+++ b/crates/damaskstile-gateway/src/member.rs
@@ -1,4 +1,4 @@
-//! `member` is what is known of a peer from its last digest.
+//! Members: what this instance knows of a peer.
 
 use std::net::SocketAddr;
 
@@ -8,39 +8,39 @@
 
 use crate::peers::{Digest, PeerWord};
 
-/// Time for which peers are told of an instance that was not heard of again.
+/// Time after its last digest during which an instance is still reported to peers.
 const TOLD_LIFE: Duration = Duration::from_mins(2);
 
-/// `Member` is what is known of a peer from its last digest, or from another one's word.
+/// `Member` is what is known of a peer from its last digest or from another peer's report.
 #[derive(Debug, Clone)]
 pub struct Member {
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Data centre that it stands in; empty where it does not tell.
+    /// Its data centre; empty if it does not state one.
     pub data_centre: DataCentreId,
-    /// Its address.
+    /// Its address for messages from peers.
     pub address: SocketAddr,
-    /// Whether it watches the store for others and may write to the ledger for them.
+    /// Whether it watches the store for other instances and may write to the ledger for them.
     pub is_watcher: bool,
     /// Version of its catalogue.
     pub catalogue_version: Version,
     /// Version of its list of targets.
     pub targets_version: Version,
-    /// Instances that it knows of.
+    /// Number of instances that it knows of.
     pub known_instances: u64,
-    /// Instances that it has heard of by name.
+    /// Number of instances that it knows by name.
     pub heard_instances: u64,
-    /// Whether it is being stopped.
+    /// Whether it is stopping.
     pub is_stopping: bool,
-    /// Part of a core that it has, in percent.
+    /// Its processor capacity, in percent of a core.
     pub capacity_percent: u64,
-    /// Age of the store's last word to it.
+    /// Time between the store's last answer to it and its digest.
     pub store_age: Duration,
-    /// When the digest came, here or at whoever told of it.
+    /// When its digest was received, by this instance or by the peer that reported it.
     pub heard_at: Duration,
-    /// Whether no digest of it came here yet.
+    /// Whether it is known only from a peer's report and no digest of it was received yet.
     pub is_told: bool,
-    /// Tokens that it could reserve at once.
+    /// Tokens that it could reserve immediately, by account.
     pub free_tokens: BTreeMap<AccountId, u64>,
 }
 
@@ -76,8 +76,9 @@
         }
     }
 
-    /// Makes a member from what a peer says of it: where it is, and nothing of what it knows.
-    /// `None` where its address cannot be read, or all is too old to say that it is there.
+    /// Makes a member from a peer's report, which says where the member is but not which data it
+    /// has. Returns `None` if the address is invalid or the report is too old to show that the
+    /// member still exists.
     #[must_use]
     pub fn told(now: Duration, word: &PeerWord) -> Option<Self> {
         let heard_age = Duration::from_millis(word.heard_age_ms);
@@ -98,7 +99,7 @@
         })
     }
 
-    /// Returns what to tell a peer of it; `None` where it was not heard of for long.
+    /// Returns the report of this member for a peer; `None` if its last digest is too old.
     #[must_use]
     pub fn word(&self, now: Duration, instance: &str) -> Option<PeerWord> {
         let heard_age = now.saturating_sub(self.heard_at);
--- a/crates/damaskstile-gateway/src/metrics.rs
+++ b/crates/damaskstile-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! `metrics` counts calls and measures their times.
+//! Metrics of the gateway.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -14,45 +14,45 @@
 
 use crate::readiness::Readiness;
 
-/// Labels of what is measured for a client account.
+/// Labels of metrics by client account.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct AccountLabels {
     account: String,
 }
 
-/// Labels of what is measured for a target.
+/// Labels of metrics by target.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct TargetLabels {
     target: String,
 }
 
-/// Labels of what is measured for a watch of the store.
+/// Labels of metrics by watch of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct WatchLabels {
     watch: &'static str,
 }
 
-/// Labels of what is sent to peers.
+/// Labels of metrics by background task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct DutyLabels {
     duty: &'static str,
 }
 
-/// Labels of calls to the store.
+/// Labels of metrics of calls to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StoreCallLabels {
     call: String,
     outcome: &'static str,
 }
 
-/// Labels of how calls ended.
+/// Labels of metrics by outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct OutcomeLabels {
     account: String,
     outcome: &'static str,
 }
 
-/// `Stored` is a kind of stored object.
+/// `Stored` is a kind of stored object, as metrics distinguish them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stored {
     /// The catalogue.
@@ -61,23 +61,23 @@
     Target,
     /// The ledger.
     Ledger,
-    /// The entry of an emptied data centre.
+    /// The entry of an evacuated data centre.
     Emptied,
 }
 
-/// Labels of refused objects.
+/// Labels of metrics of refused objects.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StoredLabels {
     stored: &'static str,
 }
 
-/// Labels of the numbers of targets.
+/// Labels of metrics by state.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StateLabels {
     state: &'static str,
 }
 
-/// `Metrics` counts calls and measures their times.
+/// `Metrics` holds the metrics of an instance and their registry.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
@@ -101,7 +101,7 @@
 }
 
 fn histogram() -> Histogram {
-    // From half a millisecond to about 16 s.
+    // Buckets from half a millisecond to about 16 s.
     Histogram::new(exponential_buckets(0.000_5, 2.0, 16))
 }
 
@@ -190,7 +190,7 @@
         self.outcomes.get_or_create(&labels).inc();
     }
 
-    /// Notes the time to the first byte of an answer.
+    /// Records the time to the first byte of an answer.
     pub fn first_byte(&self, account: &str, target: &str, took: Duration) {
         let labels = AccountLabels {
             account: account.to_owned(),
@@ -206,7 +206,7 @@
             .observe(took.as_secs_f64());
     }
 
-    /// Forgets a target that is gone, so that the series do not grow for ever.
+    /// Removes the series of a target that is gone, so that the number of series stays bounded.
     pub fn forget_target(&self, target: &str) {
         let labels = TargetLabels {
             target: target.to_owned(),
@@ -214,7 +214,7 @@
         self.target_first_byte.remove(&labels);
     }
 
-    /// Counts a stored object that cannot be used.
+    /// Counts an unusable stored object.
     pub fn refused(&self, stored: Stored) {
         let stored = match stored {
             Stored::Catalogue => "catalogue",
@@ -226,7 +226,7 @@
         self.refused_entries.get_or_create(&labels).inc();
     }
 
-    /// Notes how many targets are in use, and how many are out of it for what.
+    /// Sets the numbers of targets in use and out of use, by reason.
     pub fn count_targets(&self, counts: &TargetCounts) {
         let all = [
             ("ready", counts.ready),
@@ -241,14 +241,15 @@
         }
     }
 
-    /// Notes how many targets want no work from this instance now.
+    /// Sets the number of targets that are in backoff at this instance.
     pub fn sample_paused(&self, paused: usize) {
         let count = i64::try_from(paused).unwrap_or(i64::MAX);
         let labels = StateLabels { state: "paused" };
         self.targets.get_or_create(&labels).set(count);
     }
 
-    /// Notes what is measured whenever it is asked for.
+    /// Sets the free tokens by account, the time since the store's last answer (-1 if it never
+    /// answered) and the version of the catalogue.
     pub fn sample(
         &self,
         free_tokens: &BTreeMap<AccountId, u64>,
@@ -268,13 +269,13 @@
             .set(i64::try_from(version).unwrap_or(i64::MAX));
     }
 
-    /// Notes which history the store is in.
+    /// Sets the history of the store.
     pub fn sample_history(&self, history: History) {
         self.store_history
             .set(i64::try_from(history).unwrap_or(i64::MAX));
     }
 
-    /// Notes how long ago a list or a watch of the store was last answered.
+    /// Sets the time since a list or a watch of the store was last answered.
     pub fn sample_watch(&self, watch: &'static str, age: Duration) {
         let age_ms = i64::try_from(age.as_millis()).unwrap_or(i64::MAX);
         self.watch_age_ms
@@ -282,13 +283,13 @@
             .set(age_ms);
     }
 
-    /// Notes the calls that are open whenever they are asked for.
+    /// Sets the number of open calls.
     pub fn sample_open_calls(&self, open_calls: usize) {
         self.open_calls
             .set(i64::try_from(open_calls).unwrap_or(i64::MAX));
     }
 
-    /// Notes the calls to the store so far.
+    /// Sets the counts of calls to the store.
     pub fn sample_store_calls(&self, counts: BTreeMap<(String, &'static str), u64>) {
         for ((call, outcome), count) in counts {
             let labels = StoreCallLabels { call, outcome };
@@ -297,7 +298,7 @@
         }
     }
 
-    /// Notes the bytes sent to peers so far.
+    /// Sets the counts of bytes sent to peers.
     pub fn sample_peer_bytes(&self, counts: BTreeMap<&'static str, u64>) {
         for (duty, count) in counts {
             let count = i64::try_from(count).unwrap_or(i64::MAX);
@@ -307,7 +308,8 @@
         }
     }
 
-    /// Notes how many targets are cold, how many name a limit, and how many data centres are emptied.
+    /// Sets the numbers of cold targets, of targets that advertise a limit and of evacuated data
+    /// centres.
     pub fn sample_places(
         &self,
         cold_targets: usize,
@@ -327,7 +329,7 @@
         }
     }
 
-    /// Notes the loans to peers so far, and those that are not over.
+    /// Sets the number of loans made to peers and of those that are open.
     pub fn sample_loans(&self, made: u64, open: usize) {
         let made = i64::try_from(made).unwrap_or(i64::MAX);
         let open = i64::try_from(open).unwrap_or(i64::MAX);
@@ -336,7 +338,8 @@
         }
     }
 
-    /// Notes the contents under which targets ended, and those of them that are refused.
+    /// Sets the number of contents under which targets have ended, and of those that are
+    /// quarantined.
     pub fn sample_contents(&self, (known, barred): (usize, usize)) {
         for (state, count) in [("suspect", known), ("refused", barred)] {
             let count = i64::try_from(count).unwrap_or(i64::MAX);
@@ -345,14 +348,14 @@
         }
     }
 
-    /// Notes whether the instance takes new connections, and why not.
+    /// Sets whether the instance accepts new connections, and why not.
     pub fn sample_readiness(&self, readiness: Readiness) {
         self.readiness.clear();
         let state = readiness.as_str();
         self.readiness.get_or_create(&StateLabels { state }).set(1);
     }
 
-    /// Notes the time spent on each duty so far.
+    /// Sets the time spent on each background task.
     pub fn sample_busy(&self, times: BTreeMap<&'static str, Duration>) {
         for (duty, time) in times {
             let ms = i64::try_from(time.as_millis()).unwrap_or(i64::MAX);
@@ -360,7 +363,7 @@
         }
     }
 
-    /// Gives all metrics in the customary text form.
+    /// Encodes all metrics in the Prometheus text format.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut text = String::new();
--- a/crates/damaskstile-gateway/src/objects.rs
+++ b/crates/damaskstile-gateway/src/objects.rs
@@ -1,4 +1,4 @@
-//! `objects` is the border to the platform's store.
+//! Interface to the platform's object store.
 
 mod error;
 mod listing;
@@ -12,14 +12,15 @@
 pub use listing::{Change, Listing};
 pub use stored_object::StoredObject;
 
-/// `ObjectStore` makes calls to the platform's store.
+/// `ObjectStore` is a client of the platform's object store.
 ///
-/// Versions only go up, also where the store comes back from an older copy of itself: those of a
-/// later history are above those of all earlier ones. A watch or a write on a version of an earlier
-/// one finds it outdated, or in conflict.
+/// Versions only increase, even when the store is restored from an older copy: those of a later
+/// history are above those of all earlier ones. A watch or a write based on a version of an earlier
+/// history fails as outdated or in conflict.
 pub trait ObjectStore: Send + Sync {
-    /// Returns the number of the history that the store was last seen to be in. It rises each time
-    /// that the store comes back from an older copy of itself; what was written there since is gone.
+    /// Returns the number of the history that the store was last seen in. It increases each time
+    /// that the store is restored from an older copy of itself, which loses what was written there
+    /// since the copy.
     fn history(&self) -> History {
         0
     }
@@ -27,7 +28,7 @@
     /// Lists all objects of a kind.
     fn list<'a>(&'a self, kind: &'a str) -> BoxFuture<'a, StoreResult<Listing>>;
 
-    /// Waits for changes after a version; returns them with the version to watch on from.
+    /// Waits for changes after a version; returns them with the version from which to continue.
     fn watch<'a>(
         &'a self,
         kind: &'a str,
@@ -35,7 +36,7 @@
         wait: Duration,
     ) -> BoxFuture<'a, StoreResult<(Vec<Change>, Version)>>;
 
-    /// Asks for a sign of life, by the cheapest call that there is.
+    /// Checks that the store answers, by the cheapest available call.
     fn probe(&self) -> BoxFuture<'_, StoreResult<()>>;
 
     /// Reads an object.
@@ -45,8 +46,8 @@
         name: &'a str,
     ) -> BoxFuture<'a, StoreResult<Option<StoredObject>>>;
 
-    /// Writes an object that must have the expected version, or not exist where that is 0.
-    /// Returns the version that the write made.
+    /// Writes an object that must have the expected version, or must not exist if that is 0.
+    /// Returns the new version.
     fn write<'a>(
         &'a self,
         kind: &'a str,
--- a/crates/damaskstile-gateway/src/objects/error.rs
+++ b/crates/damaskstile-gateway/src/objects/error.rs
@@ -1,19 +1,19 @@
-//! `error` tells what became of a call to the store that brought no result.
+//! Errors of calls to the store.
 
 use std::fmt;
 
 use super::StoredObject;
 
-/// `StoreError` tells what became of a call that brought no result.
+/// `StoreError` is the reason why a call to the store brought no result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// The store refused it; nothing was done.
+    /// The store refused the call; nothing was done.
     NotDone(String),
     /// No clear answer: a write may have taken effect, or may yet.
     Lost(String),
-    /// The history from that version on is gone; list anew.
+    /// The changes since the given version are no longer available; list again.
     Outdated,
-    /// The object has another version; it is given, unless there is none.
+    /// The object has another version; contains the object unless it does not exist.
     Conflict(Option<StoredObject>),
 }
 
@@ -28,5 +28,5 @@
     }
 }
 
-/// `StoreResult` has the store's error.
+/// Result of a call to the store.
 pub type StoreResult<T> = Result<T, StoreError>;
--- a/crates/damaskstile-gateway/src/objects/listing.rs
+++ b/crates/damaskstile-gateway/src/objects/listing.rs
@@ -1,23 +1,23 @@
-//! `listing` is what a list or a watch of the store shows.
+//! Results of lists and watches of the store.
 
 use damaskstile_core::prelude::*;
 
 use super::StoredObject;
 
-/// `Listing` is all objects of a kind at one version of the store.
+/// `Listing` holds all objects of a kind at one version of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
     /// The objects.
     pub objects: Vec<StoredObject>,
-    /// Version from which to watch on.
+    /// Version from which to watch.
     pub version: Version,
 }
 
-/// `Change` is a change that a watch showed.
+/// `Change` is one change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// The object is as given.
+    /// The object was created or changed to this state.
     Put(StoredObject),
-    /// The object of that name is gone.
+    /// The object of that name was deleted.
     Gone(String),
 }
--- a/crates/damaskstile-gateway/src/objects/stored_object.rs
+++ b/crates/damaskstile-gateway/src/objects/stored_object.rs
@@ -1,15 +1,15 @@
-//! `stored_object` is an object of the store.
+//! Objects of the store.
 
 use bytes::Bytes;
 use damaskstile_core::prelude::*;
 
-/// `StoredObject` is an object of the store.
+/// `StoredObject` is an object of the store with its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredObject {
     /// Name within its kind.
     pub name: String,
     /// Version of its last change.
     pub version: Version,
-    /// What it holds, as JSON.
+    /// Content, as JSON.
     pub content: Bytes,
 }
--- a/crates/damaskstile-gateway/src/outgoing.rs
+++ b/crates/damaskstile-gateway/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! `outgoing` is a message that a duty has sent to peers.
+//! Messages that other background tasks queue for peers.
 
 use std::net::SocketAddr;
 
@@ -8,19 +8,19 @@
 
 use crate::peers::Reading;
 
-/// `Outgoing` is a message that a duty has sent to peers.
+/// `Outgoing` is a message that is queued for peers.
 #[derive(Debug)]
 pub enum Outgoing {
-    /// An own write to the ledger, for all that write to it.
+    /// A ledger change written by this instance, for all other ledger writers.
     Change(LedgerChange),
     /// A long prompt that was sent to a target, for all peers.
     Reading(Reading),
-    /// A content of which there is something new, for those that collect what is known of it.
+    /// A suspect content with new evidence, for the peers that collect it.
     Suspect(Fingerprint),
-    /// What this instance asks to have written.
+    /// Entries for the ledger writer to write.
     Report(SocketAddr, Report),
-    /// An ask for the loan of a call's tokens.
+    /// A request for a loan of the tokens of one call.
     Borrow(SocketAddr, LoanAsk),
-    /// What became of a peer's report.
+    /// The answer to a peer's report.
     Receipt(SocketAddr, Receipt),
 }
--- a/crates/damaskstile-gateway/src/peers.rs
+++ b/crates/damaskstile-gateway/src/peers.rs
@@ -1,7 +1,9 @@
-//! `peers` tells the other instances what this one knows, and hears them.
+//! Gossip between instances: sends what this instance knows to its peers and processes what they
+//! send.
 //!
-//! Digests go as datagrams to all peers of a small fleet and to some of a large one. What is too
-//! large for a datagram is pulled over a connection by whoever lacks it.
+//! Digests are sent as datagrams, to all peers of a small fleet and to a random subset of a large
+//! one. Data too large for a datagram is pulled over a TCP connection by the instance that lacks
+//! it.
 
 mod addresses;
 mod catalogue_answer;
@@ -47,23 +49,23 @@
 use crate::gateway::Gateway;
 use crate::outgoing::Outgoing;
 
-/// Time between two digests.
+/// Interval between digests.
 const DIGEST_INTERVAL: Duration = Duration::from_millis(400);
-/// Time in which an instance of a large fleet gathers news before it tells them: those that come one
-/// after the other while targets are replaced go to all peers together.
+/// Time for which an instance of a large fleet batches updates before it sends a digest, so that
+/// consecutive changes while targets are replaced reach all peers together.
 const NEWS_GATHER: Duration = Duration::from_millis(100);
-/// Largest datagram.
+/// Largest datagram, in bytes.
 const DATAGRAM_BYTES_MAX: usize = 16 * 1024;
-/// Largest change of the ledger that is told to peers; a larger one is left to the store.
+/// Largest ledger change that is sent to peers, in bytes. Peers read larger changes from the store.
 const CHANGE_BYTES_MAX: usize = 8 * 1024;
-/// Instances that one knows at most that has just started: itself and the seeds.
+/// Most instances that an instance knows of just after its start: itself and the seeds.
 const JUST_STARTED_KNOWN_MAX: u64 = 4;
-/// Bytes of a packet beside what it carries.
+/// Size of the IP and UDP headers of a datagram, in bytes.
 const PACKET_BYTES: usize = 28;
-/// Pause after a failure to receive.
+/// Pause after a failed receive.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(50);
 
-/// `Peers` is the socket for datagrams.
+/// `Peers` sends and receives the datagrams between instances.
 #[derive(Debug)]
 pub struct Peers {
     gateway: Arc<Gateway>,
@@ -71,11 +73,11 @@
 }
 
 impl Peers {
-    /// Binds the socket.
+    /// Binds the UDP socket.
     ///
     /// # Errors
     ///
-    /// Returns an error where the address cannot be used.
+    /// Returns an error if the address cannot be bound.
     pub async fn try_new(gateway: &Arc<Gateway>) -> std::io::Result<Arc<Self>> {
         let socket = UdpSocket::bind(gateway.options.peers_address).await?;
         Ok(Arc::new(Self {
@@ -86,11 +88,11 @@
 
     /// Sends digests until the process ends.
     pub async fn tell(self: Arc<Self>) {
-        // Peers hear of a start at once.
+        // The first digest is sent immediately so that peers learn of the start.
         let mut pause = Duration::ZERO;
         loop {
             let changed = self.gateway.news.notified();
-            // Either news or the passing of time brings the next digest.
+            // The next digest is sent on an update, at the latest after the interval.
             let _ = tokio::time::timeout(pause, changed).await;
             pause = DIGEST_INTERVAL;
             let is_large = self.gateway.state().is_large_fleet();
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Asks peers for tokens whenever calls lack them.
+    /// Requests tokens from peers whenever calls lack them. At a stop, returns the tokens that
+    /// peers transferred.
     pub async fn beg(self: Arc<Self>) {
         loop {
             self.gateway.tokens_wanted.notified().await;
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Sends what other duties have for peers, until the process ends.
+    /// Sends the messages that other background tasks queue for peers, until the process ends.
     pub async fn send_out(self: Arc<Self>, mut outbox: Receiver<Outgoing>) {
         while let Some(outgoing) = outbox.recv().await {
             match outgoing {
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Tells all that write to the ledger of an own write to it.
+    /// Sends a ledger change written by this instance to all other ledger writers.
     async fn tell_change(&self, change: &LedgerChange) {
         let Ok(bytes) = serde_json::to_vec(change) else {
             return;
@@ -154,7 +157,7 @@
         }
     }
 
-    /// Tells all peers of a long prompt.
+    /// Notifies all peers of a long prompt that a target is reading.
     async fn tell_reading(&self, reading: &Reading) {
         for address in self.all() {
             let body = DatagramBody::Reading(reading.clone());
@@ -166,8 +169,8 @@
         match serde_json::from_slice::<LedgerChange>(bytes) {
             Ok(change) => {
                 let now = self.gateway.now();
-                // A change that does not follow on what is known here is made up for by the next
-                // read or write.
+                // A change that does not apply to the ledger version known here is made up for by
+                // the next read or write.
                 self.gateway.state().holder.hear(now, change);
             }
             Err(error) => {
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Takes datagrams in until the process ends.
+    /// Receives and handles datagrams until the process ends.
     pub async fn hear(self: Arc<Self>) {
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
         loop {
@@ -214,7 +217,7 @@
         let now = self.gateway.now();
         let link_bytes = bytes.len() + PACKET_BYTES;
         self.gateway.state().pressure.note_sent(now, link_bytes);
-        // A datagram may get lost at any time; the next digest says the same.
+        // Datagrams may be lost at any time; the next digest repeats the state.
         let _ = self.socket.send_to(&bytes, address).await;
     }
 
@@ -296,10 +299,10 @@
         }
     }
 
-    /// Tells a peer that has just started what is known here. It knows some seeds and is known to
-    /// nobody else, so it would hear of the others by chance, and take itself for their writer. It
-    /// does not know either which contents are refused, and would send them to targets; and it waits
-    /// to hear whether it must list everything itself.
+    /// Sends a digest to a peer that has just started. Such a peer knows some seeds and no other
+    /// instance knows it, so it would discover the others only by chance and take itself for their
+    /// writer. It also does not know which contents are quarantined and would send them to targets,
+    /// and it waits to learn whether it must list everything itself.
     async fn introduce(&self, digest: &Digest, is_new: bool, address: SocketAddr) {
         let known = {
             let state = self.gateway.state();
--- a/crates/damaskstile-gateway/src/peers/addresses.rs
+++ b/crates/damaskstile-gateway/src/peers/addresses.rs
@@ -1,4 +1,4 @@
-//! `addresses` says which peers a message goes to.
+//! Selection of the peers that a message is sent to.
 
 use std::net::SocketAddr;
 
@@ -7,12 +7,13 @@
 use super::Peers;
 use crate::state::State;
 
-/// Peers that a digest goes to. With more instances it goes to so many of them by chance.
+/// Number of randomly chosen peers that a digest is sent to in fleets with more peers than that.
 const DIGEST_FANOUT: usize = 10;
 
 impl Peers {
-    /// Returns the addresses of the peers that a digest goes to: all of a small fleet. In a large
-    /// one it goes to some by chance, and to all from those that watch and write for the others.
+    /// Returns the addresses of the peers that a digest is sent to. In a small fleet these are all
+    /// peers. In a large fleet they are a random subset, except that the instances that watch the
+    /// store and write for others send to all.
     pub(super) fn addresses(&self) -> Vec<SocketAddr> {
         let gateway = &self.gateway;
         let now = gateway.now();
@@ -31,7 +32,8 @@
         addresses
     }
 
-    /// Returns the addresses of all peers that the ledger lists or that were heard of.
+    /// Returns the addresses of all peers that the ledger lists or that were discovered through
+    /// gossip.
     pub(super) fn all(&self) -> BTreeSet<SocketAddr> {
         self.known(&self.gateway.state())
     }
@@ -43,8 +45,8 @@
         known
     }
 
-    /// Returns the addresses of the other instances that write to the ledger: all of a small
-    /// fleet. In a large one a writer's changes are not told.
+    /// Returns the addresses of the other instances that write to the ledger: all of a small fleet,
+    /// and none in a large fleet, where a writer does not send its changes to peers.
     pub(super) fn writers(&self) -> BTreeSet<SocketAddr> {
         let state = self.gateway.state();
         if state.is_large_fleet() {
--- a/crates/damaskstile-gateway/src/peers/catalogue_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/catalogue_answer.rs
@@ -1,4 +1,4 @@
-//! `catalogue_answer` hands the catalogue on to a peer, or what differs in it, and takes it in.
+//! Pulls of the catalogue between peers, whole or as a difference from a known version.
 
 use bytes::Bytes;
 use damaskstile_core::random::stable_hash_of_bytes;
@@ -11,7 +11,7 @@
 
 use super::pull_messages::{PullAnswer, PullRequest};
 
-/// Makes the request for a newer catalogue than the one that is known.
+/// Makes the request for a catalogue newer than the known one.
 pub(super) fn request(state: &State, whole_bytes_max: u64) -> PullRequest {
     let known = state.stored_catalogue.as_ref();
     PullRequest {
@@ -21,7 +21,8 @@
     }
 }
 
-/// Makes the answer; an empty one where only the whole would do and is too large.
+/// Makes the answer. It is empty if only the whole catalogue would help and that exceeds the limit
+/// of the request.
 pub(super) fn make(gateway: &Gateway, request: &PullRequest) -> PullAnswer {
     let state = gateway.state();
     let Some(object) = &state.stored_catalogue else {
@@ -52,8 +53,8 @@
     }
 }
 
-/// Takes in what a peer handed on. What does not add up to the peer's catalogue is left, and pulled
-/// again or read from the store.
+/// Applies a pulled catalogue. An answer that does not reproduce the peer's catalogue is dropped;
+/// the catalogue is then pulled again or read from the store.
 pub(super) fn take(gateway: &Gateway, answer: PullAnswer, source: &str) {
     if answer.version == 0 {
         return;
--- a/crates/damaskstile-gateway/src/peers/datagram.rs
+++ b/crates/damaskstile-gateway/src/peers/datagram.rs
@@ -1,4 +1,4 @@
-//! `datagram` is one message between instances.
+//! Datagrams exchanged between instances.
 
 use bytes::Bytes;
 use damaskstile_escrow::{Receipt, Report};
@@ -6,49 +6,49 @@
 
 use super::{AskTokens, Digest, GiveTokens, Reading, ToldSuspect};
 
-/// `DatagramBody` is what a datagram says.
+/// `DatagramBody` is the payload of a datagram.
 #[derive(prost::Oneof, Clone, PartialEq)]
 pub enum DatagramBody {
-    /// What the sender knows.
+    /// Summary of the sender's state.
     #[prost(message, tag = "3")]
     Digest(Digest),
-    /// A question for tokens.
+    /// A request for tokens.
     #[prost(message, tag = "4")]
     Ask(AskTokens),
-    /// Tokens handed over.
+    /// A transfer of tokens.
     #[prost(message, tag = "5")]
     Give(GiveTokens),
-    /// A change of the ledger, in the form that the ledger is stored in.
+    /// A ledger change, as JSON.
     #[prost(bytes = "bytes", tag = "6")]
     Change(Bytes),
-    /// What the sender asks to have written to the ledger.
+    /// Entries that the sender asks the ledger writer to write.
     #[prost(message, tag = "7")]
     Report(Report),
-    /// What became of it.
+    /// Answer to a report.
     #[prost(message, tag = "8")]
     Receipt(Receipt),
-    /// A long prompt that a target reads.
+    /// A long prompt that a target is reading.
     #[prost(message, tag = "9")]
     Reading(Reading),
-    /// Asks for the loan of a call's tokens.
+    /// Request for a loan of the tokens of one call.
     #[prost(message, tag = "10")]
     Borrow(LoanAsk),
-    /// What became of that.
+    /// Answer to a loan request.
     #[prost(message, tag = "11")]
     Lend(LoanAnswer),
-    /// Loans that are over.
+    /// Loans that have ended.
     #[prost(message, tag = "12")]
     LoanEnds(LoanEnds),
-    /// That they were heard of.
+    /// Acknowledgement of ended loans.
     #[prost(message, tag = "13")]
     LoanEndsTaken(LoanEndsTaken),
-    /// What the sender knows of a content under which targets ended.
+    /// What the sender knows of a suspect content.
     #[prost(message, tag = "14")]
     Suspect(ToldSuspect),
 }
 
 impl DatagramBody {
-    /// Returns what it is for, as logs and metrics name it.
+    /// Returns the purpose of the message, as it is named in logs and metrics.
     #[must_use]
     pub const fn duty(&self) -> &'static str {
         match self {
@@ -72,7 +72,7 @@
     /// Incarnation of the sender.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// What it says.
+    /// The payload.
     #[prost(
         oneof = "DatagramBody",
         tags = "3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14"
--- a/crates/damaskstile-gateway/src/peers/digest.rs
+++ b/crates/damaskstile-gateway/src/peers/digest.rs
@@ -1,10 +1,10 @@
-//! `digest` tells what an instance knows, in a few hundred bytes.
+//! Digests: the periodic summary of an instance's state, a few hundred bytes in size.
 
 use damaskstile_core::prelude::*;
 
 use super::{PeerWord, ToldLimit, ToldSuspect, ToldTarget};
 
-/// `AccountTokens` are tokens of one account.
+/// `AccountTokens` is a number of tokens of one account.
 #[derive(prost::Message, Clone, PartialEq)]
 pub struct AccountTokens {
     /// The account.
@@ -15,16 +15,16 @@
     pub tokens: u64,
 }
 
-/// `Digest` tells what an instance knows.
+/// `Digest` summarises what an instance knows.
 #[derive(prost::Message, Clone, PartialEq)]
 pub struct Digest {
-    /// The sender's time of day, in milliseconds since the Unix epoch.
+    /// The sender's wall clock, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "1")]
     pub unix_ms: u64,
     /// Version of the catalogue in force.
     #[prost(uint64, tag = "2")]
     pub catalogue_version: u64,
-    /// Size of that catalogue as stored.
+    /// Size of the stored catalogue, in bytes.
     #[prost(uint64, tag = "17")]
     pub catalogue_bytes: u64,
     /// Version of the list of targets.
@@ -33,68 +33,71 @@
     /// Milliseconds since the store last answered the sender.
     #[prost(uint64, tag = "4")]
     pub store_age_ms: u64,
-    /// Targets that drain or have ended, and do not state their starts.
+    /// Targets without a stated start that are draining or have ended.
     #[prost(string, repeated, tag = "5")]
     pub leaving: Vec<String>,
-    /// Targets that vanished from the list, and do not state their starts.
+    /// Targets without a stated start that were delisted.
     #[prost(string, repeated, tag = "8")]
     pub vanished: Vec<String>,
-    /// Incarnations that drain or have ended.
+    /// Incarnations that are draining or have ended.
     #[prost(message, repeated, tag = "12")]
     pub leaving_incarnations: Vec<ToldTarget>,
-    /// Incarnations that vanished from the list.
+    /// Incarnations that were delisted.
     #[prost(message, repeated, tag = "13")]
     pub vanished_incarnations: Vec<ToldTarget>,
-    /// Versions of the list at which those that vanished were gone: first of the targets that do not
-    /// state their starts, then of the others.
+    /// List versions at which the delisted targets were gone: first for the targets without a
+    /// stated start, then for the others.
     #[prost(uint64, repeated, tag = "14")]
     pub vanished_at: Vec<u64>,
-    /// Tokens that the sender could reserve at once.
+    /// Tokens that the sender could reserve immediately, by account.
     #[prost(message, repeated, tag = "6")]
     pub free: Vec<AccountTokens>,
-    /// Whether the sender watches the store for others and may write to the ledger for them.
+    /// Whether the sender watches the store for other instances and may write to the ledger for
+    /// them.
     #[prost(bool, tag = "9")]
     pub is_watcher: bool,
-    /// Instances that the sender knows of, itself among them.
+    /// Number of instances that the sender knows of, itself included.
     #[prost(uint64, tag = "11")]
     pub known_instances: u64,
-    /// Part of a core that the sender has, in percent.
+    /// Processor capacity of the sender, in percent of a core.
     #[prost(uint64, tag = "10")]
     pub capacity_percent: u64,
-    /// Data centre that the sender stands in.
+    /// Data centre of the sender.
     #[prost(string, tag = "15")]
     pub data_centre: String,
-    /// The best writer that the sender knows to be in touch with the store, other than itself.
+    /// The best-ranked writer, other than the sender, that the sender knows to be in touch with the
+    /// store.
     #[prost(message, optional, tag = "16")]
     pub writer: Option<PeerWord>,
-    /// Contents under which targets ended.
+    /// Contents that are suspected of ending targets.
     #[prost(message, repeated, tag = "18")]
     pub suspects: Vec<ToldSuspect>,
-    /// Version of the store as of which the sender knows which data centres are emptied; 0 for none.
+    /// Store version of the sender's list of evacuated data centres; 0 if it has none.
     #[prost(uint64, tag = "19")]
     pub emptied_version: u64,
-    /// Those data centres.
+    /// The evacuated data centres.
     #[prost(string, repeated, tag = "20")]
     pub emptied: Vec<String>,
-    /// Limits of calls that targets name, or named until lately.
+    /// Call limits that targets advertise, or advertised until recently.
     #[prost(message, repeated, tag = "21")]
     pub limits: Vec<ToldLimit>,
-    /// Version of the ledger that the sender remembers.
+    /// Version of the ledger that the sender holds.
     #[prost(uint64, tag = "22")]
     pub ledger_version: u64,
-    /// History that the store is in, by its word to the sender or to another.
+    /// History of the store, as last reported to the sender by the store or by another instance.
     #[prost(uint64, tag = "23")]
     pub store_history: u64,
-    /// Instances that it has heard of by name, itself among them.
+    /// Number of instances that the sender knows by name, itself included.
     #[prost(uint64, tag = "24")]
     pub heard_instances: u64,
-    /// Whether the sender is being stopped.
+    /// Whether the sender is stopping.
     #[prost(bool, tag = "7")]
     pub is_stopping: bool,
 }
 
 impl Digest {
-    /// Tells which targets are leaving, and which vanished from the list at which versions of it.
+    /// Adds the targets that are leaving, and the delisted ones with the list versions at which
+    /// they were gone.
     #[must_use]
     pub fn with_departures(
         mut self,
@@ -102,7 +105,8 @@
         vanished: &[(TargetIdentity, Version)],
     ) -> Self {
         (self.leaving, self.leaving_incarnations) = split(leaving);
-        // The versions stand in the order in which the two kinds are read again.
+        // The order of the versions must match the order in which `vanished_with_versions` joins
+        // the two lists.
         let (unstated, stated): (Vec<_>, Vec<_>) = vanished
             .iter()
             .cloned()
@@ -113,17 +117,17 @@
         self
     }
 
-    /// Returns the targets that drain or have ended.
+    /// Returns the targets that are draining or have ended.
     #[must_use]
     pub fn all_leaving(&self) -> Vec<TargetIdentity> {
         join(&self.leaving, &self.leaving_incarnations)
     }
 
-    /// Returns the targets that vanished from the list, with the versions at which they were gone.
+    /// Returns the delisted targets with the list versions at which they were gone.
     #[must_use]
     pub fn vanished_with_versions(&self) -> Vec<(TargetIdentity, Version)> {
         let versions = self.vanished_at.iter().copied();
-        // The sender's list does not name them either.
+        // The sender's own list no longer names targets without a version of their own.
         let versions = versions.chain(std::iter::repeat(self.targets_version));
         join(&self.vanished, &self.vanished_incarnations)
             .into_iter()
--- a/crates/damaskstile-gateway/src/peers/gifts.rs
+++ b/crates/damaskstile-gateway/src/peers/gifts.rs
@@ -1,4 +1,4 @@
-//! `gifts` asks peers for tokens and hands them over.
+//! Token transfers between instances.
 
 use std::net::SocketAddr;
 
@@ -7,8 +7,8 @@
 use super::{AskTokens, DatagramBody, GiveTokens, Peers};
 
 impl Peers {
-    /// Makes the questions for each account that calls here lack tokens of, to the peers that said
-    /// last that they have most.
+    /// Makes the token requests for each account whose tokens calls lack here, addressed to the
+    /// peers that last reported the most free tokens.
     pub(super) fn asks(&self) -> Vec<(SocketAddr, AskTokens)> {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
@@ -25,7 +25,8 @@
             .collect()
     }
 
-    /// Makes the gifts that hand back at a stop what came as gifts.
+    /// Makes the transfers that return, at a stop, the tokens that peers transferred to this
+    /// instance.
     pub(super) fn returns(&self) -> Vec<(SocketAddr, GiveTokens)> {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
@@ -77,7 +78,8 @@
     pub(super) fn take_gift(&self, from: &str, incarnation: u64, gift: &GiveTokens) {
         {
             let mut state = self.gateway.state();
-            // A network may deliver a datagram twice; tokens taken twice would be spent twice.
+            // The network may deliver a datagram twice; accepting the same transfer twice would
+            // allow its tokens to be spent twice.
             let is_first = state
                 .gifts_taken
                 .entry((from.to_owned(), incarnation))
--- a/crates/damaskstile-gateway/src/peers/hearing.rs
+++ b/crates/damaskstile-gateway/src/peers/hearing.rs
@@ -1,4 +1,4 @@
-//! `hearing` takes in what digests say, and pulls what they tell of and the instance lacks.
+//! Processing of received digests; pulls the data that they announce and this instance lacks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,18 +14,20 @@
 use crate::target_says::log_limit;
 use crate::wanted::Wanted;
 
-/// Time that the own watch is given before a newer catalogue is pulled from a peer.
+/// Time that this instance's own watch of the store is given before a newer catalogue is pulled
+/// from a peer.
 const PULL_DELAY: Duration = Duration::from_millis(80);
-/// Longest pause before a list of targets is pulled, so that not all instances of a large fleet
-/// do so at once, and one pull serves several changes.
+/// Upper bound of the random delay, in milliseconds, before a list of targets is pulled. It keeps
+/// the instances of a large fleet from pulling at the same time, and lets one pull cover several
+/// changes.
 const PULL_JITTER_MS: u64 = 250;
-/// The same for an instance that knows no targets yet.
+/// Upper bound of that delay for an instance that knows no targets yet, in milliseconds.
 const PULL_START_JITTER_MS: u64 = 40;
-/// Age of the last word of the store past which a peer's list of targets is better.
+/// Age of the store's last answer past which a peer's list of targets is preferred.
 const STORE_AGE_MAX: Duration = Duration::from_millis(700);
 
 impl Peers {
-    /// Takes in a digest; returns whether its sender was not heard of before.
+    /// Processes a digest; returns whether its sender is new.
     pub(super) fn take_digest(
         &self,
         from: &str,
@@ -47,7 +49,8 @@
                 left.push(target);
             }
         }
-        // In touch with the store, the own list is newer than what peers say of it.
+        // While this instance is in touch with the store, its own list is newer than what peers
+        // report.
         let is_follower = !state.is_watcher(now);
         let is_list_told = is_store_lost || is_follower;
         let vanished = digest.vanished_with_versions();
@@ -59,7 +62,7 @@
         let lacks_targets = (is_store_lost || is_follower)
             && is_peer_in_touch
             && digest.targets_version > state.targets_version;
-        // Callers wait for an instance that has just started.
+        // Calls are waiting for an instance that has just started, so it delays its pull less.
         let jitter_ms = if state.targets_version == 0 {
             PULL_START_JITTER_MS
         } else {
@@ -127,7 +130,7 @@
         self.pull_from(address, wanted);
         is_new
     }
-    /// Pulls what the sender of a digest has and this instance lacks, each after a pause.
+    /// Pulls the data that this instance lacks from the sender of a digest, each after a delay.
     fn pull_from(&self, peer: SocketAddr, wanted: Vec<(Wanted, Duration)>) {
         for (wanted, pause) in wanted {
             let gateway = Arc::clone(&self.gateway);
--- a/crates/damaskstile-gateway/src/peers/list_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/list_answer.rs
@@ -1,4 +1,4 @@
-//! `list_answer` hands the list of targets on to a peer, or what changed in it, and takes it in.
+//! Pulls of the list of targets between peers, whole or as the changes since a known version.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
@@ -9,15 +9,15 @@
 
 use super::pull_messages::{PullAnswer, PullRequest, PulledTarget};
 
-/// Targets in one part of a list: some 80 KB, which a narrow link brings in a part of the time of a
-/// pull.
+/// Number of targets in one part of a list: some 80 KB, which a slow link transmits well within the
+/// time limit of a pull.
 const PART_TARGETS: u64 = 1_000;
-/// Shortest time between two comparisons of the own list with a peer's.
+/// Shortest interval between comparisons of this instance's list with a peer's.
 const COMPARED_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Makes the request for what changed in the list; for all of it where none is known, or the own one
-/// differs from a peer's. Now and then the lists are compared by a hash, which takes a look at every
-/// target on both sides.
+/// Makes the request for the changes since the known version of the list, or for the whole list if
+/// none is known or it differs from a peer's. From time to time the request also asks for a hash to
+/// compare the lists, which visits every target on both sides.
 pub(super) fn request(state: &mut State, now: Duration) -> PullRequest {
     let compared_at = state.compared_at.get_or_insert(now);
     let wants_hash = now.saturating_sub(*compared_at) >= COMPARED_INTERVAL;
@@ -38,7 +38,7 @@
     }
 }
 
-/// Makes the answer to whoever knows the list as of a version.
+/// Makes the answer to a peer that knows the list as of the requested version.
 pub(super) fn make(gateway: &Gateway, request: &PullRequest) -> PullAnswer {
     let now = gateway.now();
     let since = request.since;
@@ -90,8 +90,8 @@
 
 fn heard_target(book: &Book, pulled: PulledTarget) -> Option<Listed> {
     Some(Listed {
-        // A peer of an older version does not tell incarnations. Taken for unstated, its whole list
-        // would be refused during an upgrade of the fleet.
+        // A peer of an older release does not send incarnations. If they were treated as unstated,
+        // its whole list would be refused during an upgrade of the fleet.
         incarnation: pulled
             .started_at_unix_ms
             .or_else(|| book.newest(&pulled.target)),
@@ -105,7 +105,7 @@
     })
 }
 
-/// Takes in what a peer handed on.
+/// Applies a pulled list or its changes.
 pub(super) fn take(gateway: &Gateway, answer: PullAnswer, source: &str) {
     let now = gateway.now();
     let mut state = gateway.state();
@@ -113,7 +113,7 @@
     let is_older = answer.version < state.targets_version;
     let is_repair = is_whole && state.wants_whole_list;
     let is_known = answer.version == state.targets_version && !is_repair;
-    // What changed since a version that is not known here would leave a gap.
+    // Changes since a version that is not yet known here would leave a gap.
     if is_older || is_known || answer.since > state.targets_version {
         return;
     }
@@ -121,8 +121,9 @@
     let listed: Vec<Listed> = pulled
         .filter_map(|pulled| heard_target(&state.book, pulled))
         .collect();
-    // Entries that lapsed in an outage are waited for here as where the list was read. An instance
-    // that goes by its peers may have asked the store nothing meanwhile, and know of no outage.
+    // Entries that lapsed during an outage get the same grace period here as at the instance that
+    // read the list. An instance that relies on its peers may not have called the store meanwhile
+    // and may not know of the outage.
     let is_around_outage = answer.is_around_outage || state.contact.is_around_outage(now);
     if is_whole {
         let all = listed.into_iter().map(Ok).collect();
@@ -146,8 +147,8 @@
     );
 }
 
-/// Has the whole list pulled next where the own one differs from the peer's although their versions
-/// agree: a change was lost on the way.
+/// Requests the whole list with the next pull if this instance's list differs from the peer's at
+/// the same version: a change was lost in transit.
 fn note_difference(state: &mut State, now: Duration, told: Option<u64>) {
     let Some(told) = told else {
         return;
--- a/crates/damaskstile-gateway/src/peers/loans.rs
+++ b/crates/damaskstile-gateway/src/peers/loans.rs
@@ -1,4 +1,4 @@
-//! `loans` lends tokens to peers and borrows theirs.
+//! Loan messages: lends tokens to peers and borrows from them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,15 +10,15 @@
 use super::{DatagramBody, Peers};
 use crate::state::State;
 
-/// Time for which ends are gathered, so that one message tells several.
+/// Time for which ended loans are batched into one message.
 const GATHER: Duration = Duration::from_millis(20);
-/// Time between two looks at ends that were not confirmed.
+/// Interval between checks for ended loans that were not acknowledged.
 const ENDS_LOOK: Duration = Duration::from_millis(250);
-/// Time between two looks at asks that wait and at loans that nobody ended.
+/// Interval between checks for waiting loan requests and for loans that were never ended.
 const LENDER_LOOK: Duration = Duration::from_millis(100);
 
 impl Peers {
-    /// Answers a peer that asks for a call's tokens.
+    /// Answers a peer's request for a loan of the tokens of a call.
     pub(super) async fn take_borrow(
         &self,
         from: &str,
@@ -46,14 +46,14 @@
         self.send(address, DatagramBody::Lend(answer)).await;
     }
 
-    /// Takes in a lender's answer.
+    /// Processes a lender's answer.
     pub(super) fn take_lend(&self, from: &str, answer: &LoanAnswer) {
         if self.gateway.state().borrower.hear(from, answer) {
             self.gateway.loans_heard.notify_waiters();
         }
     }
 
-    /// Takes in that loans are over, and confirms it.
+    /// Records ended loans and acknowledges them.
     pub(super) async fn take_loan_ends(
         &self,
         from: &str,
@@ -78,17 +78,17 @@
         self.send(address, taken).await;
     }
 
-    /// Takes in that a lender has heard which loans are over.
+    /// Processes a lender's acknowledgement of ended loans.
     pub(super) fn take_loan_ends_taken(&self, taken: &LoanEndsTaken, address: SocketAddr) {
         let mut state = self.gateway.state();
         state.borrower.ends_taken(address, taken);
     }
 
-    /// Tells lenders which loans are over, until the process ends.
+    /// Reports ended loans to their lenders until the process ends.
     pub async fn end_loans(self: Arc<Self>) {
         loop {
             let ended = self.gateway.loans_ended.notified();
-            // Either an end or the passing of time brings the next look.
+            // Woken when a loan ends, at the latest after the interval.
             let _ = tokio::time::timeout(ENDS_LOOK, ended).await;
             tokio::time::sleep(GATHER).await;
             let now = self.gateway.now();
@@ -99,11 +99,11 @@
         }
     }
 
-    /// Answers asks that waited for tokens, until the process ends.
+    /// Answers loan requests that waited for tokens, until the process ends.
     pub async fn lend_later(self: Arc<Self>) {
         loop {
             let round_done = self.gateway.round_done.notified();
-            // Either a round or the passing of time brings the next look.
+            // Woken when a round is done, at the latest after the interval.
             let _ = tokio::time::timeout(LENDER_LOOK, round_done).await;
             let now = self.gateway.now();
             let answers = {
--- a/crates/damaskstile-gateway/src/peers/member_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/member_answer.rs
@@ -1,8 +1,8 @@
-//! `member_answer` tells a peer which instances there are, and takes it in.
+//! Pulls of the list of members: which instances exist and where they are.
 //!
-//! An instance tells some others by chance of itself, so whoever starts in a fleet of hundreds hears
-//! of all the others one by one, for a minute and more. Until then it does not know whom to ask for
-//! tokens or lists.
+//! In a large fleet each instance sends its digests to a random subset of its peers, so a newly
+//! started instance in a fleet of hundreds takes a minute and more to discover all others. Until
+//! then it does not know which peers to ask for tokens or lists.
 
 use crate::gateway::Gateway;
 use crate::member::Member;
@@ -30,7 +30,8 @@
     }
 }
 
-/// Takes in what a peer told. Of what is known already the own word is better.
+/// Adds the members in an answer that are not known yet. For known members the local record is
+/// better.
 pub(super) fn take(gateway: &Gateway, words: &[PeerWord]) {
     let now = gateway.now();
     let own = &gateway.options.identity.instance;
--- a/crates/damaskstile-gateway/src/peers/peer_word.rs
+++ b/crates/damaskstile-gateway/src/peers/peer_word.rs
@@ -1,31 +1,32 @@
-//! `peer_word` is what an instance says of another.
+//! Reports of an instance about another one.
 
-/// `PeerWord` is what an instance says of another one: of the one that may write for all, or where it
-/// is.
+/// `PeerWord` is what an instance reports about another one: about the best writer, or about where
+/// a member is.
 ///
-/// In a large fleet an instance hears a peer itself every ten seconds. With what others say of it,
-/// all know the same writer within a few digests, also at a start, when each knows some seeds only.
+/// In a large fleet an instance receives a given peer's digest only every ten seconds or so.
+/// Forwarded reports make all instances agree on the same writer within a few digests, also at a
+/// start, when each knows only some seeds.
 #[derive(prost::Message, Clone, PartialEq)]
 pub struct PeerWord {
-    /// Its name.
+    /// Name of the instance.
     #[prost(string, tag = "1")]
     pub instance: String,
-    /// Its incarnation.
+    /// Incarnation of the instance.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Its address.
+    /// Address of the instance for messages from peers.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// Data centre that it stands in.
+    /// Data centre of the instance.
     #[prost(string, tag = "4")]
     pub data_centre: String,
-    /// Part of a core that it has, in percent.
+    /// Processor capacity of the instance, in percent of a core.
     #[prost(uint64, tag = "5")]
     pub capacity_percent: u64,
-    /// Milliseconds since the store last answered it.
+    /// Milliseconds since the store last answered the instance.
     #[prost(uint64, tag = "6")]
     pub store_age_ms: u64,
-    /// Milliseconds since it was last heard.
+    /// Milliseconds since a digest of the instance was last received.
     #[prost(uint64, tag = "7")]
     pub heard_age_ms: u64,
 }
--- a/crates/damaskstile-gateway/src/peers/pull.rs
+++ b/crates/damaskstile-gateway/src/peers/pull.rs
@@ -1,4 +1,4 @@
-//! `pull` fetches from a peer what is too large for a datagram.
+//! Pulls over TCP of data that is too large for a datagram.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,29 +20,30 @@
 use super::pull_messages::{PullAnswer, PullRequest, PulledTarget};
 use super::{catalogue_answer, list_answer, member_answer};
 
-/// Largest frame: a stored object with room for its name.
+/// Largest frame, in bytes: a stored object with room for its name.
 const FRAME_BYTES_MAX: usize = 2 * 1024 * 1024;
-/// Time that a part of a pull may take: 100 KB for each of ten peers at once over 10 Mbit/s, with
-/// room.
+/// Time limit for one part of a pull: 100 KB for each of ten concurrent peers over 10 Mbit/s, with
+/// a margin.
 const PULL_LIMIT: Duration = Duration::from_millis(1_500);
-/// Pulls that are tried until one brings what is wanted. Then a peer's next digest brings more.
+/// Attempts before a pull is given up. After that, the next digest of a peer starts another one.
 const PULLS_MAX: usize = 4;
-/// Longest pause between them.
+/// Upper bound of the random pause between attempts, in milliseconds.
 const PULL_PAUSE_MS: u64 = 100;
-/// Pulls that are answered at once. More would share the link until all of them take too long;
-/// whoever is refused asks another.
+/// Limit on concurrently served pulls. More would share the link until all of them time out; a
+/// refused peer asks another instance.
 const ANSWERS_MAX: usize = 6;
-/// Time for which a pulled catalogue may fill a link. Instances that have one hand it on, so all of
-/// some hundreds have it after eight such times, well within the time that a change may take.
+/// Longest time for which a pulled catalogue may occupy the link. Instances that have the catalogue
+/// pass it on, so some hundreds of instances have it after eight such times, well within the time
+/// limit for a change to take effect.
 const PULLED_TIME_MAX: Duration = Duration::from_millis(60);
-/// Pause after a failure to accept.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Pulls from a peer, unless the store was faster.
+/// Pulls from a peer, unless the store delivers the data first.
 pub(super) async fn pull(gateway: Arc<Gateway>, peer: SocketAddr, wanted: Wanted, delay: Duration) {
     let pulled = wanted.pulled();
-    // One at a time: many digests tell of the same version, and pulls beside each other would
-    // only share the peers' links until all of them take too long.
+    // Only one pull of a kind runs at a time: many digests announce the same version, and
+    // concurrent pulls would share the peers' links until all of them time out.
     if !gateway.state().pulling.insert(pulled) {
         return;
     }
@@ -51,7 +52,7 @@
         if !lacks(&gateway, wanted) {
             break;
         }
-        // Whoever told of it has all of it.
+        // The last attempt goes to the peer that announced the data and so has all of it.
         let source = if pulls_left == 0 {
             peer
         } else {
@@ -74,8 +75,8 @@
     gateway.state().lacks(wanted)
 }
 
-/// Returns the size of the largest catalogue that is pulled whole. A larger one is read faster from
-/// the store than from a peer with a narrow link.
+/// Returns the size of the largest catalogue that is pulled whole, in bytes; 0 for no limit. A
+/// larger one is read faster from the store than from a peer with a slow link.
 fn whole_bytes_max(gateway: &Gateway) -> u64 {
     if gateway.state().contact.is_lost() {
         return 0;
@@ -85,7 +86,7 @@
     u64::try_from(bytes).unwrap_or(u64::MAX)
 }
 
-/// Pulls from one peer; returns whether another may have what is wanted, should it still lack.
+/// Pulls from one peer; returns whether another attempt may help if the data is still missing.
 async fn pull_once(gateway: &Gateway, peer: SocketAddr, wanted: Wanted) -> bool {
     let request = match wanted {
         Wanted::Targets(_) => {
@@ -98,7 +99,7 @@
         }
         Wanted::Members => member_answer::request(),
     };
-    // A pull that fails is made again, from another.
+    // A failed pull is retried, from another peer.
     let Ok(answer) = fetch(peer, request).await else {
         return true;
     };
@@ -112,8 +113,8 @@
     true
 }
 
-/// Fetches an answer, part by part. Each part has the time of a pull: a list grows with the targets
-/// that there are, and a link that others use too brings it all the same.
+/// Fetches an answer part by part. The time limit applies to each part: the list grows with the
+/// number of targets and must still arrive over a shared link.
 async fn fetch(peer: SocketAddr, request: PullRequest) -> std::io::Result<PullAnswer> {
     let begin = async {
         let mut frames = Framed::new(connect(peer).await?, codec());
@@ -137,7 +138,7 @@
     }
 }
 
-/// Answers pulls until the process ends.
+/// Serves pulls until the process ends.
 pub async fn serve(gateway: Arc<Gateway>, listener: TcpListener) {
     let places = Arc::new(Semaphore::new(ANSWERS_MAX));
     loop {
@@ -148,7 +149,7 @@
                 };
                 let answering = answer(Arc::clone(&gateway), stream);
                 let answering = async move {
-                    // Whoever does not get its answer pulls again.
+                    // A peer that receives no answer pulls again.
                     let _ = answering.await;
                     drop(place);
                 };
@@ -171,7 +172,7 @@
     let request = PullRequest::decode(frame?).map_err(std::io::Error::other)?;
     let is_long = request.is_targets || request.is_members;
     if is_long && gateway.state().pressure.is_high(gateway.now()) {
-        // Whoever is refused asks another, and calls here wait for the same link.
+        // A refused peer asks another instance, and calls here compete for the same link.
         return Ok(());
     }
     let answer = make_answer(&gateway, &request);
@@ -203,7 +204,7 @@
     }
 }
 
-/// Cuts a list of targets into parts of so many; 0 for all in one.
+/// Splits a list of targets into parts of `part_targets` entries; 0 keeps it in one part.
 fn in_parts(mut answer: PullAnswer, part_targets: u64) -> Vec<PullAnswer> {
     let part_targets = usize::try_from(part_targets).unwrap_or(usize::MAX);
     if part_targets == 0 {
--- a/crates/damaskstile-gateway/src/peers/pull_messages.rs
+++ b/crates/damaskstile-gateway/src/peers/pull_messages.rs
@@ -1,44 +1,46 @@
-//! `pull_messages` are what instances say when one pulls from another.
+//! Messages of a pull.
 
 use bytes::Bytes;
 
 use super::PeerWord;
 use crate::content_changes::ContentPiece;
 
-/// `PullRequest` says what is wanted.
+/// `PullRequest` names the data to pull.
 #[derive(prost::Message, Clone, PartialEq)]
 pub(super) struct PullRequest {
-    /// Whether the list of targets is wanted, and not the catalogue.
+    /// Whether the list of targets is requested rather than the catalogue.
     #[prost(bool, tag = "1")]
     pub(super) is_targets: bool,
-    /// Version of the list that is known, so that only what changed since is wanted; 0 for all.
+    /// Version of the list that the sender knows; only changes since then are requested. 0 requests
+    /// the whole list.
     #[prost(uint64, tag = "2")]
     pub(super) since: u64,
-    /// Version of the catalogue's object that is known, so that what differs is enough; 0 for none.
+    /// Object version of the catalogue that the sender knows, so that a difference from it is
+    /// enough; 0 if none.
     #[prost(uint64, tag = "3")]
     pub(super) base: u64,
-    /// Whether the hash of the whole list is wanted, to compare.
+    /// Whether to include a hash of the whole list for comparison.
     #[prost(bool, tag = "5")]
     pub(super) wants_hash: bool,
-    /// Whether the instances that there are are wanted, and neither list nor catalogue.
+    /// Whether the members are requested rather than the list or the catalogue.
     #[prost(bool, tag = "6")]
     pub(super) is_members: bool,
-    /// Targets in one part of the answer; 0 where it must come as a whole. An instance of an earlier
-    /// version would take the first part for all there is.
+    /// Number of targets in one part of the answer; 0 for an undivided answer. An instance of an
+    /// earlier release would take the first part for the whole list.
     #[prost(uint64, tag = "7")]
     pub(super) part_targets: u64,
-    /// Largest catalogue that is wanted whole; 0 for any.
+    /// Largest catalogue to send whole, in bytes; 0 for no limit.
     #[prost(uint64, tag = "4")]
     pub(super) whole_bytes_max: u64,
 }
 
-/// `PullAnswer` is the catalogue or a list of targets.
+/// `PullAnswer` is a catalogue, a list of targets or a list of members.
 #[derive(prost::Message, Clone, PartialEq)]
 pub(super) struct PullAnswer {
-    /// Version of the catalogue's object or of the list.
+    /// Object version of the catalogue, or version of the list.
     #[prost(uint64, tag = "1")]
     pub(super) version: u64,
-    /// Name of the catalogue's object.
+    /// Object name of the catalogue.
     #[prost(string, tag = "2")]
     pub(super) name: String,
     /// The catalogue as stored.
@@ -47,28 +49,30 @@
     /// The list of targets.
     #[prost(message, repeated, tag = "4")]
     pub(super) targets: Vec<PulledTarget>,
-    /// Whether the sender waits for entries that the list may lack because of an outage.
+    /// Whether the sender is around an outage and keeps entries that the list may lack because of
+    /// it.
     #[prost(bool, tag = "5")]
     pub(super) is_around_outage: bool,
-    /// Version since which the list holds only what changed; 0 where it is whole.
+    /// Version since which the changes are listed; 0 if the list is whole.
     #[prost(uint64, tag = "6")]
     pub(super) since: u64,
-    /// Targets that the list no longer holds, where it is not whole.
+    /// Targets that were removed since that version, if the list is not whole.
     #[prost(string, repeated, tag = "7")]
     pub(super) gone: Vec<String>,
-    /// Hash of the whole list, while it is the same for all that have its version.
+    /// Hash of the whole list, present only while it is the same for all instances that have this
+    /// version.
     #[prost(uint64, optional, tag = "8")]
     pub(super) content_hash: Option<u64>,
-    /// Version of the catalogue's object that the pieces differ from; 0 where it is whole.
+    /// Object version of the catalogue that the pieces refer to; 0 if the catalogue is whole.
     #[prost(uint64, tag = "9")]
     pub(super) base: u64,
-    /// What the catalogue is made of, where it is not whole.
+    /// Pieces that make up the catalogue, if it is not whole.
     #[prost(message, repeated, tag = "10")]
     pub(super) pieces: Vec<ContentPiece>,
     /// Whether another part follows, with more targets.
     #[prost(bool, tag = "12")]
     pub(super) has_more: bool,
-    /// The instances that there are.
+    /// The known members.
     #[prost(message, repeated, tag = "11")]
     pub(super) members: Vec<PeerWord>,
 }
--- a/crates/damaskstile-gateway/src/peers/reading.rs
+++ b/crates/damaskstile-gateway/src/peers/reading.rs
@@ -1,12 +1,12 @@
-//! `reading` tells peers of a long prompt that a target reads.
+//! Notices to peers about long prompts that targets are reading.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
 
 /// `Reading` is a long prompt that was sent to a target.
 ///
-/// A datagram reaches peers within milliseconds, while a long prompt is read for hundreds of them.
-/// Nothing is told when it ends: peers count the time down.
+/// A datagram reaches peers within milliseconds, while reading a long prompt takes hundreds of
+/// them. No message is sent at the end: peers count the time down.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Reading {
     /// The target.
@@ -15,13 +15,13 @@
     /// Its incarnation, if it states one.
     #[prost(uint64, optional, tag = "2")]
     pub incarnation: Option<TargetIncarnation>,
-    /// Time that reading the prompt takes.
+    /// Expected time to read the prompt, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub time_ms: u64,
 }
 
 impl Reading {
-    /// Makes the message on a prompt.
+    /// Makes the notice for a prompt with its expected reading time.
     ///
     /// ```
     /// use std::time::Duration;
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Returns which run of which target reads it.
+    /// Returns the target and incarnation that read the prompt.
     #[must_use]
     pub fn identity(&self) -> TargetIdentity {
         TargetIdentity::new(&self.target, self.incarnation)
     }
 
-    /// Returns the time that reading it takes.
+    /// Returns the expected time to read the prompt.
     #[must_use]
     pub fn time(&self) -> Duration {
         Duration::from_millis(self.time_ms)
--- a/crates/damaskstile-gateway/src/peers/reports.rs
+++ b/crates/damaskstile-gateway/src/peers/reports.rs
@@ -1,5 +1,4 @@
-//! `reports` takes in what peers ask to have written to the ledger, and what became of the own
-//! reports.
+//! Reports from peers to be written to the ledger, and receipts for this instance's own reports.
 
 use damaskstile_core::prelude::*;
 use damaskstile_escrow::{Receipt, Report};
@@ -7,11 +6,11 @@
 use super::Peers;
 use crate::outgoing::Outgoing;
 
-/// Peers that may pass a report on: enough for one that knows only a seed, and an end where two
-/// take each other for the writer.
+/// Maximum number of forwards of a report: enough for an instance that knows only a seed, and a
+/// bound on forwarding when two instances each take the other for the writer.
 const HOPS_MAX: u32 = 2;
 impl Peers {
-    /// Takes in a peer's report, to be written with the next round.
+    /// Accepts a peer's report, to be written with the next round, or forwards it to the writer.
     pub(super) fn take_report(&self, mut report: Report) {
         let gateway = &self.gateway;
         let now = gateway.now();
@@ -20,7 +19,7 @@
         let mut state = gateway.state();
         let writer = state.writer(now).map(|(_, address)| address);
         if let Some(writer) = writer {
-            // The sender does not know the best writer yet, nor does that one know the sender.
+            // The sender does not know the best writer yet, nor does the writer know the sender.
             drop(state);
             report.hops += 1;
             if report.hops <= HOPS_MAX {
@@ -34,14 +33,14 @@
         let receipt = state.holder.take_report(now, report);
         drop(state);
         if let (Some(receipt), Ok(sender)) = (receipt, sender) {
-            // A receipt that finds no room is asked for again by its instance.
+            // If the queue is full the receipt is dropped, and the reporting instance asks again.
             let _ = gateway.outbox.try_send(Outgoing::Receipt(sender, receipt));
         } else if is_urgent {
             gateway.round_wanted.notify_one();
         }
     }
 
-    /// Takes in what became of the own report.
+    /// Processes a receipt for this instance's own report.
     pub(super) fn take_receipt(&self, from: &str, receipt: &Receipt) {
         let gateway = &self.gateway;
         let now = gateway.now();
--- a/crates/damaskstile-gateway/src/peers/suspects.rs
+++ b/crates/damaskstile-gateway/src/peers/suspects.rs
@@ -1,11 +1,11 @@
-//! `suspects` tells peers of contents under which targets ended, and hears of them.
+//! Exchange of suspect contents, under which targets have ended.
 
 use damaskstile_requests::Fingerprint;
 
 use super::{DatagramBody, Peers, ToldSuspect};
 
 impl Peers {
-    /// Tells those that collect the ends under a content what is known of it here.
+    /// Sends what is known of a content to the peers that collect target ends for it.
     pub(super) async fn tell_suspect(&self, content: &Fingerprint) {
         let now = self.gateway.now();
         let (word, collectors) = {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes in what a peer tells of contents.
+    /// Processes a peer's reports of suspect contents.
     pub(super) fn hear_suspects(&self, from: &str, told: &[ToldSuspect]) {
         for word in told.iter().filter_map(ToldSuspect::word) {
             self.gateway.hear_suspect(from, word);
--- a/crates/damaskstile-gateway/src/peers/tokens.rs
+++ b/crates/damaskstile-gateway/src/peers/tokens.rs
@@ -1,26 +1,26 @@
-//! `tokens` moves tokens between instances.
+//! Messages for token transfers between instances.
 
-/// `AskTokens` asks a peer for tokens.
+/// `AskTokens` requests tokens from a peer.
 #[derive(prost::Message, Clone, PartialEq)]
 pub struct AskTokens {
     /// The account.
     #[prost(string, tag = "1")]
     pub account: String,
-    /// Tokens that are missing.
+    /// Number of missing tokens.
     #[prost(uint64, tag = "2")]
     pub tokens: u64,
 }
 
-/// `GiveTokens` hands tokens over.
+/// `GiveTokens` transfers tokens to a peer.
 #[derive(prost::Message, Clone, PartialEq)]
 pub struct GiveTokens {
     /// The account.
     #[prost(string, tag = "1")]
     pub account: String,
-    /// The tokens, which the giver counts as used.
+    /// Number of tokens, which the sender counts as used.
     #[prost(uint64, tag = "2")]
     pub tokens: u64,
-    /// Number of the gift within the giver's incarnation.
+    /// Number of the transfer within the sender's incarnation.
     #[prost(uint64, tag = "3")]
     pub gift: u64,
 }
--- a/crates/damaskstile-gateway/src/peers/told_limit.rs
+++ b/crates/damaskstile-gateway/src/peers/told_limit.rs
@@ -1,28 +1,28 @@
-//! `told_limit` tells peers what a target says of the calls that it takes.
+//! Reports to peers of the call limits that targets advertise.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
 use damaskstile_targets::LimitWord;
 
-/// `ToldLimit` is what a target says of the calls that it takes from all instances together.
+/// `ToldLimit` is the call limit that a target advertises for all instances together.
 #[derive(prost::Message, Clone, PartialEq)]
 pub struct ToldLimit {
     /// The target.
     #[prost(string, tag = "1")]
     pub target: String,
-    /// Its start, in milliseconds since the Unix epoch, where that is stated.
+    /// Start of the target, in milliseconds since the Unix epoch, if stated.
     #[prost(uint64, optional, tag = "2")]
     pub started_at_unix_ms: Option<u64>,
-    /// Calls a second; nothing where the target names no limit any more.
+    /// Calls a second; `None` if the target no longer advertises a limit.
     #[prost(double, optional, tag = "3")]
     pub calls_per_s: Option<f64>,
-    /// Milliseconds since it said so.
+    /// Milliseconds since the target advertised it.
     #[prost(uint64, tag = "4")]
     pub age_ms: u64,
 }
 
 impl ToldLimit {
-    /// Makes the message of a word that is known now.
+    /// Makes the report of a limit as of `now`.
     pub(super) fn of(now: Duration, identity: TargetIdentity, word: LimitWord) -> Self {
         Self {
             target: identity.target,
@@ -32,8 +32,7 @@
         }
     }
 
-    /// Returns the target, and what is to be known of it as of now; `None` where no target can have
-    /// said so.
+    /// Returns the target and its limit as of `now`; `None` if the value cannot be a limit.
     pub(super) fn word(&self, now: Duration) -> Option<(TargetIdentity, LimitWord)> {
         let is_limit = |calls: f64| calls.is_finite() && calls >= 0.0;
         if !self.calls_per_s.is_none_or(is_limit) {
--- a/crates/damaskstile-gateway/src/peers/told_suspect.rs
+++ b/crates/damaskstile-gateway/src/peers/told_suspect.rs
@@ -1,13 +1,13 @@
-//! `told_suspect` tells peers of a content under which targets ended.
+//! Reports to peers of contents under which targets have ended.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
 use damaskstile_requests::{Fingerprint, SuspectWord};
 
-/// Ends taken from one message: more than are ever told of one content.
+/// Limit on ends accepted from one message: more than are ever reported for one content.
 const ENDS_MAX: usize = 64;
 
-/// `ToldEnd` is the end of a target.
+/// `ToldEnd` reports the end of a target.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ToldEnd {
     /// The target.
@@ -21,19 +21,19 @@
     pub age_ms: u64,
 }
 
-/// `ToldSuspect` tells peers of a content under which targets ended.
+/// `ToldSuspect` reports a content under which targets have ended.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ToldSuspect {
-    /// The content.
+    /// Fingerprint of the content.
     #[prost(bytes = "vec", tag = "1")]
     pub fingerprint: Vec<u8>,
-    /// Client account whose calls ask for it.
+    /// Client account whose calls carry it.
     #[prost(string, tag = "2")]
     pub account: AccountId,
-    /// Targets that ended under it.
+    /// Targets that ended while running it.
     #[prost(message, repeated, tag = "3")]
     pub ends: Vec<ToldEnd>,
-    /// Milliseconds since it last ran to its end.
+    /// Milliseconds since it last ran to completion.
     #[prost(uint64, optional, tag = "4")]
     pub cleared_age_ms: Option<u64>,
 }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns what it says; `None` where it names no content.
+    /// Returns the decoded report; `None` if the fingerprint is invalid.
     pub(super) fn word(&self) -> Option<SuspectWord> {
         let ends = self.ends.iter().take(ENDS_MAX);
         Some(SuspectWord {
--- a/crates/damaskstile-gateway/src/peers/told_target.rs
+++ b/crates/damaskstile-gateway/src/peers/told_target.rs
@@ -1,4 +1,4 @@
-//! `told_target` names an incarnation of a target in what peers tell each other.
+//! Identification of a target's incarnation in messages between instances.
 
 use damaskstile_core::prelude::*;
 
@@ -8,13 +8,13 @@
     /// The target.
     #[prost(string, tag = "1")]
     pub target: String,
-    /// Its start, in milliseconds since the Unix epoch.
+    /// Start of the target, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "2")]
     pub started_at_unix_ms: u64,
 }
 
 impl ToldTarget {
-    /// Names an incarnation; `None` where its start is not stated.
+    /// Makes the message for an incarnation; `None` if its start is not stated.
     pub(super) fn of(identity: &TargetIdentity) -> Option<Self> {
         Some(Self {
             target: identity.target.clone(),
--- a/crates/damaskstile-gateway/src/proof.rs
+++ b/crates/damaskstile-gateway/src/proof.rs
@@ -1,8 +1,8 @@
-//! `proof` asks the store for a sign of life where nothing else does.
+//! Probes the store when no other call shows whether it answers.
 //!
-//! Watches may stay open for long and say nothing, so their silence does not tell whether the store
-//! is there. Two duties need to know: peers go by the word of the few watchers of a large fleet,
-//! and a watch that an outage has lost must be noticed.
+//! Watches may stay open for long without an answer, so their silence does not show whether the
+//! store is reachable. Two background tasks need to know: gossip, as peers rely on what the few
+//! watchers of a large fleet report, and a watch, which must detect that an outage has lost it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,31 +11,34 @@
 use crate::gateway::Gateway;
 use crate::objects::ObjectStore;
 
-/// Silence of the store after which an instance that watches it asks for a sign of life: twice
-/// within the time for which peers believe it, and, with the limit of a call, early enough to find
-/// a lost watch within the time that a change may take. Such a call costs a tenth of another.
+/// Time without an answer of the store after which an instance that watches it probes it. It allows
+/// for two probes within the time for which peers rely on the instance's contact with the store,
+/// and, together with the time limit of a call, it detects a lost watch within the time limit for a
+/// change to take effect. A probe costs a tenth of another call.
 const PROOF_INTERVAL: Duration = Duration::from_millis(700);
 
-/// The same for an instance that watches for nobody and whose last call failed. It may have no
-/// other call to make for long, and would hold the store for lost all that time: targets that
-/// vanish from the list would stay in use for a grace. All of a large fleet do this in an outage.
+/// Probe interval of an instance that watches for no other and whose last call failed. It may have
+/// no other call to make for long and would take the store for lost all that time, which keeps
+/// delisted targets in use for a grace period. In an outage all instances of a large fleet do this.
 const LOST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The same in a large fleet, where the few that look out for the end of an outage tell all others.
-/// Should they be wrong or dead, each finds out itself, well within the time that a change may take
-/// after an outage.
+/// Probe interval in a large fleet, where the few outage probers notify all others. If these are
+/// wrong or dead, each instance finds out itself, well within the time limit for a change to take
+/// effect after an outage.
 const LARGE_LOST_INTERVAL: Duration = Duration::from_secs(4);
-/// Longest time beyond that, so that not all ask at once.
+/// Upper bound of the random addition to that interval, in milliseconds, so that instances do not
+/// probe together.
 const LARGE_LOST_JITTER_MS: u64 = 1_000;
 
-/// Asks for signs of life until the process ends.
+/// Probes the store when needed, until the process ends.
 pub async fn keep(gateway: Arc<Gateway>) {
     loop {
         let silence = silence(&gateway);
         let interval = interval(&gateway);
         if interval.is_some_and(|interval| silence >= interval) {
             prove(&gateway).await;
-            // A store that refuses at once is not asked more often than one that is silent.
+            // A store that refuses immediately is not probed more often than one that does not
+            // answer.
             let pause = interval.unwrap_or(PROOF_INTERVAL).max(PROOF_INTERVAL);
             tokio::time::sleep(pause).await;
         } else {
@@ -46,13 +49,13 @@
     }
 }
 
-/// Returns the silence of the store after which to ask, and the time between two asks; `None` where
-/// there is no need to.
+/// Returns the time without an answer after which to probe the store, which is also the interval
+/// between probes; `None` if no probe is needed.
 fn interval(gateway: &Gateway) -> Option<Duration> {
     let now = gateway.now();
     let mut state = gateway.state();
     let is_lost = state.contact.is_lost();
-    // At a start other duties call the store, or peers make that needless.
+    // At a start other tasks call the store, or peers make that unnecessary.
     if !is_lost && state.contact.age(now).is_none() {
         return None;
     }
@@ -68,7 +71,7 @@
     is_lost.then_some(LOST_INTERVAL)
 }
 
-/// Asks for a sign of life.
+/// Probes the store once.
 pub(crate) async fn prove(gateway: &Gateway) {
     match gateway.store.probe().await {
         Ok(()) => note_answer(gateway),
@@ -76,7 +79,7 @@
     }
 }
 
-/// Returns the time since the store last answered.
+/// Returns the time since the store's last answer, or [`Duration::MAX`] if there was none.
 fn silence(gateway: &Gateway) -> Duration {
     let now = gateway.now();
     gateway.state().contact.age(now).unwrap_or(Duration::MAX)
--- a/crates/damaskstile-gateway/src/record.rs
+++ b/crates/damaskstile-gateway/src/record.rs
@@ -1,4 +1,4 @@
-//! `record` collects what decided a call's way and writes it as one line when the call ends.
+//! Call records: one log line per call with its outcome and the inputs of the decisions about it.
 
 use std::sync::Arc;
 
@@ -9,7 +9,8 @@
 use crate::gateway::Gateway;
 use crate::phase::Phase;
 
-/// `Record` collects what decided a call's way. Dropped, it writes one line.
+/// `Record` collects the outcome of a call and the inputs of the decisions about it. When dropped,
+/// it writes one log line.
 #[derive(Debug)]
 pub struct Record {
     gateway: Arc<Gateway>,
@@ -20,14 +21,14 @@
     fields: Vec<(&'static str, String)>,
     first_byte: Option<Duration>,
     target: TargetId,
-    /// What the call counts for, once tokens were reserved for it.
+    /// Charge of the call, once tokens were reserved for it.
     charge: Option<Arc<Charge>>,
-    /// Whether another record has taken over.
+    /// Whether another record has taken over and writes the line.
     is_handed_over: bool,
 }
 
 impl Record {
-    /// Begins the record of a call. Until another outcome is set, the caller left.
+    /// Begins the record of a call. The outcome is that the caller left until another one is set.
     #[must_use]
     pub fn new(gateway: &Arc<Gateway>, began_at: Duration, id: Option<&str>) -> Self {
         let mut record = Self {
@@ -46,7 +47,7 @@
         record
     }
 
-    /// Hands all that was collected over to a new record; this one writes no line.
+    /// Moves the collected data to a new record; this one writes no line.
     #[must_use]
     pub fn hand_over(&mut self) -> Self {
         self.is_handed_over = true;
@@ -64,13 +65,13 @@
         }
     }
 
-    /// Adds an input of a decision.
+    /// Adds a field to the log line.
     #[allow(clippy::needless_pass_by_value)] // callers hand over numbers and texts alike
     pub fn add(&mut self, name: &'static str, value: impl ToString) {
         self.fields.push((name, value.to_string()));
     }
 
-    /// Notes the target that the call is sent to, and what it was chosen by.
+    /// Records the target that the call is sent to and the inputs of that choice.
     pub fn note_choice(&mut self, choice: &Choice) {
         choice.target.clone_into(&mut self.target);
         let sent = self.gateway.now().saturating_sub(self.began_at);
@@ -90,18 +91,18 @@
         account.clone_into(&mut self.account);
     }
 
-    /// Sets what the call counts for, read when it ends.
+    /// Sets the charge of the call, which is read when the call ends.
     pub fn set_charge(&mut self, charge: Arc<Charge>) {
         self.charge = Some(charge);
     }
 
-    /// Returns when the call was taken.
+    /// Returns when the call was received.
     #[must_use]
     pub fn began_at(&self) -> Duration {
         self.began_at
     }
 
-    /// Notes the first byte of the answer.
+    /// Records the arrival of the first byte of the answer.
     pub fn first_byte(&mut self) {
         if self.first_byte.is_none() {
             let took = self.gateway.now().saturating_sub(self.began_at);
@@ -112,10 +113,10 @@
         }
     }
 
-    /// Adds when the call was taken, counted from the order to stop.
+    /// Adds the time at which the call was received, relative to the start of the stop.
     ///
-    /// A call without an outcome once open calls are cut off was cut by the stop. Without this the
-    /// logs would blame its caller, and nobody would look at the stop.
+    /// A call without an outcome when open calls are cut off was ended by the stop. Without this
+    /// the logs would blame its caller and hide the effect of the stop.
     fn note_stop(&mut self) {
         let Some(times) = self.gateway.stop_times.get() else {
             return;
--- a/crates/damaskstile-gateway/src/reservation.rs
+++ b/crates/damaskstile-gateway/src/reservation.rs
@@ -1,4 +1,4 @@
-//! `reservation` holds tokens for one call and settles what it used.
+//! Reservations: hold the tokens of one call and settle what it used.
 
 use std::sync::Arc;
 
@@ -10,50 +10,50 @@
 use crate::gateway::Gateway;
 use crate::loan::Loan;
 
-/// `Reservation` holds the worst case of one call. Dropped, it settles what the call used.
+/// `Reservation` holds the most tokens that one call may use. When dropped, it settles what the
+/// call has used.
 ///
-/// An account pays for the prompt once for each call, and for the output that its caller was
-/// given. So a call that goes on at another target after a broken run needs no more than before,
-/// and what a target generated and nobody was given is not charged. A call that failed before its
-/// caller was given anything costs nothing; one whose caller left costs its prompt, which was read
-/// for it.
+/// An account pays for the prompt once per call, and for the output that the caller received. A
+/// call that resumes at another target after a broken run therefore needs no further tokens, and
+/// output that was generated but not delivered is not charged. A call that failed before anything
+/// was delivered costs nothing; one whose caller left costs its prompt, which was read for it.
 #[derive(Debug)]
 pub struct Reservation {
     gateway: Arc<Gateway>,
     account: Option<AccountId>,
-    /// Where the tokens are a peer's.
+    /// Set if the tokens are lent by a peer.
     loan: Option<Loan>,
     prompt_tokens: u64,
     output_tokens_max: u64,
     tokens_per_event: u64,
     reserved_tokens: u64,
-    /// Whether a target may have run the call, or may be at it.
+    /// Whether a target may have run the call or may still be running it.
     may_have_run: bool,
-    /// The same of earlier sends.
+    /// Value of `may_have_run` before the latest send.
     had_run: bool,
-    /// Events that were passed on to the caller.
+    /// Number of events delivered to the caller.
     delivered_events: u64,
     ending: Ending,
     charge: Arc<Charge>,
 }
 
-/// `Ending` is how a call has ended, as far as its charge goes by it.
+/// `Ending` is the way a call ended, as far as its charge depends on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ending {
-    /// It goes on, or its caller has left.
+    /// The call is in progress, or its caller has left.
     Open,
-    /// An answer was passed on whose tokens were not counted.
+    /// A complete answer was delivered whose tokens were not counted.
     Whole,
-    /// It failed, and not by its caller.
+    /// The call failed for a reason other than its caller.
     Failed,
 }
 
 impl Reservation {
-    /// Reserves the worst case of a call.
+    /// Reserves the most tokens that a call may use.
     ///
     /// # Errors
     ///
-    /// Returns where the missing tokens are.
+    /// Returns a [`Shortage`], which tells where the missing tokens are, if too few are free.
     pub fn try_new(
         gateway: &Arc<Gateway>,
         account: Option<&str>,
@@ -74,7 +74,7 @@
         Ok(Self::new(gateway, account, &work, tokens_per_event))
     }
 
-    /// Returns a reservation of tokens that a peer lent.
+    /// Makes a reservation of tokens that a peer lent.
     #[must_use]
     pub fn of_loan(loan: Loan, gateway: &Arc<Gateway>, work: &Work, tokens_per_event: u64) -> Self {
         let mut reservation = Self::new(gateway, None, work, tokens_per_event);
@@ -104,13 +104,13 @@
         }
     }
 
-    /// Returns the tokens that are held.
+    /// Returns the number of reserved tokens.
     #[must_use]
     pub fn reserved_tokens(&self) -> u64 {
         self.reserved_tokens
     }
 
-    /// Returns what the call counts for, kept up to date.
+    /// Returns the shared charge of the call, which is kept up to date.
     #[must_use]
     pub fn charge(&self) -> Arc<Charge> {
         Arc::clone(&self.charge)
@@ -120,38 +120,38 @@
         self.charge.set(self.used_tokens(), self.delivered_events);
     }
 
-    /// Notes that the call is being sent: from here on it may run.
+    /// Records that the call is being sent: from here on it may run.
     pub fn sending(&mut self) {
         self.had_run = self.may_have_run;
         self.may_have_run = true;
         self.note_charge();
     }
 
-    /// Notes that the target of the last send proved that it has not run the call.
+    /// Records that the target of the latest send proved that it has not run the call.
     pub fn not_run(&mut self) {
         self.may_have_run = self.had_run;
         self.note_charge();
     }
 
-    /// Notes that another event is passed on to the caller.
+    /// Records that another event is delivered to the caller.
     pub fn delivering(&mut self) {
         self.delivered_events += 1;
         self.note_charge();
     }
 
-    /// Notes that an answer is passed on whole. Nobody counts its tokens on the way.
+    /// Records that a complete answer is delivered, whose tokens are not counted on the way.
     pub fn delivering_whole(&mut self) {
         self.ending = Ending::Whole;
         self.note_charge();
     }
 
-    /// Notes that the call failed, and not by its caller.
+    /// Records that the call failed for a reason other than its caller.
     pub fn failed(&mut self) {
         self.ending = Ending::Failed;
         self.note_charge();
     }
 
-    /// Returns the tokens that the call counts for, as far as it went.
+    /// Returns the number of tokens to charge for the call so far.
     #[must_use]
     pub fn used_tokens(&self) -> u64 {
         let is_in_vain = self.ending == Ending::Failed && self.delivered_events == 0;
--- a/crates/damaskstile-gateway/src/rounds.rs
+++ b/crates/damaskstile-gateway/src/rounds.rs
@@ -1,4 +1,5 @@
-//! `rounds` carries this instance's writes to the ledger.
+//! Rounds: this instance's reads and writes of the ledger, or its reports to the instance that
+//! writes for it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,28 +18,29 @@
 use crate::objects::{ObjectStore, StoreError, StoredObject};
 use crate::outgoing::Outgoing;
 
-/// Kind under which ledgers are stored.
+/// Object kind of ledgers in the store.
 const LEDGER_KIND: &str = "damaskstile-ledgers";
-/// Name of the one ledger.
+/// Object name of the ledger.
 const LEDGER_NAME: &str = "main";
-/// Time between two looks at whether a round is due.
+/// Interval between checks whether a round is due.
 const LOOK_INTERVAL: Duration = Duration::from_millis(250);
-/// Shortest time between two calls, so that refusals do not become a stream of calls.
+/// Shortest interval between rounds, so that refused writes do not turn into a stream of calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time after a start in which the instances of a large fleet hear of each other: a digest's
-/// interval, with room for a slow start.
+/// Time after a start within which the instances of a large fleet discover each other: one digest
+/// interval, with a margin for a slow start.
 const START_WAIT: Duration = Duration::from_millis(500);
-/// Longest time beyond that, so that not all write at once where nobody was heard.
+/// Upper bound of the additional wait per instance, in milliseconds. It keeps instances that have
+/// received no digest from all writing at the same time.
 const START_JITTER_MS: u64 = 600;
 
-/// Longest pause after a conflict: two calls to the store.
+/// Upper bound of the random pause after a write conflict, in milliseconds: two calls to the store.
 const CONFLICT_JITTER_MS: u64 = 12;
 
-/// Writes rounds until the process ends.
+/// Runs rounds until the process ends.
 pub async fn keep(gateway: Arc<Gateway>) {
     loop {
-        // Either a call that lacks tokens or the passing of time brings the next look.
+        // The next check runs when a call lacks tokens, at the latest after the interval.
         let now = gateway.now();
         let urgent_wait = gateway.state().holder.urgent_wait(now);
         let wait = urgent_wait.map_or(LOOK_INTERVAL, |wait| wait.min(LOOK_INTERVAL));
@@ -48,7 +50,7 @@
     }
 }
 
-/// Reads the ledger if that is needed and writes a round if one is due.
+/// Reads the ledger if needed, and writes or reports a round if one is due.
 pub async fn look(gateway: &Gateway) {
     let now = gateway.now();
     let has_catalogue = gateway.state().catalogue.get().is_some();
@@ -72,11 +74,11 @@
         report(gateway, address);
         return;
     }
-    // Asked once more: the ledger that was just read tells how many instances there are.
+    // Checked again: the ledger that was just read shows how many instances there are.
     if must_wait_for_peers(gateway) || has_fault(gateway) {
         return;
     }
-    // A conflict shows the ledger as it is, so the second try is made on that.
+    // A conflict returns the current ledger, on which the next attempt is based.
     for _ in 0..3 {
         let round = next_round(gateway);
         let Some(round) = round else {
@@ -85,7 +87,7 @@
         if write(gateway, round).await || has_fault(gateway) {
             break;
         }
-        // Instances that collided would collide again if all came back at once.
+        // Without a random pause, instances that collided would collide again.
         let jitter_ms = {
             let mut state = gateway.state();
             state.holder.hurry();
@@ -96,8 +98,8 @@
     gateway.round_done.notify_waiters();
 }
 
-/// Tells whether to read the ledger: where the decisions need it, and to notice that one that could
-/// not be used was mended.
+/// Returns whether to read the ledger: if decisions need it, or to detect that an unusable ledger
+/// was repaired.
 fn must_read(gateway: &Gateway) -> bool {
     let now = gateway.now();
     let state = gateway.state();
@@ -107,22 +109,22 @@
     }
 }
 
-/// Tells whether the ledger as stored cannot be used, so that nothing may be written to it.
+/// Returns whether the stored ledger is unusable, so that nothing may be written to it.
 fn has_fault(gateway: &Gateway) -> bool {
     gateway.state().ledger_fault.is_some()
 }
 
-/// Tells whether to leave the store alone for a moment. Without a pause each call that lacks tokens
-/// would bring a read, and all instances together thousands a second, while the store refuses.
+/// Returns whether to back off from the store. Without a pause each call that lacks tokens would
+/// cause a read, and all instances together thousands a second, while the store refuses.
 fn is_backing_off(gateway: &Gateway) -> bool {
     let now = gateway.now();
     let state = gateway.state();
-    // Where a peer writes for this instance, it needs no store.
+    // If a peer writes for this instance, it does not need the store.
     let pause = failure_pause(&state);
     state.writer(now).is_none() && state.contact.is_backing_off(now, pause)
 }
 
-/// Finds out whether a peer writes for this instance, and says so where that changed.
+/// Determines the peer that writes for this instance, if any, and logs when it changes.
 fn choose_writer(gateway: &Gateway) -> Option<SocketAddr> {
     let now = gateway.now();
     let mut state = gateway.state();
@@ -145,8 +147,9 @@
     address
 }
 
-/// Tells whether a better writer may turn up in a moment: shortly after a start, or when an
-/// isolation ends, nobody was heard yet, and all instances of a large fleet would write at once.
+/// Returns whether a better writer may appear shortly. Just after a start, or at the end of an
+/// outage, no digest has arrived yet, and all instances of a large fleet would write at the same
+/// time.
 fn must_wait_for_peers(gateway: &Gateway) -> bool {
     let now = gateway.now();
     let state = gateway.state();
@@ -160,9 +163,9 @@
     (state.is_large_fleet() || is_first_start) && alone_for < wait
 }
 
-/// Tells whether peers may make this instance's first look at the ledger needless: those of a large
-/// fleet do, and before any was heard it may be one. An instance that others turn to first looks at
-/// once.
+/// Returns whether peers may make this instance's first read of the ledger unnecessary. In a large
+/// fleet they do, and until a peer is known the fleet may be large. A seed, which others contact
+/// first, reads the ledger immediately.
 fn may_go_by_peers(gateway: &Gateway) -> bool {
     let now = gateway.now();
     let state = gateway.state();
@@ -174,7 +177,7 @@
     state.members.is_empty() && !is_seed
 }
 
-/// Sends what there is to write to the instance that writes for this one.
+/// Sends pending entries to the instance that writes for this one.
 fn report(gateway: &Gateway, address: SocketAddr) {
     let now = gateway.now();
     let (boot, own_unix_ms) = (BootTime::now(), own_unix_ms());
@@ -184,7 +187,7 @@
         state.holder.next_report(now, &stamp)
     };
     if let Some(report) = report {
-        // A report that finds no room is sent again for want of an answer.
+        // A report dropped because the queue is full is sent again, as it is not answered.
         let _ = gateway.outbox.try_send(Outgoing::Report(address, report));
     }
 }
@@ -207,7 +210,7 @@
     }
 }
 
-/// Takes in the ledger as stored; `None` where there is none.
+/// Processes the stored ledger; `None` if there is none.
 fn observe(gateway: &Gateway, object: Option<&StoredObject>) {
     let now = gateway.now();
     let Some(object) = object else {
@@ -218,7 +221,7 @@
     let ledger = decoded.map_err(|error| fault(&error.to_string()));
     let mut state = gateway.state();
     let checked = ledger.and_then(|ledger| {
-        // A copy of an earlier history lacks what was written since.
+        // A stale copy from an earlier history lacks what was written since.
         let is_copy = ledger.history < state.holder.store_history();
         let is_newer = object.version > state.holder.ledger_version();
         let fault = if is_copy || !is_newer {
@@ -240,7 +243,7 @@
     }
 }
 
-/// Notes that the ledger as stored cannot be used, once for each fault.
+/// Records that the stored ledger is unusable; logs each distinct fault once.
 fn note_fault(gateway: &Gateway, object: &StoredObject, fault: &LedgerFault) {
     let before = gateway.state().ledger_fault.replace(fault.clone());
     if before.is_some_and(|before| before.is_same(fault)) {
@@ -252,7 +255,7 @@
     gateway.log(EventCode::LedgerInvalid, &fields);
 }
 
-/// Writes a round; returns whether another try makes no sense now.
+/// Writes a round; returns true if another attempt is pointless for now.
 async fn write(gateway: &Gateway, round: Round) -> bool {
     let number = round.number;
     let Ok(content) = serde_json::to_vec(&round.ledger) else {
@@ -299,7 +302,7 @@
     }
 }
 
-/// Takes in a round that took effect and tells the peers that it concerns.
+/// Applies a committed round and notifies the peers concerned.
 fn tell(gateway: &Gateway, version: Version, round: Round) {
     for settlement in &round.settlements {
         note_settlement(gateway, settlement);
@@ -313,7 +316,7 @@
         state.holder.written(now, version, round);
         state.holder.receipts(&reported)
     };
-    // Peers that miss a change read the ledger instead; those that miss a receipt ask again.
+    // Peers that miss a change read the ledger instead; those that miss a receipt report again.
     if let Some(change) = change {
         let _ = gateway.outbox.try_send(Outgoing::Change(change));
     }
--- a/crates/damaskstile-gateway/src/state.rs
+++ b/crates/damaskstile-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! `state` holds all that one instance decides by.
+//! State that the decisions of one instance are based on.
 
 mod collectors;
 mod lenders;
@@ -36,103 +36,104 @@
 pub use lenders::LendersToAsk;
 pub use targets::ToldChanges;
 
-/// Retries are allowed as a part of this many seconds' requests.
+/// Window over which requests are counted for the retry budget, which is a share of them.
 const RETRY_SPAN: Duration = Duration::from_secs(10);
 
-/// Peers that one call's missing tokens are asked of: enough for a long call where each holds a few
-/// short ones, and two messages for each.
+/// Most peers that are asked for the missing tokens of one call: enough for a long call when each
+/// peer holds tokens for a few short ones, at two messages per peer.
 const GIVERS_MAX: usize = 6;
 
-/// Age past which a peer's digest says nothing of what it has.
+/// Age past which a peer's digest no longer shows its free tokens.
 const MEMBER_AGE_MAX: Duration = Duration::from_millis(1_500);
 
-/// `Terms` are what the catalogue in force says of a call.
+/// `Terms` is what the catalogue in force specifies for a call.
 #[derive(Debug, Clone)]
 pub struct Terms {
-    /// The catalogue that said so.
+    /// The catalogue in force.
     pub catalogue: Arc<Catalogue>,
-    /// Time since it came into force here.
+    /// Time since it came into force at this instance.
     pub catalogue_age: Duration,
     /// The route.
     pub route: Arc<Route>,
-    /// The service chosen among the route's shares.
+    /// The service chosen by the route's traffic split.
     pub service: ServiceId,
-    /// Client account; `None` on routes that need none.
+    /// Client account; `None` on routes that require none.
     pub account: Option<AccountId>,
     /// Regions that may run the call; `None` for all.
     pub homes: Option<Arc<BTreeSet<RegionId>>>,
-    /// Rank of the call.
+    /// Priority rank of the call.
     pub priority: u8,
 }
 
-/// `State` holds all that one instance decides by.
+/// `State` holds everything that the decisions of one instance are based on.
 #[derive(Debug)]
 pub struct State {
     /// Routes, services and client accounts.
     pub catalogue: CatalogueInForce,
-    /// Targets.
+    /// The target table.
     pub book: Book,
-    /// This instance's part of the budgets.
+    /// This instance's share of the budgets.
     pub holder: Holder,
-    /// What it lends of that to peers.
+    /// Loans of this instance's tokens to peers.
     pub lender: Lender,
-    /// What it borrows of them.
+    /// Loans of peers' tokens to this instance.
     pub borrower: Borrower,
-    /// When the store last answered, by duty.
+    /// When the store last answered and whether it is lost.
     pub contact: Contact,
     /// When a list or a watch of each kind was last answered.
     pub followed_at: BTreeMap<Followed, Duration>,
-    /// The catalogue in force as stored, for peers.
+    /// The catalogue in force as stored, to serve pulls of peers.
     pub stored_catalogue: Option<StoredObject>,
-    /// How the latest versions of it differ.
+    /// Differences between the latest versions of the stored catalogue.
     pub catalogue_changes: ContentChanges,
-    /// What is wrong with the catalogue that was refused last, until a sound one comes.
+    /// Fault of the last refused catalogue, until a valid one arrives.
     pub catalogue_fault: Option<String>,
-    /// History in which emptied data centres were last listed, and when they first were after the
-    /// store came back from an older copy.
+    /// Store history in which evacuated data centres were last listed, and the time of the first
+    /// listing after the store was restored from an older copy.
     pub emptied_listed: Option<(History, Option<Duration>)>,
-    /// What was last wrong with an entry that names no data centre.
+    /// Last fault of an entry that names no data centre.
     pub emptied_fault: Option<String>,
-    /// What is wrong with the ledger as stored, while it cannot be used.
+    /// Fault of the stored ledger while it is unusable.
     pub ledger_fault: Option<LedgerFault>,
-    /// History that the store was last seen to be in.
+    /// History that the store was last seen in.
     pub store_history: Option<History>,
     /// Version of the list of targets.
     pub targets_version: Version,
-    /// At which versions targets were gone.
+    /// List versions at which targets were gone.
     pub target_words: TargetWords,
-    /// At which versions entries of the list changed.
+    /// List versions at which entries changed.
     pub list_changes: ListChanges,
-    /// Whether the whole list is to be pulled next, since the own one differs from a peer's.
+    /// Whether the next pull requests the whole list because this instance's list differs from a
+    /// peer's.
     pub wants_whole_list: bool,
-    /// When the list was last compared with a peer's.
+    /// When the list was last compared with a peer's by hash.
     pub compared_at: Option<Duration>,
-    /// The other instances, from their digests.
+    /// The other instances, as known from their digests and from reports of peers.
     pub members: BTreeMap<InstanceId, Member>,
-    /// The fleet's time.
+    /// The fleet clock.
     pub fleet_clock: FleetClock,
-    /// Whether a catalogue, or a list of targets, is being pulled from a peer.
+    /// Kinds of data that are being pulled from a peer.
     pub pulling: BTreeSet<Pulled>,
-    /// Tokens that calls here lack, by account.
+    /// Tokens that calls at this instance lack, by account.
     pub wanted_tokens: BTreeMap<AccountId, u64>,
-    /// Gifts of tokens that were made.
+    /// Number of token transfers made.
     pub gifts_made: u64,
-    /// Gifts of tokens that were taken, by giver and its incarnation.
+    /// Numbers of the accepted token transfers, by sender and its incarnation.
     pub gifts_taken: BTreeMap<(InstanceId, Incarnation), BTreeSet<u64>>,
-    /// The peer that writes for this instance, as last found.
+    /// The peer that writes for this instance, as last determined.
     pub writer_known: Option<InstanceId>,
-    /// Contents under which targets ended.
+    /// Contents that are suspected of ending targets.
     pub suspects: Suspects,
-    /// How long calls lasted, by route.
+    /// Durations of calls, by route.
     pub call_times: CallTimes,
-    /// How full the link is.
+    /// Load of the link and the processor.
     pub pressure: Pressure,
-    /// Source of choices.
+    /// Source of random choices.
     pub random: Random,
     /// Whether a stop has begun.
     pub is_stopping: bool,
     instance: InstanceId,
-    /// This instance, as one that may lend.
+    /// This instance as a candidate lender.
     own: Candidate,
     lenders: Lenders,
     capacity_percent: u64,
@@ -143,7 +144,7 @@
 }
 
 impl State {
-    /// Makes the state of an instance that knows nothing yet.
+    /// Makes the initial state of an instance.
     #[must_use]
     pub fn new(options: &GatewayOptions, started_at: Duration) -> Self {
         let identity = options.identity.clone();
@@ -196,11 +197,11 @@
         }
     }
 
-    /// Finds out what holds for a call.
+    /// Looks up the terms of a call.
     ///
     /// # Errors
     ///
-    /// Returns why the call is refused.
+    /// Returns the reason why the call is refused.
     pub fn terms(
         &mut self,
         now: Duration,
@@ -235,7 +236,7 @@
         Ok(terms)
     }
 
-    /// Makes a stamp for what is written to the store.
+    /// Makes the time stamp for entries that are written to the store.
     #[must_use]
     pub fn stamp(&self, now: Duration, boot: BootTime, own_unix_ms: u64) -> Stamp {
         let instances = usize::try_from(self.holder.instances()).unwrap_or(usize::MAX);
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Returns the address of the peer that said last that it has most tokens of an account.
+    /// Returns the address of the peer that last reported the most free tokens of an account.
     #[must_use]
     pub fn richest_member(&self, now: Duration, account: &str) -> Option<SocketAddr> {
         self.rich_members(now, account)
@@ -257,11 +258,12 @@
             .map(|(_, address, _)| *address)
     }
 
-    /// Returns the peers to ask for tokens of an account that a call lacks, each with its part;
-    /// none where all that may be asked have too few together.
+    /// Returns the peers to ask for the tokens of an account that a call lacks, each with its
+    /// share; none if the peers that may be asked hold too few together.
     ///
-    /// Each peer keeps half of what it has. Where many instances share an account none has twice
-    /// the tokens of a long call, and calls were refused although all together had plenty.
+    /// Each peer keeps half of its tokens. When many instances share an account, no single peer may
+    /// hold twice the tokens of a long call; asking only one peer refused calls although the peers
+    /// together held enough.
     #[must_use]
     pub fn givers(&self, now: Duration, account: &str, tokens: u64) -> Vec<(SocketAddr, u64)> {
         let mut missing = tokens;
@@ -279,7 +281,7 @@
         givers
     }
 
-    /// Returns what peers said last that they have of an account, the largest first.
+    /// Returns the free tokens of an account that peers last reported, largest first.
     fn rich_members(&self, now: Duration, account: &str) -> Vec<(u64, SocketAddr, &InstanceId)> {
         let mut members: Vec<(u64, SocketAddr, &InstanceId)> = self
             .members
@@ -293,12 +295,13 @@
         members
     }
 
-    /// Takes one retry from the instance's part of the fleet's budget.
+    /// Takes one retry from the instance's share of the fleet's retry budget.
     pub fn try_retry(&mut self, now: Duration, service: &str) -> bool {
         self.retry_budget(now, service).try_retry(now)
     }
 
-    /// Tells whether a call could go on at another target than those tried: there is one, and a retry.
+    /// Returns whether a call could resume at another target: there is an untried target, and a
+    /// retry is available.
     pub fn has_successor(
         &mut self,
         now: Duration,
@@ -319,7 +322,7 @@
     }
 }
 
-/// Returns the regions that may run a call: where both route and account name some, those of both.
+/// Returns the regions that may run a call: the intersection if both route and account name some.
 fn homes(route: &Route, account: Option<&Account>) -> Option<BTreeSet<RegionId>> {
     let of_account = account.map(|account| &account.homes);
     let mut named = [Some(&route.homes), of_account]
--- a/crates/damaskstile-gateway/src/state/collectors.rs
+++ b/crates/damaskstile-gateway/src/state/collectors.rs
@@ -1,4 +1,4 @@
-//! `collectors` says which instances collect the ends of targets under one content.
+//! Selection of the instances that collect the target ends for a content.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -8,21 +8,23 @@
 
 use super::State;
 
-/// Instances of a large fleet that collect the ends under one content. Each may be dead or miss a
-/// datagram; one that has heard of enough ends tells all.
+/// Number of instances of a large fleet that collect the target ends for one content. Any of them
+/// may be dead or miss a datagram; a single one that knows of enough ends notifies all.
 const COLLECTORS_MAX: usize = 4;
 
 impl State {
-    /// Returns the addresses of the peers that collect the ends under a content: all of a small
-    /// fleet, and of a large one the same few for all instances, by a hash.
+    /// Returns the addresses of the peers that collect the target ends for a content: all of a
+    /// small fleet, and of a large fleet the same few for all instances, chosen by a hash.
     ///
-    /// The ends under one content are noticed at any instances, one each. Told to some by chance,
-    /// they would meet late among the tens of contents that ran at the same targets.
+    /// The ends under one content are noticed at arbitrary instances, one each. Sent to random
+    /// peers, the reports would take long to meet among those of the tens of contents that ran at
+    /// the same targets.
     #[must_use]
     pub fn collectors(&self, content: &Fingerprint) -> Vec<SocketAddr> {
         let mut peers: Vec<_> = self.members.iter().collect();
         if self.is_large_fleet() {
-            // Many contents share an outline; by it a few instances would collect for all of them.
+            // Many contents share an outline; hashing by outline would make a few instances collect
+            // for all of them.
             let content = content.to_string();
             peers.sort_by_key(|(name, _)| Reverse(stable_hash(&["collect", &content, name])));
             peers.truncate(COLLECTORS_MAX);
--- a/crates/damaskstile-gateway/src/state/lenders.rs
+++ b/crates/damaskstile-gateway/src/state/lenders.rs
@@ -1,15 +1,15 @@
-//! `lenders` says whom an instance of a large fleet asks for tokens.
+//! Selection of the instances that an instance of a large fleet asks for loans of tokens.
 
 use damaskstile_core::prelude::*;
 use damaskstile_loans::{Candidate, Placement};
 
 use super::State;
 
-/// Time after which the instances that may lend are looked up anew. Instances come and go by the
-/// minute; one that is gone meanwhile is passed over for its silence.
+/// Time after which the candidate lenders are determined anew. Instances come and go within
+/// minutes; one that is gone meanwhile is skipped because it does not answer.
 const PLACEMENT_LIFE: Duration = Duration::from_secs(2);
 
-/// `Lenders` is the placement as last looked up, with what followed from it.
+/// `Lenders` caches the placement of lenders and the lenders of each account.
 #[derive(Debug, Default)]
 pub(super) struct Lenders {
     made_at: Option<Duration>,
@@ -17,18 +17,18 @@
     of_account: BTreeMap<AccountId, Vec<Candidate>>,
 }
 
-/// `LendersToAsk` are the instances to ask for an account's tokens.
+/// `LendersToAsk` is the list of instances to ask for an account's tokens.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LendersToAsk {
-    /// Whether this instance is the first of them, and asks others only for what it lacks.
+    /// Whether this instance is the first lender and asks others only for the tokens that it lacks.
     pub is_own_first: bool,
-    /// The others, the first one first.
+    /// The other lenders, in the order in which to ask them.
     pub others: Vec<Candidate>,
 }
 
 impl State {
-    /// Returns the instances to ask for an account's tokens. There are none in a small fleet, where
-    /// each instance holds a part.
+    /// Returns the instances to ask for an account's tokens; none in a small fleet, where each
+    /// instance holds a share.
     pub fn lenders(&mut self, now: Duration, account: &str) -> LendersToAsk {
         if !self.is_large_fleet() || !self.holder.is_prepaid(account) {
             return LendersToAsk::default();
@@ -47,7 +47,7 @@
         let answering: Vec<Candidate> = all.iter().filter(answers).cloned().collect();
         let first = answering.first();
         LendersToAsk {
-            // Where nobody better answers, this instance takes the place.
+            // If no better lender answers, this instance acts as the first one.
             is_own_first: first.is_none_or(|one| one.instance == self.instance),
             others: answering
                 .into_iter()
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Returns the peer to ask once all lenders have too little: the one that said last that it has
-    /// most of the account, if that may be enough and it was not asked yet.
+    /// Returns the peer to ask when all lenders have too few tokens: the one that last reported the
+    /// most tokens of the account, if these may be enough and it was not asked yet.
     #[must_use]
     pub fn richest_lender(
         &self,
@@ -85,7 +85,8 @@
         };
     }
 
-    /// Returns all instances that the ledger lists or that were heard of, but for those that stop.
+    /// Returns all instances that the ledger lists or that are known from gossip, except those that
+    /// are stopping.
     fn candidates(&self) -> Vec<Candidate> {
         let mut candidates = BTreeMap::new();
         for (name, entry) in &self.holder.ledger().holders {
--- a/crates/damaskstile-gateway/src/state/roles.rs
+++ b/crates/damaskstile-gateway/src/state/roles.rs
@@ -1,4 +1,4 @@
-//! `roles` tells which instances of a large fleet watch the store and write for the others.
+//! Roles in a large fleet: which instances watch the store and write to the ledger for the others.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -11,46 +11,48 @@
 use crate::member::Member;
 use crate::peers::{Digest, PeerWord};
 
-/// Instances of a large fleet that watch the store and tell all others: one writes, and two more
-/// are there should it fail.
+/// Number of instances of a large fleet that watch the store and notify all others: one writes, and
+/// two more stand by in case it fails.
 const WATCHERS_MAX: usize = 3;
 
-/// Age past which what a peer says of the store is no longer taken for news: three digests and a
+/// Age past which a peer's report of contact with the store no longer counts: three digests and a
 /// call to the store.
 const TOLD_AGE_MAX: Duration = Duration::from_millis(1_800);
 
-/// Time that an instance of a large fleet leaves each better suited one to take a role that nobody
-/// has: some ten begin to before all have heard of the first.
+/// Delay for each better-ranked instance before an instance of a large fleet takes over a vacant
+/// role. Some ten instances start to take it before the first one's digest has reached all.
 const TURN: Duration = Duration::from_millis(15);
-/// Instances that are waited for so. All these turns, with [`TOLD_AGE_MAX`], are a part of the time
-/// within which a change must be in force.
+/// Limit on the better-ranked instances that are waited for. All these delays together with
+/// [`TOLD_AGE_MAX`] fit well within the time limit for a change to take effect.
 const TURNS_MAX: u32 = 100;
 
-/// Instances that ask for signs of life in an outage, as far as each hears. Each hears a part of
-/// the others, so there are some more, in every part of the fleet that hears itself.
+/// Number of instances that probe the store during an outage, as seen by each instance. Each knows
+/// only a part of the others, so the actual number is somewhat higher, and every partition of the
+/// fleet has its own.
 const SCOUTS_MAX: usize = 3;
 
-/// Age past which a peer is not counted among those that find out when an outage is over. With ten
-/// digests a peer in 0.4 s, an instance hears a hundred of three hundred within it.
+/// Age past which a peer is not counted among the outage probers. At ten digests per instance in
+/// 0.4 s, an instance receives digests from a hundred of three hundred peers within this time.
 const SCOUT_AGE_MAX: Duration = Duration::from_secs(5);
 
 impl State {
-    /// Tells whether the fleet is so large that some instances watch and write for the others.
+    /// Returns whether the fleet is so large that some instances watch and write for the others.
     #[must_use]
     pub fn is_large_fleet(&self) -> bool {
-        // At the first start an instance knows only some peers, and those know the others.
+        // At the first start an instance knows only some peers, which may know the others.
         let mut told = self.members.values().map(|member| member.known_instances);
         self.known_instances() > self.small_fleet || told.any(|known| known > self.small_fleet)
     }
 
-    /// Returns the number of instances that this one knows of, itself among them.
+    /// Returns the number of instances that this one knows of, itself included.
     #[must_use]
     pub fn known_instances(&self) -> u64 {
         self.heard_instances().max(self.holder.instances())
     }
 
-    /// Tells whether this instance watches the store for others: all of a small fleet do, and of
-    /// a large one those to which few better ones are in touch with the store.
+    /// Returns whether this instance watches the store for others: all of a small fleet do, and in
+    /// a large one an instance does while fewer than [`WATCHERS_MAX`] better-ranked ones are in
+    /// touch with the store.
     #[must_use]
     pub fn is_watcher(&self, now: Duration) -> bool {
         if !self.is_large_fleet() {
@@ -60,8 +62,8 @@
         is_free && now >= self.uncovered_at(now) + self.turn(now)
     }
 
-    /// Returns when too few better suited instances were left that are in touch with the store, or
-    /// when the store answered this one again.
+    /// Returns when too few better-ranked instances in touch with the store were left, or when the
+    /// store answered this one again.
     fn uncovered_at(&self, now: Duration) -> Duration {
         let mut ends: Vec<Duration> = self
             .better_ranked()
@@ -76,9 +78,9 @@
         covered_until.min(now).max(regained_at)
     }
 
-    /// Returns how long this instance waits for better ones to take a role that nobody has: the
-    /// longer the more of them there are. If all took it at once, hundreds of lists would keep the
-    /// store from answering any.
+    /// Returns how long this instance waits for better-ranked ones to take a vacant role. The delay
+    /// grows with their number: if all took the role at the same time, hundreds of list calls would
+    /// keep the store from answering any.
     fn turn(&self, now: Duration) -> Duration {
         let better = self.better_present(now);
         if better < WATCHERS_MAX {
@@ -94,7 +96,7 @@
         members.filter(move |(name, member)| rank(name, member.capacity_percent) < own_rank)
     }
 
-    /// Counts the better suited instances that were heard of lately, in touch with the store or not.
+    /// Counts the better-ranked instances with a recent digest, in touch with the store or not.
     fn better_present(&self, now: Duration) -> usize {
         let present = self.better_ranked().filter(|(_, member)| {
             let is_there = now.saturating_sub(member.heard_at) < SCOUT_AGE_MAX;
@@ -103,17 +105,17 @@
         present.count()
     }
 
-    /// Tells whether this instance's news go to all peers: in a small fleet, and from an instance
-    /// that watches the store for others and is in touch with it. While a whole fleet is cut off
-    /// from the store nobody outranks anybody; if all told all, digests would fill narrow links,
-    /// and what matters would be lost among them.
+    /// Returns whether this instance sends its digests to all peers: in a small fleet, and if it
+    /// watches the store for others and is in touch with it. While a whole fleet is cut off from
+    /// the store, no instance outranks another; if all sent to all, digests would fill slow links
+    /// and displace important messages.
     #[must_use]
     pub fn must_tell_all(&self, now: Duration) -> bool {
         let is_in_touch = self.contact.age(now).is_some_and(|age| age < TOLD_AGE_MAX);
         !self.is_large_fleet() || (is_in_touch && self.is_watcher(now))
     }
 
-    /// Returns the peer that writes to the ledger for this instance; `None` where it writes
+    /// Returns the peer that writes to the ledger for this instance; `None` if this instance writes
     /// itself.
     #[must_use]
     pub fn writer(&self, now: Duration) -> Option<(&InstanceId, SocketAddr)> {
@@ -141,32 +143,32 @@
             })
     }
 
-    /// Tells whether this instance may call the store for more than a sign of life: always in a
-    /// small fleet, and in a large one while the store is known to answer, this instance or a peer.
+    /// Returns whether this instance may call the store for more than a probe: always in a small
+    /// fleet, and in a large one while the store is known to answer this instance or a peer.
     ///
-    /// Hundreds that find out by themselves that the store is out of reach, and then list everything
-    /// again and again, cost thousands of calls in vain, and those that the store takes when it is
-    /// back keep each other from being answered.
+    /// If hundreds of instances detected an outage independently and listed everything repeatedly,
+    /// they would make thousands of useless calls, and the calls that the store accepts on its
+    /// return would delay each other's answers.
     #[must_use]
     pub fn may_call_store(&self, now: Duration) -> bool {
         if !self.is_large_fleet() {
             return true;
         }
-        // At its start an instance has asked nobody yet.
+        // An instance that has just started has made no call yet.
         let is_answered_lately = self.contact.age(now).is_none_or(|age| age < TOLD_AGE_MAX);
         let is_told = self.better_members(now).next().is_some();
         !self.contact.is_lost() && (is_answered_lately || is_told)
     }
 
-    /// Tells whether this instance is among the few that find out when an outage is over: those
-    /// that hear of few that rank better. Which ones are in touch does not count, since nobody is.
+    /// Returns whether this instance is one of the outage probers: those that receive digests from
+    /// few better-ranked instances. Contact with the store does not count, as no instance has any.
     #[must_use]
     pub fn is_scout(&self, now: Duration) -> bool {
         !self.is_large_fleet() || self.better_present(now) < SCOUTS_MAX
     }
 
-    /// Returns the peer that writes for this instance, as others should know it; `None` where it
-    /// writes itself, which its own digest tells.
+    /// Returns a report of the peer that writes for this instance, to be included in digests;
+    /// `None` if this instance writes itself, which its digest shows.
     #[must_use]
     pub fn best_in_touch(&self, now: Duration) -> Option<PeerWord> {
         let (name, _) = self.writer(now)?;
@@ -183,7 +185,7 @@
         })
     }
 
-    /// Takes in what a peer says of the best writer, where it is news.
+    /// Applies a peer's report of the best writer if it is newer than what is known.
     pub fn hear_of(&mut self, now: Duration, word: &PeerWord) {
         let Ok(address) = word.address.parse() else {
             return;
@@ -207,8 +209,8 @@
         self.members.insert(word.instance.clone(), member);
     }
 
-    /// Tells whether most of the peers heard lately are being stopped, so that a caller who comes
-    /// back at once would most likely meet another that refuses it.
+    /// Returns whether most peers with a recent digest are stopping, so that a caller that retries
+    /// at once would most likely be refused again.
     #[must_use]
     pub fn are_most_peers_stopping(&self, now: Duration) -> bool {
         let heard = self
@@ -220,8 +222,8 @@
         stopping.len() > serving.len()
     }
 
-    /// Tells whether this instance must watch the store itself: it does so for others, or it has
-    /// not heard lately from a peer that does and that the store answers.
+    /// Returns whether this instance must watch the store itself: it watches for others, or it has
+    /// no recent digest from a watcher that the store answers.
     #[must_use]
     pub fn must_watch(&self, now: Duration) -> bool {
         if self.is_watcher(now) {
@@ -239,8 +241,8 @@
     }
 }
 
-/// Returns the rank of an instance among those that may write for others; the least is the best.
-/// Instances with more processor time come first, since one of them carries the writes of all.
+/// Returns the rank of an instance as a writer for others; the least is the best. Instances with
+/// more processor capacity rank first because the writer carries the writes of all.
 fn rank(instance: &str, capacity_percent: u64) -> (Reverse<u64>, u64) {
     (
         Reverse(capacity_percent),
--- a/crates/damaskstile-gateway/src/state/sources.rs
+++ b/crates/damaskstile-gateway/src/state/sources.rs
@@ -1,4 +1,4 @@
-//! `sources` says what an instance lacks that peers have, and which of them to ask for it.
+//! Selection of the data that this instance lacks and of the peer to pull it from.
 
 use std::net::SocketAddr;
 
@@ -8,11 +8,11 @@
 use crate::member::Member;
 use crate::wanted::Wanted;
 
-/// Age past which a peer's digest says nothing of what it has.
+/// Age past which a peer's digest no longer shows which data it has.
 const SOURCE_AGE_MAX: Duration = Duration::from_secs(15);
 
 impl State {
-    /// Tells whether this instance lacks what a peer told of.
+    /// Returns whether this instance lacks data that a peer announced.
     #[must_use]
     pub fn lacks(&self, wanted: Wanted) -> bool {
         match wanted {
@@ -22,9 +22,9 @@
         }
     }
 
-    /// Returns a peer to pull from: any that has some of what is lacked, in the own data centre if
-    /// there is one. If all pulled from the few that have all of it first, those would be busy for
-    /// seconds.
+    /// Returns a random peer to pull from: any that has some of the missing data, in this
+    /// instance's data centre if possible. If all pulled from the few that have everything first,
+    /// those would be busy for seconds.
     pub fn source(&mut self, now: Duration, wanted: Wanted) -> Option<SocketAddr> {
         let most = self.told_instances();
         let has_more = |member: &&Member| match wanted {
@@ -44,28 +44,28 @@
         from.get(index).copied()
     }
 
-    /// Tells whether this instance of a large fleet has heard of too few of the others, so that it
-    /// should ask a peer who there is.
+    /// Returns whether this instance of a large fleet knows too few of the others by name, so that
+    /// it should pull the list of members.
     #[must_use]
     pub fn lacks_members(&self) -> bool {
         self.is_large_fleet() && !knows_most(self.heard_instances(), self.told_instances())
     }
 
-    /// Returns the number of instances that this one has heard of by name, itself among them.
+    /// Returns the number of instances that this one knows by name, itself included.
     #[must_use]
     pub fn heard_instances(&self) -> u64 {
         let heard = u64::try_from(self.members.len()).unwrap_or(u64::MAX);
         heard.saturating_add(1)
     }
 
-    /// Returns the most instances that anybody knows of.
+    /// Returns the highest number of instances that this one or any peer knows of.
     fn told_instances(&self) -> u64 {
         let told = self.members.values().map(|member| member.known_instances);
         told.fold(self.known_instances(), u64::max)
     }
 }
 
-/// Tells whether so many instances are most of those that there are.
+/// Returns whether `known` is at least three quarters of `instances`.
 fn knows_most(known: u64, instances: u64) -> bool {
     known.saturating_mul(4) >= instances.saturating_mul(3)
 }
--- a/crates/damaskstile-gateway/src/state/targets.rs
+++ b/crates/damaskstile-gateway/src/state/targets.rs
@@ -1,23 +1,24 @@
-//! `targets` orders what the store and peers tell of targets by the versions of the list.
+//! Updates to the list of targets, from the store and from peers, ordered by the versions of the
+//! list.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::{Listed, Refused};
 
 use super::State;
 
-/// `ToldChanges` is what a peer says has changed in the list of targets.
+/// `ToldChanges` holds the changes in the list of targets that a peer reported.
 #[derive(Debug, Clone, Default)]
 pub struct ToldChanges {
-    /// Entries that are new or differ.
+    /// New or changed entries.
     pub listed: Vec<Listed>,
-    /// Names that the list no longer holds.
+    /// Names that were removed from the list.
     pub gone: Vec<TargetId>,
 }
 
 impl State {
-    /// Takes in the whole list of targets as it was at a version, unless a newer one is known: one
-    /// that was asked for before may come late, over a full link. Returns the refused entries that
-    /// are news.
+    /// Applies the whole list of targets as of a version, unless a newer one is known: a list that
+    /// was requested earlier may arrive late over a saturated link. Returns the newly refused
+    /// entries.
     pub fn take_list(
         &mut self,
         now: Duration,
@@ -36,7 +37,7 @@
         refused
     }
 
-    /// Takes in what changed in the list up to a version.
+    /// Applies the changes in the list up to a version.
     pub fn take_list_changes(
         &mut self,
         now: Duration,
@@ -45,7 +46,7 @@
         is_around_outage: bool,
     ) {
         self.targets_version = version;
-        // Also those that were never known here: peers may know them.
+        // Includes targets that were never known here: peers may know them.
         let listed = changes.listed.iter().map(|listed| &listed.target);
         let told: Vec<TargetId> = listed.chain(&changes.gone).cloned().collect();
         self.list_changes.note(version, told);
@@ -62,14 +63,15 @@
         self.note_changes(version);
     }
 
-    /// Remembers that what was taken in last changed up to a version of the list.
+    /// Records the targets touched by the latest updates as changes of a version of the list.
     pub fn note_changes(&mut self, version: Version) {
         let touched = self.book.take_touched();
         self.list_changes.note(version, touched);
     }
 
-    /// Takes in a peer's word that a target was gone at a version; returns whether it is news. It
-    /// is none where the own list, as new as that, names the target: it has come back since.
+    /// Applies a peer's report that a target was gone at a version; returns whether it was news. It
+    /// is ignored if this instance's list is as new as that and names the target, which has come
+    /// back since.
     pub fn take_vanished(
         &mut self,
         now: Duration,
@@ -83,13 +85,13 @@
         self.book.vanish(now, identity)
     }
 
-    /// Returns the targets that lately vanished from the list, to tell peers, with the versions at
-    /// which they were gone.
+    /// Returns the recently delisted targets, to report to peers, with the versions at which they
+    /// were gone.
     #[must_use]
     pub fn vanished(&self, now: Duration) -> Vec<(TargetIdentity, Version)> {
         let with_version = |identity: TargetIdentity| {
             let told = self.target_words.gone_at(&identity.target);
-            // What the own list does not name is gone at its version.
+            // A target that this instance's list does not name is gone at the list's version.
             let own = if self.book.is_named(&identity.target) {
                 0
             } else {
--- a/crates/damaskstile-gateway/src/target_list.rs
+++ b/crates/damaskstile-gateway/src/target_list.rs
@@ -1,4 +1,4 @@
-//! `target_list` takes in what the store lists of targets.
+//! The list of targets, as read from the store.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
@@ -16,7 +16,7 @@
     })
 }
 
-/// Takes in the whole list.
+/// Applies the whole list.
 pub(crate) fn take_all(gateway: &Gateway, listing: &Listing) {
     let objects = listing.objects.iter();
     let all: Vec<_> = objects.map(|object| decode(gateway, object)).collect();
@@ -36,7 +36,7 @@
     );
 }
 
-/// Takes in an entry of the list; returns whether it is news.
+/// Applies an entry of the list; returns whether it is news.
 pub(crate) fn take(gateway: &Gateway, object: &StoredObject) -> bool {
     let now = gateway.now();
     let entry = decode(gateway, object);
@@ -44,8 +44,8 @@
     let cold_ms = entry.as_ref().map_or(0, |listed| unix_ms(listed.cold_for));
     let incarnation = entry.as_ref().map_or(None, |listed| listed.incarnation);
     let mut state = gateway.state();
-    // A watch that is behind may show entries from before what peers know. What cannot be read may
-    // lack its version too; it came last, so it counts.
+    // A lagging watch may deliver entries that are older than what peers reported. An unreadable
+    // entry may also lack its version; it arrived last, so it is applied.
     let has_version = object.version > 0;
     if has_version && !state.target_words.take_entry(object.version, &object.name) {
         return false;
@@ -54,7 +54,7 @@
         Ok(listed) => state.book.list(now, listed),
         Err(refused) => state.book.refuse(&refused),
     };
-    // A sound entry may be refused too, for what others under its name said.
+    // A valid entry may be refused too, because of other entries under its name.
     let fault = state.book.fault(&object.name).map(str::to_owned);
     drop(state);
     if !is_news {
@@ -85,12 +85,12 @@
     true
 }
 
-/// Takes in that the list no longer holds a name, as a watch tells it up to a version; returns
+/// Applies the removal of a name from the list, as reported by a watch up to a version; returns
 /// whether it is news.
 pub(crate) fn take_gone(gateway: &Gateway, name: &str, version: Version) -> bool {
     let now = gateway.now();
     let mut state = gateway.state();
-    // A newer list names it: it has come back since.
+    // A newer list names the target: it has come back since.
     if version < state.targets_version && state.book.is_named(name) {
         return false;
     }
@@ -107,7 +107,7 @@
     true
 }
 
-/// Returns how the logs name an incarnation.
+/// Returns an incarnation as it is written to the logs.
 pub(crate) fn incarnation_text(incarnation: Option<TargetIncarnation>) -> String {
     incarnation.map_or_else(|| "-".to_owned(), |start| start.to_string())
 }
@@ -117,7 +117,7 @@
     log_refused(gateway, &entry.target, version, &entry.fault);
 }
 
-/// Logs that a stored object cannot be used.
+/// Logs that a stored object is unusable.
 pub(crate) fn log_refused(gateway: &Gateway, name: &str, version: Version, fault: &str) {
     let version = version.to_string();
     gateway.log(
--- a/crates/damaskstile-gateway/src/wanted.rs
+++ b/crates/damaskstile-gateway/src/wanted.rs
@@ -1,31 +1,31 @@
-//! `wanted` is what an instance lacks that peers have.
+//! Data that an instance lacks and can pull from peers.
 
 use damaskstile_core::prelude::*;
 
-/// `Pulled` is what can be pulled from a peer.
+/// `Pulled` is a kind of data that can be pulled from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Pulled {
     /// The catalogue.
     Catalogue,
     /// The list of targets.
     Targets,
-    /// The instances that there are.
+    /// The list of members.
     Members,
 }
 
-/// `Wanted` is what an instance lacks, with the version that a peer has.
+/// `Wanted` is a piece of missing data, with the version that a peer has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wanted {
     /// A catalogue.
     Catalogue(Version),
     /// A list of targets.
     Targets(Version),
-    /// The instances that there are.
+    /// The list of members.
     Members,
 }
 
 impl Wanted {
-    /// Returns what is to be pulled.
+    /// Returns the kind of data to pull.
     ///
     /// ```
     /// use damaskstile_gateway::wanted::{Pulled, Wanted};
--- a/crates/damaskstile-gateway/tests/fleets.rs
+++ b/crates/damaskstile-gateway/tests/fleets.rs
@@ -1,5 +1,5 @@
-//! How hundreds of instances meet, and who of them acts for all where nobody does. No network: each
-//! message arrives a step after it was sent.
+//! Discovery and roles in fleets of hundreds of instances. There is no network: each message
+//! arrives one step after it was sent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,24 +16,25 @@
 use damaskstile_gateway::wanted::Wanted;
 use damaskstile_targets::BookOptions;
 
-/// Fleets that are compared: what holds in the first must hold in the second.
+/// Sizes of the compared fleets: what holds for the first must hold for the second.
 const FLEETS: [usize; 2] = [250, 1_000];
 const DATA_CENTRES: usize = 5;
-/// Instances that all others know at their start.
+/// Number of seeds, which all others know at their start.
 const SEEDS: usize = 3;
-/// Instances with more than a small part of a core.
+/// Number of instances, of each hundred, with more than a small part of a core.
 const LARGE: usize = 10;
-/// Time from one step to the next, in which a message arrives.
+/// Duration of a step, in which a message arrives.
 const STEP_MS: u64 = 100;
-/// Steps between two digests of an instance, and peers that one goes to.
+/// Steps between digests of an instance, and the number of peers that a digest is sent to.
 const DIGEST_STEPS: u64 = 4;
 const FANOUT: usize = 10;
 /// Steps until a pull begins.
 const PULL_STEPS: u64 = 2;
-/// Peers whose clocks must be heard to know the fleet's time, and steps in which they are.
+/// Number of peers whose clocks are needed to know the fleet clock, and the number of steps within
+/// which their digests must arrive.
 const CLOCKS: usize = 12;
 const CLOCK_STEPS: u64 = 20;
-/// Bytes of an instance in an answer, and bytes that a narrow link carries in a step.
+/// Size of one member in an answer, and capacity of a slow link in a step, both in bytes.
 const WORD_BYTES: usize = 75;
 const LINK_BYTES: usize = 250_000;
 
@@ -102,7 +103,7 @@
     state.members.insert(name(from), member);
 }
 
-/// A fleet whose instances start at once and know the seeds.
+/// A fleet whose instances start at the same time and know only the seeds.
 struct Meeting {
     states: Vec<State>,
     pulls_at: BTreeMap<usize, u64>,
@@ -133,7 +134,7 @@
         }
         for (from, to, told) in mail {
             hear(&mut self.states[to], now, from, &told);
-            // Whoever knows fewer than half is told by return.
+            // An instance that knows fewer than half of the instances gets a digest in return.
             let known = self.states[to].known_instances();
             if told.known_instances * 2 < known {
                 let answer = digest(&self.states[to], to, now);
@@ -161,7 +162,7 @@
         peers
     }
 
-    /// Answers the pulls that are due, as far as the links of those who are asked carry them.
+    /// Answers the pulls that are due, as far as the links of the sources have capacity.
     fn pull(&mut self, step: u64, now: Duration) {
         let mut sent: BTreeMap<usize, usize> = BTreeMap::new();
         let due = self.pulls_at.iter().filter(|(_, at)| **at <= step);
@@ -197,8 +198,8 @@
         self.states.iter().all(|state| !state.lacks_members())
     }
 
-    /// Returns how many others the instance that heard fewest has heard itself so lately that it knows
-    /// what their clocks show.
+    /// Returns the smallest number of peers from which an instance received a digest recently
+    /// enough to know their clocks.
     fn least_heard(&self, step: u64) -> usize {
         let now = Duration::from_millis(step * STEP_MS);
         let is_recent = |member: &&Member| {
@@ -209,7 +210,7 @@
         heard.min().unwrap_or_default()
     }
 
-    /// Returns the part of the fleet that the instance with the fewest acquaintances knows.
+    /// Returns the smallest number of instances that any instance knows.
     fn least_known(&self) -> usize {
         let known = self.states.iter().map(|state| state.members.len() + 1);
         known.min().unwrap_or_default()
@@ -226,7 +227,7 @@
             for after in 1..=CLOCK_STEPS {
                 fleet.step(step + after);
             }
-            // Without the fleet's time all grants of machines that lose power count as spent.
+            // Without the fleet clock all grants of machines that lose power count as spent.
             assert!(fleet.least_heard(step + CLOCK_STEPS) >= CLOCKS);
             return step * STEP_MS;
         }
@@ -236,19 +237,19 @@
 
 #[test]
 fn a_fleet_that_starts_knows_itself_in_seconds_whatever_its_size() {
-    // Guards against: instances that hear of all others one by one, for longer the more there are,
-    // or that all read the ledger for it, which fills the store's link.
+    // Guards against instances that discover the others one by one, which takes longer the more
+    // there are, or that all read the ledger for it, which fills the store's link.
 
     // Act
     let took_ms = FLEETS.map(met_after_ms);
 
-    // Assert: callers come seconds after a start, and twice the fleet takes a round more.
+    // Assert: callers arrive seconds after a start, and a larger fleet takes one more round.
     assert!(took_ms[1] <= 3_000, "{took_ms:?}");
     assert!(took_ms[1] <= took_ms[0] + 1_500, "{took_ms:?}");
 }
 
-/// Returns how many instances list everything once the store is back from an outage that all met,
-/// and after what time all hear of it.
+/// Returns how many instances list everything at the end of an outage that affected all of them,
+/// and the time in milliseconds until the first of them have notified all others.
 fn lists_after_outage(instances: usize) -> (usize, u64) {
     const TOLD_AFTER_MS: u64 = 150;
     const FINE_STEP_MS: u64 = 10;
@@ -306,13 +307,13 @@
 
 #[test]
 fn few_instances_list_everything_when_the_store_is_back_whatever_the_size() {
-    // Guards against: all instances of a fleet that list everything the moment an outage ends, since
-    // nobody is known yet to do it for them. The store's link is full then, and all lose it again.
+    // Guards against all instances of a fleet listing everything at the end of an outage because no
+    // watcher is known yet. The store's link is full then, and all lose contact again.
 
     // Act
     let lists = FLEETS.map(lists_after_outage);
 
-    // Assert: some take their turn before they have heard of the first.
+    // Assert: some take the role before the first one's digest has arrived.
     for (count, _) in lists {
         assert!((1..=20).contains(&count), "{lists:?}");
     }
@@ -320,9 +321,9 @@
 
 #[test]
 fn where_all_better_instances_are_silent_the_next_one_watches_in_time() {
-    // Guards against: instances that wait for others that have ended.
+    // Guards against instances that wait for others that have ended.
 
-    // Arrange: the last instance heard of all others, and then of nobody.
+    // Arrange: the last instance has received digests from all others, and then from none.
     let instances = FLEETS[1];
     let mut last = state(instances - 1);
     for other in 0..instances - 1 {
@@ -340,17 +341,17 @@
     // Act
     let is_watching = |ms| last.must_watch(Duration::from_millis(ms));
 
-    // Assert: within two thirds of the least time that a change may take.
+    // Assert: within two thirds of the shortest time limit for a change to take effect.
     assert!(!is_watching(2_500));
     assert!(is_watching(4_400));
 }
 
 #[test]
 fn instances_that_started_together_do_not_list_together() {
-    // Guards against: a whole fleet that lists everything twenty seconds after its start, since each
-    // instance reckoned its pause while it knew only a few others.
+    // Guards against a whole fleet listing everything twenty seconds after its start because each
+    // instance computed its pause while it knew only a few others.
 
-    // Arrange: pauses as they are once all know how many there are.
+    // Arrange: pauses as computed once the number of instances is known.
     let mut random = Random::new(9);
 
     // Act
--- a/crates/damaskstile-gateway/tests/givers.rs
+++ b/crates/damaskstile-gateway/tests/givers.rs
@@ -1,4 +1,4 @@
-//! Which peers are asked for tokens that a call lacks.
+//! Selection of the peers that are asked for the tokens that a call lacks.
 
 mod support;
 
@@ -16,7 +16,7 @@
     ([127, 0, 0, 1], port).into()
 }
 
-/// Makes an instance that has heard of peers with so many free tokens, at ports from 1 on.
+/// Makes an instance that knows peers with these numbers of free tokens, at ports from 1 on.
 fn with_peers(free_tokens: &[u64]) -> Arc<Gateway> {
     let gateway = gateway(unused_address(), Arc::new(Away));
     let now = gateway.now();
@@ -53,9 +53,10 @@
 
 #[test]
 fn several_peers_give_parts_of_what_a_long_call_lacks() {
-    // Symptom: in an isolation of the whole fleet long calls are refused although their account has
-    // half of its tokens left. Sequence: sixty instances hold a few short calls' tokens each, and a
-    // call of 12,000 asks the richest one. Cause: only a peer with twice as many was asked.
+    // Guards against refusing long calls while the whole fleet is isolated from the store although
+    // their account has half of its tokens left: sixty instances each hold the tokens of a few
+    // short calls, and a call of 12,000 tokens asked only the richest peer, which had to hold twice
+    // as many.
 
     // Arrange
     let gateway = with_peers(&[4_000, 10_000, 8_000, 6_000, 2_000]);
@@ -63,7 +64,7 @@
     // Act
     let asked = givers(&gateway, 12_000);
 
-    // Assert: each keeps half, the richest first, the last gives what is still missing.
+    // Assert: each keeps half, the richest is asked first, and the last one sends the rest.
     let parts = [
         (address(2), 5_000),
         (address(3), 4_000),
@@ -74,7 +75,7 @@
 
 #[test]
 fn nobody_is_asked_where_all_together_have_too_little() {
-    // Arrange: two thousand peers with a little; no more than a few of them are asked.
+    // Arrange: two thousand peers with few tokens each, of which only a few are asked.
     let gateway = with_peers(&[1_000; 2_000]);
 
     // Act
--- a/crates/damaskstile-gateway/tests/list_changes.rs
+++ b/crates/damaskstile-gateway/tests/list_changes.rs
@@ -1,4 +1,5 @@
-//! Lists of targets that instances keep by what changed: equal to the whole, in whatever order.
+//! Lists of targets that instances maintain by changes: they equal the whole list in any order of
+//! events.
 
 mod support;
 
@@ -11,23 +12,23 @@
 use proptest::prelude::*;
 use support::{Away, gateway, listed, unused_address};
 
-/// Names of targets.
+/// Number of target names.
 const TARGETS: u64 = 6;
-/// Instances that hear of the list from each other.
+/// Number of instances that pull the list from each other.
 const FOLLOWERS: usize = 4;
 
-/// What happens to the list, or between instances.
+/// An event at the list or between instances.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A target is listed, in a run of its own.
+    /// A target is listed with a new incarnation.
     List(u64, u64),
-    /// A target drains.
+    /// A target is draining.
     Drain(u64),
     /// A target is no longer listed.
     Gone(u64),
-    /// An instance hears from another what changed since its version.
+    /// An instance pulls the changes since its version from another.
     Pull(usize, usize),
-    /// An instance starts anew.
+    /// An instance restarts without state.
     Restart(usize),
 }
 
@@ -54,7 +55,8 @@
     gateway(unused_address(), Arc::new(Away))
 }
 
-/// Returns what an instance that knows a version is told: what changed, or the whole list.
+/// Returns the answer to an instance that knows the list as of a version: the changes, or the whole
+/// list.
 fn told(state: &State, since: Version) -> (Version, Option<ToldChanges>, Vec<Listed>) {
     let names = state.list_changes.since(since).filter(|_| since > 0);
     let told = names.map(|names| {
@@ -93,10 +95,11 @@
 
 #[test]
 fn a_target_that_came_and_went_between_two_whole_lists_is_told_as_gone() {
-    // Guards against: an instance that never knew a target, and so does not tell that it is gone.
+    // Guards against an instance that never knew a target and therefore does not report its
+    // removal.
 
-    // Arrange: one knows the list before the target came, one with it, and both hear of a third that
-    // knows only the list without it.
+    // Arrange: one instance knows the list before the target was listed, one knows it with the
+    // target, and both then pull from a third that knows only the list without it.
     let watcher = new_instance();
     let [early, middle, late] = [(); 3].map(|()| new_instance());
     let now = Duration::ZERO;
@@ -130,7 +133,7 @@
 
     #[test]
     fn a_list_kept_by_its_changes_is_the_whole_list(steps in prop::collection::vec(step(), 1..60)) {
-        // Guards against: changes lost on the way from instance to instance, over restarts.
+        // Guards against changes that are lost between instances, also across restarts.
 
         // Arrange
         let watcher = new_instance();
--- a/crates/damaskstile-gateway/tests/lists.rs
+++ b/crates/damaskstile-gateway/tests/lists.rs
@@ -1,4 +1,4 @@
-//! What instances know of targets where words about them overtake each other, and whom they tell.
+//! The list of targets when reports about it arrive out of order, and the recipients of digests.
 
 mod support;
 
@@ -21,14 +21,14 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::Notify;
 
-/// Time after which what a test waits for does not come any more.
+/// Time limit for any event that a test waits for.
 const PATIENCE: Duration = Duration::from_secs(5);
-/// Peers of an instance of a large fleet.
+/// Number of peers of an instance of a large fleet.
 const PEERS: usize = 40;
-/// Time that one round of digests takes on one machine, and less than until the next.
+/// Time to send one round of digests on one machine; shorter than the interval between digests.
 const ROUND: Duration = Duration::from_millis(200);
 
-/// A store that lists two targets, at version 285, once it is let go, and then says nothing more.
+/// A store that lists two targets, at version 285, once it is released, and then does not answer.
 #[derive(Default)]
 struct SlowStore {
     is_let_go: Notify,
@@ -97,7 +97,7 @@
     (gateway, store)
 }
 
-/// Has an instance know a list, as it does after it was read whole.
+/// Sets the list of an instance as if it was read whole.
 fn take_list(gateway: &Gateway, version: Version, names: &[&str]) {
     let now = gateway.now();
     let all = names.iter().map(|name| Ok(listed(name, unused_address())));
@@ -106,8 +106,8 @@
     state.targets_version = version;
 }
 
-/// Makes an instance that the store does not answer, so that it goes by what peers say, and has
-/// it hear them.
+/// Makes an instance that the store does not answer, so that it relies on its peers, and starts its
+/// receiver.
 async fn hearing(version: Version) -> (Arc<Gateway>, SocketAddr) {
     let address = free_address();
     let (gateway, _) = knowing(address, version);
@@ -123,7 +123,7 @@
     socket.local_addr().unwrap()
 }
 
-/// Tells an instance what a peer in touch with the store knows.
+/// Sends an instance the digest of a peer that is in touch with the store.
 async fn tell(from: &UdpSocket, to: SocketAddr, version: Version, vanished: &[&str]) {
     let digest = Digest {
         targets_version: version,
@@ -153,13 +153,12 @@
 
 #[tokio::test]
 async fn an_older_list_of_a_peer_does_not_bring_back_a_target_that_vanished() {
-    // Symptom: an instance that knows that a target is gone gives it calls again, up to 0.3 s in
-    // calm runs, and until the next word of it where datagrams get lost. Sequence: the instance
-    // asks a peer for its list; before the answer comes, another peer says that a target has
-    // vanished from the list since; then the older list comes, which still names it. Cause: what
-    // came last was taken for what is newest.
+    // Guards against calls to a target that is known to be gone, for up to 0.3 s in quiet runs and
+    // until the next report of it when datagrams get lost. The instance pulls a peer's list; before
+    // the answer arrives, another peer reports that a target was delisted since; then the older
+    // list arrives, which still names it, and was applied because it arrived last.
 
-    // Arrange: the peer with the older list answers only once it is let.
+    // Arrange: the peer with the older list answers only once it is released.
     let (gateway, address) = hearing(280).await;
     let older = TcpListener::bind(unused_address()).await.unwrap();
     let older_address = older.local_addr().unwrap();
@@ -182,10 +181,9 @@
 
 #[tokio::test]
 async fn a_list_that_came_slowly_does_not_bring_back_a_target_that_vanished() {
-    // Symptom: an instance goes back to targets that have left. Sequence: it asks the store for
-    // the list; the answer takes its time over a full link; meanwhile a peer's newer list comes,
-    // without a target; then the store's older one, which still names it. Cause: a list replaced
-    // what was known, whichever was newer.
+    // Guards against returning to targets that have left. The instance lists the targets at the
+    // store, and the answer is slow over a saturated link; meanwhile a peer's newer list without a
+    // target arrives, then the store's older one, which still names it and replaced the newer one.
 
     // Arrange
     let (gateway, store) = knowing(unused_address(), 280);
@@ -205,9 +203,9 @@
 
 #[tokio::test]
 async fn late_word_that_a_target_vanished_does_not_take_it_out_after_its_return() {
-    // Symptom: a sound target gets no calls from some instances until the list changes again.
-    // Sequence: it vanishes from the list and returns to it; an instance whose list shows it again
-    // hears from a peer that is behind that it vanished. Cause: such words bore no version.
+    // Guards against a healthy target getting no calls from some instances until the list changes
+    // again. The target is delisted and listed again; an instance whose list shows it again
+    // receives the report of a lagging peer that it was delisted. Such reports carried no version.
 
     // Arrange
     let (gateway, address) = hearing(300).await;
@@ -237,10 +235,10 @@
 
 #[tokio::test]
 async fn a_list_of_any_length_comes_from_a_peer() {
-    // Guards against: a list that does not fit into one message, or not into the time of one, so that
-    // whoever lacks it asks for it again and again.
+    // Guards against a list that does not fit into one message, or into the time limit of one, so
+    // that an instance without it requests it again and again.
 
-    // Arrange: twice the targets of the largest fleet in view.
+    // Arrange: twice the targets of the largest expected fleet.
     const TARGETS: usize = 40_000;
     let (gateway, address) = hearing(280).await;
     let listener = TcpListener::bind(unused_address()).await.unwrap();
@@ -264,7 +262,7 @@
     assert_eq!(gateway.state().book.usable_targets(now, SERVICE), TARGETS);
 }
 
-/// Makes an instance that knows peers, none of which the store answers.
+/// Makes an instance with peers, none of which is in touch with the store.
 async fn instance() -> (Arc<Gateway>, Vec<UdpSocket>) {
     let (gateway, _) = knowing(unused_address(), 280);
     let now = gateway.now();
@@ -285,7 +283,7 @@
     (gateway, sockets)
 }
 
-/// Has an instance tell its news once, and returns the number of peers that hear it.
+/// Has an instance send its digest once, and returns the number of peers that receive it.
 async fn tell_once(gateway: &Arc<Gateway>, sockets: &[UdpSocket]) -> usize {
     let peers = Peers::try_new(gateway).await.unwrap();
     let telling = tokio::spawn(peers.tell());
@@ -302,10 +300,10 @@
 
 #[tokio::test]
 async fn an_isolated_instance_of_a_large_fleet_tells_a_few_peers_and_not_all() {
-    // Symptom: while all instances of a large fleet are cut off from the store, a fifth of a narrow
-    // link carries digests, which grow with the targets that left, and calls and digests wait or
-    // get lost behind them. Sequence: no peer is in touch with the store, so each instance takes
-    // itself for one that must tell all others. Cause: what makes it one was not asked for.
+    // Guards against digests that take a fifth of a slow link while all instances of a large fleet
+    // are cut off from the store: digests grow with the targets that left, and calls and digests
+    // wait or get lost behind them. No peer is in touch with the store, so each instance took
+    // itself for one that must send to all others, whether or not it was in touch itself.
 
     // Arrange
     let (gateway, sockets) = instance().await;
--- a/crates/damaskstile-gateway/tests/outages.rs
+++ b/crates/damaskstile-gateway/tests/outages.rs
@@ -1,4 +1,5 @@
-//! What counts as an outage of the store, in which the list of targets may have lost some that live.
+//! Conditions under which a loss of contact counts as an outage of the store, in which the list of
+//! targets may lack some that are alive.
 
 use std::time::Duration;
 
@@ -19,11 +20,11 @@
 
 #[test]
 fn one_call_that_fails_is_no_outage_in_which_entries_lapse() {
-    // Symptom: an instance gives calls to a target seconds after its entry was removed. Sequence:
-    // many instances turn to the store at once, a connection times out, and the next call is
-    // answered 0.6 s later; the list that comes then no longer names a target, which is taken for
-    // lapsed in an outage and stays in use for a grace, however late the instance noticed. Cause:
-    // any failed call counted as an outage, but entries lapse only after seconds of silence.
+    // Guards against calls to a target seconds after its entry was removed. Many instances call the
+    // store at the same time, a connection times out, and the next call is answered 0.6 s later
+    // with a list that no longer names a target. If any failed call counted as an outage, that
+    // target would be taken for lapsed and stay in use for a grace period, however late the
+    // instance noticed; entries lapse only after seconds without an answer.
 
     // Arrange and act
     let contact = contact(200, 807);
--- a/crates/damaskstile-gateway/tests/support/mod.rs
+++ b/crates/damaskstile-gateway/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Fixtures of the tests of a whole gateway: headers that say nothing, a store, targets by name.
+//! Fixtures of the tests of a whole gateway: a dialect without headers, a store that is
+//! unreachable, targets by name.
 
 #![allow(dead_code)] // each test uses a part
 
@@ -28,7 +29,7 @@
 
 pub const SERVICE: &str = "model";
 
-/// Headers of callers and targets that say nothing.
+/// A dialect that reads and adds no headers.
 struct PlainDialect;
 
 impl Dialect for PlainDialect {
@@ -49,7 +50,7 @@
     }
 }
 
-/// A directory in which every entry is a target that takes work.
+/// A directory in which every entry is a target that is ready.
 struct AllReady;
 
 impl Directory for AllReady {
@@ -78,7 +79,7 @@
     }
 }
 
-/// A store that is away.
+/// A store that is unreachable.
 #[derive(Debug)]
 pub struct Away;
 
@@ -119,7 +120,7 @@
     }
 }
 
-/// The answer of a store that is away.
+/// The answer of a store that is unreachable.
 pub fn no_answer<T: Send + 'static>() -> BoxFuture<'static, StoreResult<T>> {
     async { Err(StoreError::NotDone("no store".to_owned())) }.boxed()
 }
