--- a/crates/damaskstile-gateway/tests/told_targets.rs
+++ b/crates/damaskstile-gateway/tests/told_targets.rs
@@ -1,4 +1,4 @@
-//! What peers tell an instance of targets: lists, also of the version before, and digests.
+//! Reports of peers about targets: lists, also those of an earlier release, and digests.
 
 mod support;
 
@@ -17,12 +17,12 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 const SERVICE: &str = "model";
-/// Peers that are better equipped than the instance, so that it goes by their lists.
+/// Peers with more capacity than the instance, so that it relies on their lists.
 const WATCHERS: [&str; 3] = ["a", "b", "c"];
-/// Time within which a list must have been pulled.
+/// Time limit for a list to be pulled.
 const LIMIT: Duration = Duration::from_secs(5);
 
-/// The list of targets, as the version before hands it on.
+/// The list of targets as sent by the earlier release.
 #[derive(prost::Message, Clone, PartialEq)]
 struct OldAnswer {
     #[prost(uint64, tag = "1")]
@@ -43,7 +43,7 @@
     is_ready: bool,
 }
 
-/// Makes an instance that takes peers' messages at an address of this process and test alone.
+/// Makes an instance that receives messages at an address of this process and test alone.
 async fn instance(test: u8) -> (Arc<Gateway>, String) {
     let pid = std::process::id();
     let (high, low) = (100 + pid % 100, pid / 100 % 250);
@@ -88,7 +88,7 @@
     socket.send_to(&bytes, address).await.unwrap();
 }
 
-/// Hands a list on to whoever asks, as the version before does.
+/// Serves a list to any peer, as the earlier release does.
 async fn serve_list(listener: TcpListener, answer: OldAnswer) {
     while let Ok((stream, _)) = listener.accept().await {
         let mut frames = Framed::new(stream, LengthDelimitedCodec::new());
@@ -100,10 +100,10 @@
 
 #[tokio::test]
 async fn a_list_without_incarnations_keeps_targets_in_use() {
-    // Symptom: during an upgrade the instances of the new version refuse every call for lack of
-    // targets. Sequence: an instance knows the targets' incarnations from the store; then it goes
-    // by the list of a peer of the version before, which names none. Cause: an entry that does not
-    // state a start that is known was taken for another writer's.
+    // Guards against instances of a new release refusing every call for lack of targets during an
+    // upgrade. The instance knows the targets' incarnations from the store and then pulls the list
+    // of a peer of the earlier release, which sends none; an entry without the known start was
+    // taken for another writer's.
 
     // Arrange
     let (gateway, address) = instance(1).await;
@@ -126,7 +126,7 @@
     };
     tokio::spawn(serve_list(listener, answer));
 
-    // Act: three better equipped peers of a large fleet watch the store.
+    // Act: three peers with more capacity watch the store for a large fleet.
     for from in WATCHERS.into_iter().chain(["a"]) {
         tell(&socket, &address, from, digest(9)).await;
     }
@@ -136,8 +136,8 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 
-    // Assert: one is gone, one is kept with its incarnation; one that is new has none, where others
-    // have, until the instance lists the targets itself.
+    // Assert: one target is gone and one is kept with its incarnation. A new one without
+    // incarnation is not used while others have one, until the instance lists the targets itself.
     let state = gateway.state();
     let incarnations: Vec<_> = state.book.present().map(Listed::identity).collect();
     assert_eq!(state.book.usable_targets(gateway.now(), SERVICE), 1);
@@ -146,10 +146,10 @@
 
 #[tokio::test]
 async fn a_peer_with_an_older_list_takes_no_target_out() {
-    // Symptom: a sound target gets no calls from some instances of a large fleet for up to twenty
-    // seconds. Sequence: its entry is gone for a moment and comes back; an instance takes the new
-    // list over, and then hears a peer that has not done so yet say that the target vanished.
-    // Cause: that was taken for news, and no newer list came to end it.
+    // Guards against a healthy target getting no calls from some instances of a large fleet for up
+    // to twenty seconds. Its entry is gone for a moment and comes back; an instance applies the new
+    // list and then receives the report of a peer that has not done so yet that the target was
+    // delisted. The report was taken for news, and no newer list came to end it.
 
     // Arrange
     let (gateway, address) = instance(2).await;
--- a/crates/damaskstile-gateway/tests/writers.rs
+++ b/crates/damaskstile-gateway/tests/writers.rs
@@ -1,4 +1,5 @@
-//! Which instance of a large fleet writes to the ledger and watches the store for the others.
+//! Selection of the instances of a large fleet that write to the ledger and watch the store for the
+//! others.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,8 +13,8 @@
 use damaskstile_gateway::state::State;
 use damaskstile_targets::BookOptions;
 
-/// Instances of a grown deployment of today, and how many of them have more than a small part of
-/// a core.
+/// Number of instances of a grown deployment, and the number of those with more than a small part
+/// of a core.
 const INSTANCES: usize = 73;
 const LARGE: usize = 6;
 
@@ -33,7 +34,7 @@
     if index < LARGE { 50 } else { 12 }
 }
 
-/// Makes the state of an instance that the store answered at the start of time.
+/// Makes the state of an instance that the store answered at time zero.
 fn state(index: usize) -> State {
     let options = GatewayOptions {
         identity: Identity::new(&name(index), 1, "north"),
@@ -57,7 +58,7 @@
     state
 }
 
-/// Has an instance hear a peer, to which the store answered so long ago.
+/// Processes a peer's digest that states the age of the store's last answer.
 fn hear(state: &mut State, ms: u64, index: usize, store_age_ms: u64, known_instances: u64) {
     let digest = Digest {
         store_age_ms,
@@ -81,8 +82,9 @@
 
 #[test]
 fn all_instances_agree_on_one_writer_with_enough_processor_time() {
-    // Symptom: writes of a large ledger take tens of milliseconds, and calls wait for tokens.
-    // Cause: the instance that writes for 72 others has an eighth of a core and a narrow link.
+    // Guards against writes of a large ledger that take tens of milliseconds while calls wait for
+    // tokens, because the instance that writes for 72 others has an eighth of a core and a slow
+    // link.
 
     // Arrange
     let mut states: Vec<State> = (0..INSTANCES).map(state).collect();
@@ -112,7 +114,7 @@
     let first = writer_of(&state, 500).unwrap();
     let first_index: usize = first[1..].parse().unwrap();
 
-    // Act: it still talks to its peers, but the store does not answer it.
+    // Act: it still reaches its peers, but the store does not answer it.
     hear(&mut state, 2_000, first_index, 2_000, 1);
     for index in (0..INSTANCES - 1).filter(|index| *index != first_index) {
         hear(&mut state, 2_000, index, 100, 1);
@@ -126,9 +128,9 @@
 
 #[test]
 fn an_instance_that_knows_only_a_seed_learns_from_it_that_the_fleet_is_large() {
-    // Symptom: 546 writes to the ledger are refused in the first two seconds. Sequence: all
-    // instances start at once and know three seeds each, so each takes the fleet for a small one,
-    // in which everybody writes. Cause: nobody told how many there are.
+    // Guards against 546 refused writes to the ledger in the first two seconds. All instances start
+    // at once and know three seeds each, so without reports of the number of instances each takes
+    // the fleet for a small one, in which all write.
 
     // Arrange
     let mut state = state(INSTANCES - 1);
@@ -145,8 +147,8 @@
 
 #[test]
 fn an_instance_knows_that_most_of_its_peers_are_being_stopped() {
-    // Symptom: while most instances stop together, callers that are refused ask the next one at
-    // once, are refused again and give up. Cause: the refusal did not go by what peers said.
+    // Guards against callers that retry at once while most instances stop together, are refused
+    // again and give up, because the refusal did not depend on what peers report.
 
     // Arrange
     let mut state = state(0);
@@ -169,7 +171,7 @@
         hear_stopping(5, 5_000, true),
     ];
 
-    // Assert: half is not most, and what was heard long ago does not count.
+    // Assert: half is not most, and old digests do not count.
     assert_eq!(told, [false, false, true, false, true]);
 }
 
@@ -180,12 +182,12 @@
 
 #[test]
 fn at_a_start_all_learn_the_best_writer_from_a_seed() {
-    // Symptom: 1,500 writes to the ledger are refused within two seconds of a start of 295
-    // instances. Sequence: all start at once and know three seeds; the seeds tell of themselves, and
-    // each instance takes the best seed, or itself, for the writer until it has heard the best
-    // instance, seconds later. Cause: nobody told who is best.
+    // Guards against 1,500 refused writes to the ledger within two seconds of a start of 295
+    // instances. All start at once and know three seeds; without reports of the best writer each
+    // instance takes the best seed, or itself, for the writer until the best instance's digest
+    // arrives seconds later.
 
-    // Arrange: the seed has heard all, the other instance only the seed.
+    // Arrange: the seed has digests from all, the other instance only from the seed.
     let mut seed = state(LARGE);
     hear_all(&mut seed, LARGE, 400);
     let mut other = state(INSTANCES - 1);
@@ -204,8 +206,8 @@
 
 #[test]
 fn what_is_said_of_a_writer_ages_on_its_way_and_does_not_keep_a_dead_one() {
-    // Symptom: for seconds nobody writes. Sequence: the writer dies; two instances go on telling
-    // each other that it is in touch. Cause: a word heard now counted as new.
+    // Guards against seconds without a writer. The writer dies, and two instances keep reporting to
+    // each other that it is in touch with the store, because a report counted as new on arrival.
 
     // Arrange
     let mut states = [state(INSTANCES - 1), state(INSTANCES - 2)];
@@ -232,9 +234,9 @@
 
 #[test]
 fn in_an_outage_few_look_out_for_its_end_and_the_others_leave_the_store_alone() {
-    // Symptom: an outage of eight seconds costs 2,600 calls to the store. Sequence: all instances
-    // are cut off at once, so nobody outranks anybody, and all list everything every 1.8 s. Cause:
-    // who ranks better counted only while in touch.
+    // Guards against 2,600 calls to the store in an outage of eight seconds. All instances are cut
+    // off at once, so if only instances in touch with the store count as better-ranked, none
+    // outranks another and all list everything every 1.8 s.
 
     // Arrange
     let mut states: Vec<State> = (0..INSTANCES).map(state).collect();
@@ -251,7 +253,7 @@
         .iter()
         .filter(|state| state.may_call_store(at(2_500)));
 
-    // Assert: and whoever hears nobody finds out itself.
+    // Assert: an instance without recent digests probes for itself.
     assert_eq!((scouts.count(), callers.count()), (3, 0));
     assert!(states.iter().all(|state| state.is_scout(at(7_000))));
 }
