--- a/crates/damaskstile-gateway/src/objects/error.rs
+++ b/crates/damaskstile-gateway/src/objects/error.rs
@@ -20,10 +20,10 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotDone(cause) => write!(f, "not done: {cause}"),
-            Self::Lost(cause) => write!(f, "no clear answer: {cause}"),
-            Self::Outdated => f.write_str("the history is gone"),
-            Self::Conflict(_) => f.write_str("the object has another version"),
+            Self::NotDone(cause) => write!(f, "the store refused the call: {cause}"),
+            Self::Lost(cause) => write!(f, "no clear answer from the store: {cause}"),
+            Self::Outdated => f.write_str("the requested version is no longer available"),
+            Self::Conflict(_) => f.write_str("the object has a different version"),
         }
     }
 }
