--- a/crates/damaskstile-gateway/src/emptied_list.rs
+++ b/crates/damaskstile-gateway/src/emptied_list.rs
@@ -15,7 +15,7 @@
 
 /// Applies all entries as of the listing's version. Returns false without applying any if the store
 /// was restored from an older copy and may lack entries that are still valid.
-pub(crate) fn take_all(gateway: &Gateway, listing: &Listing) -> bool {
+pub(crate) fn apply_listing(gateway: &Gateway, listing: &Listing) -> bool {
     let names = listing.objects.iter().map(|object| object.name.as_str());
     let all = names.filter_map(|name| read(gateway, name, listing.version));
     let all: BTreeSet<DataCentreId> = all.collect();
@@ -39,7 +39,7 @@
 fn is_settled(gateway: &Gateway, now: Duration) -> bool {
     let history = gateway.store.history();
     let mut state = gateway.state();
-    let listed = state.emptied_listed.get_or_insert((history, None));
+    let listed = state.evacuated_listed.get_or_insert((history, None));
     if listed.0 != history {
         *listed = (history, Some(now));
     }
@@ -48,7 +48,7 @@
 }
 
 /// Applies the changes of a watch up to a version.
-pub(crate) fn take_changes(gateway: &Gateway, changes: &[Change], version: Version) {
+pub(crate) fn apply_changes(gateway: &Gateway, changes: &[Change], version: Version) {
     let changes: Vec<(DataCentreId, bool)> = changes
         .iter()
         .filter_map(|change| {
@@ -66,8 +66,8 @@
 }
 
 /// Applies a peer's list of evacuated data centres.
-pub(crate) fn hear(gateway: &Gateway, version: Version, told: &[String], source: &str) {
-    let all = told.iter().cloned().collect();
+pub(crate) fn apply_report(gateway: &Gateway, version: Version, reported: &[String], source: &str) {
+    let all = reported.iter().cloned().collect();
     let now = gateway.now();
     let news = gateway.state().book.take_emptied(now, version, &all);
     note(gateway, &news, source);
@@ -86,7 +86,7 @@
 /// Records that an entry names no data centre, once for each distinct fault.
 fn note_refused(gateway: &Gateway, name: &str, version: Version, error: &str) {
     let fault = fault(error);
-    let before = gateway.state().emptied_fault.replace(fault.clone());
+    let before = gateway.state().evacuated_fault.replace(fault.clone());
     if before.as_ref() != Some(&fault) {
         gateway.metrics.refused(Stored::Emptied);
         log_refused(gateway, name, version, &fault);
--- a/crates/damaskstile-gateway/src/follow.rs
+++ b/crates/damaskstile-gateway/src/follow.rs
@@ -16,7 +16,7 @@
 use crate::state::State;
 use crate::target_list;
 
-use self::starting::{is_overdue, is_told_at_start};
+use self::starting::{can_follow_peers, is_overdue};
 use self::watching::{Watched, watch_once};
 
 /// Interval between lists of an instance that receives changes from peers, multiplied by the number
@@ -27,23 +27,23 @@
 /// Shortest interval between two such lists.
 const FOLLOWER_INTERVAL_MIN: Duration = Duration::from_secs(20);
 /// Interval between checks whether this instance must watch the store itself.
-pub(crate) const FOLLOWER_LOOK: Duration = Duration::from_millis(250);
+pub(crate) const FOLLOWER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause after changes, so that a burst of them takes one call. Short compared with the two seconds
 /// within which a change must take effect.
 const BURST_PAUSE: Duration = Duration::from_millis(100);
 /// Pause after changes in a large fleet, where targets come and go all the time and the time limits
 /// are longer.
-const LARGE_BURST_PAUSE: Duration = Duration::from_millis(300);
+const LARGE_FLEET_BURST_PAUSE: Duration = Duration::from_millis(300);
 /// Pause after a failed call. Short compared with the time within which a change must take effect.
 const FAILURE_PAUSE: Duration = Duration::from_millis(150);
 
 /// Pause after a failed call in a large fleet, whose instances together would make thousands of
 /// useless calls.
-const LARGE_FAILURE_PAUSE: Duration = Duration::from_millis(600);
+const LARGE_FLEET_FAILURE_PAUSE: Duration = Duration::from_millis(600);
 
 fn burst_pause(state: &State) -> Duration {
     if state.is_large_fleet() {
-        LARGE_BURST_PAUSE
+        LARGE_FLEET_BURST_PAUSE
     } else {
         BURST_PAUSE
     }
@@ -52,7 +52,7 @@
 /// Returns the pause after a failed call.
 pub(crate) fn failure_pause(state: &State) -> Duration {
     if state.is_large_fleet() {
-        LARGE_FAILURE_PAUSE
+        LARGE_FLEET_FAILURE_PAUSE
     } else {
         FAILURE_PAUSE
     }
@@ -93,11 +93,11 @@
         Followed::Targets => gateway.directory.targets_kind(),
         Followed::Emptied => gateway.directory.emptied_kind(),
     };
-    let mut is_due = !is_told_at_start(&gateway).await;
+    let mut is_due = !can_follow_peers(&gateway).await;
     loop {
-        until_store_may_be_called(&gateway).await;
+        wait_for_store(&gateway).await;
         if !is_due && !must_watch(&gateway) {
-            is_due = rest(&gateway, followed).await;
+            is_due = wait_for_list(&gateway, followed).await;
             continue;
         }
         is_due = false;
@@ -106,7 +106,7 @@
             Ok(listing) => {
                 note_followed(&gateway, followed);
                 let version = listing.version;
-                is_due = !take_all(&gateway, followed, &listing);
+                is_due = !apply_listing(&gateway, followed, &listing);
                 if !is_due && must_watch(&gateway) {
                     watch(&gateway, followed, kind, version).await;
                 }
@@ -122,11 +122,11 @@
 }
 
 /// Waits, in a large fleet, during an outage that other instances probe.
-async fn until_store_may_be_called(gateway: &Gateway) {
+async fn wait_for_store(gateway: &Gateway) {
     let mut outages_over = gateway.outages_over.subscribe();
     while !gateway.state().may_call_store(gateway.now()) {
         // Checked again at the end of an outage, at the latest after the interval.
-        let _ = tokio::time::timeout(FOLLOWER_LOOK, outages_over.changed()).await;
+        let _ = tokio::time::timeout(FOLLOWER_CHECK_INTERVAL, outages_over.changed()).await;
     }
 }
 
@@ -150,7 +150,7 @@
 /// Waits, as an instance of a large fleet that receives changes from peers. Returns whether a list
 /// is due: from time to time, in case no gossip arrives, or because peers know of a newer
 /// catalogue.
-async fn rest(gateway: &Gateway, followed: Followed) -> bool {
+async fn wait_for_list(gateway: &Gateway, followed: Followed) -> bool {
     let began_at = gateway.now();
     let draw = gateway.state().random.below(DRAWS);
     while !must_watch(gateway) {
@@ -160,13 +160,13 @@
         if is_due || is_overdue(gateway, followed) {
             return true;
         }
-        let look = tokio::time::sleep(FOLLOWER_LOOK);
+        let interval = tokio::time::sleep(FOLLOWER_CHECK_INTERVAL);
         if followed != Followed::Catalogue {
-            look.await;
+            interval.await;
             continue;
         }
         tokio::select! {
-            () = look => {}
+            () = interval => {}
             () = gateway.catalogue_wanted.notified() => return true,
         }
     }
@@ -186,11 +186,11 @@
         match watch_once(gateway, kind, version).await {
             Watched::Changes(changes, next) => {
                 version = next;
-                take_changes(gateway, followed, changes, version).await;
+                apply_changes(gateway, followed, changes, version).await;
             }
             // The next watch begins at the same version and covers the changes since.
             Watched::LostInOutage => {
-                note_unanswered(
+                log_unanswered(
                     gateway,
                     followed,
                     began_at,
@@ -199,8 +199,8 @@
             }
             Watched::NotNeeded => {}
             Watched::Failed(error) => {
-                note_unanswered(gateway, followed, began_at, &error.to_string());
-                note_failed_watch(gateway, began_at, &error);
+                log_unanswered(gateway, followed, began_at, &error.to_string());
+                handle_failed_watch(gateway, began_at, &error);
                 return;
             }
         }
@@ -210,7 +210,7 @@
     }
 }
 
-async fn take_changes(
+async fn apply_changes(
     gateway: &Gateway,
     followed: Followed,
     changes: Vec<Change>,
@@ -219,12 +219,12 @@
     note_followed(gateway, followed);
     let is_burst = !changes.is_empty();
     if followed == Followed::Emptied {
-        emptied_list::take_changes(gateway, &changes, version);
+        emptied_list::apply_changes(gateway, &changes, version);
         return;
     }
     let mut is_news = false;
     for change in changes {
-        is_news |= take_change(gateway, followed, change, version);
+        is_news |= apply_change(gateway, followed, change, version);
     }
     // Peers pull the list for each new version, so changes without news to peers make none.
     if followed == Followed::Targets && is_news {
@@ -245,7 +245,7 @@
 /// Handles a failed watch. If another call was answered since the watch was sent, its failure alone
 /// is no sign of an outage: otherwise each watch cut by the store would keep delisted targets in
 /// use. An ongoing outage makes the next list fail too.
-fn note_failed_watch(gateway: &Gateway, began_at: Duration, error: &StoreError) {
+fn handle_failed_watch(gateway: &Gateway, began_at: Duration, error: &StoreError) {
     let now = gateway.now();
     let waited = now.saturating_sub(began_at);
     let is_answered_since = {
@@ -265,7 +265,7 @@
 }
 
 /// Logs that a watch ended without an answer, which answers to other calls do not show.
-fn note_unanswered(gateway: &Gateway, followed: Followed, began_at: Duration, cause: &str) {
+fn log_unanswered(gateway: &Gateway, followed: Followed, began_at: Duration, cause: &str) {
     let now = gateway.now();
     let waited_ms = now.saturating_sub(began_at).as_millis().to_string();
     let answered_ms = {
@@ -334,27 +334,27 @@
 }
 
 /// Applies a listing; returns whether it is reliable, false if another one is needed.
-fn take_all(gateway: &Gateway, followed: Followed, listing: &Listing) -> bool {
+fn apply_listing(gateway: &Gateway, followed: Followed, listing: &Listing) -> bool {
     match followed {
         Followed::Catalogue => {
             for object in &listing.objects {
-                take_catalogue(gateway, object, "store");
+                apply_catalogue(gateway, object, "store");
             }
             true
         }
         Followed::Targets => {
-            target_list::take_all(gateway, listing);
+            target_list::apply_listing(gateway, listing);
             true
         }
-        Followed::Emptied => emptied_list::take_all(gateway, listing),
+        Followed::Emptied => emptied_list::apply_listing(gateway, listing),
     }
 }
 
 /// Applies a change; returns whether it is news of a target.
-fn take_change(gateway: &Gateway, followed: Followed, change: Change, version: Version) -> bool {
+fn apply_change(gateway: &Gateway, followed: Followed, change: Change, version: Version) -> bool {
     match (followed, change) {
         (Followed::Catalogue, Change::Put(object)) => {
-            take_catalogue(gateway, &object, "store");
+            apply_catalogue(gateway, &object, "store");
             false
         }
         // Deletion of the whole catalogue is never accepted; the last valid one stays in force.
@@ -362,17 +362,19 @@
             gateway.log(EventCode::EntryRefused, &[("gone", &name)]);
             false
         }
-        (Followed::Targets, Change::Put(object)) => target_list::take(gateway, &object),
-        (Followed::Targets, Change::Gone(name)) => target_list::take_gone(gateway, &name, version),
+        (Followed::Targets, Change::Put(object)) => target_list::apply_entry(gateway, &object),
+        (Followed::Targets, Change::Gone(name)) => {
+            target_list::apply_removal(gateway, &name, version)
+        }
         (Followed::Emptied, change) => {
-            emptied_list::take_changes(gateway, &[change], version);
+            emptied_list::apply_changes(gateway, &[change], version);
             false
         }
     }
 }
 
 /// Applies a catalogue from the store or a peer.
-pub(crate) fn take_catalogue(gateway: &Gateway, object: &StoredObject, source: &str) {
+pub(crate) fn apply_catalogue(gateway: &Gateway, object: &StoredObject, source: &str) {
     match gateway.directory.catalogue(object) {
         Ok(Some(catalogue)) => {
             gateway.state().catalogue_fault = None;
--- a/crates/damaskstile-gateway/src/follow/starting.rs
+++ b/crates/damaskstile-gateway/src/follow/starting.rs
@@ -7,35 +7,35 @@
 
 /// Time limit after a first start for the seeds to list everything and announce it: two digests and
 /// a list.
-const START_TOLD_WAIT: Duration = Duration::from_millis(1_200);
+const START_DIGEST_WAIT: Duration = Duration::from_millis(1_200);
 /// Time after a first start past which an instance that learned that peers have everything reads it
 /// itself. A fleet passes data from instance to instance in several rounds.
-const FIRST_START_PATIENCE: Duration = Duration::from_secs(5);
+const FIRST_START_WAIT: Duration = Duration::from_secs(5);
 /// Time limit for receiving digests of peers when instances restart while callers wait.
-const RESTART_TOLD_WAIT: Duration = Duration::from_millis(500);
+const RESTART_DIGEST_WAIT: Duration = Duration::from_millis(500);
 /// Interval between checks for digests of peers.
-const START_LOOK: Duration = Duration::from_millis(25);
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Returns whether peers provide the data, before anything was listed. Hundreds of instances that
 /// start together and list everything would fill the store's link for seconds, so all but the seeds
 /// wait briefly for digests of peers in touch with the store. At the first start of a fleet no
 /// caller waits, so the limit is longer.
-pub(super) async fn is_told_at_start(gateway: &Gateway) -> bool {
+pub(super) async fn can_follow_peers(gateway: &Gateway) -> bool {
     let options = &gateway.options;
     if options.seeds.is_empty() || options.seeds.contains(&options.peers_address) {
         return false;
     }
     let wait = if options.is_first_start {
-        START_TOLD_WAIT
+        START_DIGEST_WAIT
     } else {
-        RESTART_TOLD_WAIT
+        RESTART_DIGEST_WAIT
     };
     let until = gateway.started_at + wait;
     while must_watch(gateway) && gateway.now() < until {
         if !options.is_first_start && is_of_small_fleet(gateway) {
             return false;
         }
-        tokio::time::sleep(START_LOOK).await;
+        tokio::time::sleep(START_CHECK_INTERVAL).await;
     }
     !must_watch(gateway)
 }
@@ -57,9 +57,9 @@
         }
     };
     let wait = if gateway.options.is_first_start {
-        FIRST_START_PATIENCE
+        FIRST_START_WAIT
     } else {
-        START_TOLD_WAIT
+        START_DIGEST_WAIT
     };
     is_unknown && gateway.now() >= gateway.started_at + wait
 }
--- a/crates/damaskstile-gateway/src/follow/watching.rs
+++ b/crates/damaskstile-gateway/src/follow/watching.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::Instant;
 
-use crate::follow::{FOLLOWER_LOOK, must_watch};
+use crate::follow::{FOLLOWER_CHECK_INTERVAL, must_watch};
 use crate::gateway::Gateway;
 use crate::objects::{Change, ObjectStore, StoreError};
 use crate::proof;
@@ -23,14 +23,14 @@
 const WATCH_WAIT: Duration = Duration::from_secs(10);
 /// Delay after a watch is sent before another call is made beside it: long enough for the watch to
 /// be under way, so that an outage that loses the watch affects the call too.
-const BESIDE_DELAY: Duration = Duration::from_millis(50);
+const PROBE_DELAY: Duration = Duration::from_millis(50);
 /// Shortest interval between watches that are renewed because of outages. If the store refuses some
 /// calls and answers others, each such pair looks like an outage; without this limit an instance
 /// that lacks tokens for six callers sends 16 watches a second, with it 3.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(700);
 /// Interval between checks whether a fleet that seemed small is large. Instances of a small fleet
 /// always watch for themselves and should wake up seldom.
-const SMALL_FLEET_LOOK: Duration = Duration::from_secs(1);
+const SMALL_FLEET_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// `Watched` is the outcome of one watch.
 #[derive(Debug)]
@@ -66,20 +66,20 @@
 async fn not_needed(gateway: &Gateway) {
     while must_watch(gateway) {
         let is_large = gateway.state().is_large_fleet();
-        let look = if is_large {
-            FOLLOWER_LOOK
+        let interval = if is_large {
+            FOLLOWER_CHECK_INTERVAL
         } else {
-            SMALL_FLEET_LOOK
+            SMALL_FLEET_CHECK_INTERVAL
         };
-        tokio::time::sleep(look).await;
+        tokio::time::sleep(interval).await;
     }
 }
 
 /// Returns once an outage has ended that may have lost a watch that was just sent.
 async fn outage_over(gateway: &Gateway, mut outages_over: Receiver<u64>) {
     let sent_at = Instant::now();
-    tokio::time::sleep(BESIDE_DELAY).await;
-    proof::prove(gateway).await;
+    tokio::time::sleep(PROBE_DELAY).await;
+    proof::probe_store(gateway).await;
     // An outage that ended before this point is still seen after it.
     tokio::time::sleep_until(sent_at + RENEWAL_INTERVAL).await;
     if outages_over.changed().await.is_err() {
--- a/crates/damaskstile-gateway/src/lease.rs
+++ b/crates/damaskstile-gateway/src/lease.rs
@@ -16,7 +16,7 @@
 /// the call ran.
 const REUSE_PERCENT: u32 = 70;
 /// Time limit for a connection to become ready again after its answer was read.
-const READY_LIMIT: Duration = Duration::from_millis(5);
+const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// `Lease` is a connection in use. If it is dropped before it is given back, the connection is
 /// closed, which cancels the target's work on it.
@@ -86,7 +86,7 @@
             return;
         };
         // The end of the answer and the readiness of the connection are two steps of the same task.
-        let ready = tokio::time::timeout(READY_LIMIT, sender.ready()).await;
+        let ready = tokio::time::timeout(READY_TIMEOUT, sender.ready()).await;
         if !matches!(ready, Ok(Ok(()))) {
             return;
         }
--- a/crates/damaskstile-gateway/src/loan.rs
+++ b/crates/damaskstile-gateway/src/loan.rs
@@ -12,12 +12,12 @@
 
 /// Time after which an unanswered request is sent once more: a few round trips within a region,
 /// with a margin for a busy lender.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(25);
+const RESEND_AFTER: Duration = Duration::from_millis(25);
 /// Time limit for a lender that fetches tokens from the store: the pause between two writes, a call
 /// to the store and the messages. A longer wait means that the store is unreachable.
-const WAITING_LIMIT: Duration = Duration::from_millis(150);
+const TOKEN_WAIT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time limit for any answer before another lender is asked.
-const ANSWER_LIMIT: Duration = Duration::from_millis(50);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// `Loan` is a requested or granted loan of a peer's tokens to one call. When dropped, the loan
 /// ends and the lender is sent the number of used tokens.
@@ -58,9 +58,9 @@
             number: ask.number,
             used_tokens: 0,
         };
-        let silent_at = (gateway.now() + ANSWER_LIMIT).min(until);
-        let waits_until = (gateway.now() + WAITING_LIMIT).min(until);
-        let mut again_at = Some(gateway.now() + ASK_AGAIN_AFTER);
+        let silent_at = (gateway.now() + ANSWER_TIMEOUT).min(until);
+        let waits_until = (gateway.now() + TOKEN_WAIT_TIMEOUT).min(until);
+        let mut again_at = Some(gateway.now() + RESEND_AFTER);
         let send = || {
             let ask = Outgoing::Borrow(lender.address, ask.clone());
             // A request dropped because the queue is full is treated like a lost datagram.
@@ -68,28 +68,28 @@
         };
         send();
         loop {
-            let heard = gateway.loans_heard.notified();
+            let answered = gateway.loans_heard.notified();
             let now = gateway.now();
-            let said = gateway.state().borrower.outcome(ask.number);
-            let limit = match said {
+            let outcome = gateway.state().borrower.outcome(ask.number);
+            let limit = match outcome {
                 Some(LoanOutcome::Lent) => return Ok(loan),
                 Some(LoanOutcome::Waiting) => waits_until,
-                Some(_) => return Err(said),
+                Some(_) => return Err(outcome),
                 None => silent_at,
             };
             if now >= limit {
-                if said.is_none() {
+                if outcome.is_none() {
                     gateway.state().borrower.note_silence(now, &lender.instance);
                 }
-                return Err(said);
+                return Err(outcome);
             }
-            if said.is_none() && again_at.is_some_and(|at| now >= at) {
+            if outcome.is_none() && again_at.is_some_and(|at| now >= at) {
                 again_at = None;
                 send();
             }
             let next = again_at.map_or(limit, |at| at.min(limit));
             // Woken by an answer, at the latest at the next time limit.
-            let _ = timeout(next.saturating_sub(now), heard).await;
+            let _ = timeout(next.saturating_sub(now), answered).await;
         }
     }
 
--- a/crates/damaskstile-gateway/src/member.rs
+++ b/crates/damaskstile-gateway/src/member.rs
@@ -6,10 +6,10 @@
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
 
-use crate::peers::{Digest, PeerWord};
+use crate::peers::{Digest, PeerReport};
 
 /// Time after its last digest during which an instance is still reported to peers.
-const TOLD_LIFE: Duration = Duration::from_mins(2);
+const REPORT_LIFETIME: Duration = Duration::from_mins(2);
 
 /// `Member` is what is known of a peer from its last digest or from another peer's report.
 #[derive(Debug, Clone)]
@@ -29,7 +29,7 @@
     /// Number of instances that it knows of.
     pub known_instances: u64,
     /// Number of instances that it knows by name.
-    pub heard_instances: u64,
+    pub discovered_instances: u64,
     /// Whether it is stopping.
     pub is_stopping: bool,
     /// Its processor capacity, in percent of a core.
@@ -37,9 +37,9 @@
     /// Time between the store's last answer to it and its digest.
     pub store_age: Duration,
     /// When its digest was received, by this instance or by the peer that reported it.
-    pub heard_at: Duration,
+    pub received_at: Duration,
     /// Whether it is known only from a peer's report and no digest of it was received yet.
-    pub is_told: bool,
+    pub is_reported: bool,
     /// Tokens that it could reserve immediately, by account.
     pub free_tokens: BTreeMap<AccountId, u64>,
 }
@@ -66,12 +66,12 @@
             catalogue_version: digest.catalogue_version,
             targets_version: digest.targets_version,
             known_instances: digest.known_instances,
-            heard_instances: digest.heard_instances,
+            discovered_instances: digest.discovered_instances,
             is_stopping: digest.is_stopping,
             capacity_percent: digest.capacity_percent,
             store_age: Duration::from_millis(digest.store_age_ms),
-            heard_at: now,
-            is_told: false,
+            received_at: now,
+            is_reported: false,
             free_tokens,
         }
     }
@@ -80,37 +80,37 @@
     /// has. Returns `None` if the address is invalid or the report is too old to show that the
     /// member still exists.
     #[must_use]
-    pub fn told(now: Duration, word: &PeerWord) -> Option<Self> {
-        let heard_age = Duration::from_millis(word.heard_age_ms);
-        if heard_age > TOLD_LIFE {
+    pub fn from_report(now: Duration, report: &PeerReport) -> Option<Self> {
+        let received_age = Duration::from_millis(report.received_age_ms);
+        if received_age > REPORT_LIFETIME {
             return None;
         }
         let digest = Digest {
-            data_centre: word.data_centre.clone(),
-            capacity_percent: word.capacity_percent,
+            data_centre: report.data_centre.clone(),
+            capacity_percent: report.capacity_percent,
             store_age_ms: u64::MAX,
             ..Digest::default()
         };
-        let address = word.address.parse().ok()?;
+        let address = report.address.parse().ok()?;
         Some(Self {
-            heard_at: now.saturating_sub(heard_age),
-            is_told: true,
-            ..Self::new(word.incarnation, address, now, &digest)
+            received_at: now.saturating_sub(received_age),
+            is_reported: true,
+            ..Self::new(report.incarnation, address, now, &digest)
         })
     }
 
     /// Returns the report of this member for a peer; `None` if its last digest is too old.
     #[must_use]
-    pub fn word(&self, now: Duration, instance: &str) -> Option<PeerWord> {
-        let heard_age = now.saturating_sub(self.heard_at);
-        (heard_age <= TOLD_LIFE).then(|| PeerWord {
+    pub fn report(&self, now: Duration, instance: &str) -> Option<PeerReport> {
+        let received_age = now.saturating_sub(self.received_at);
+        (received_age <= REPORT_LIFETIME).then(|| PeerReport {
             instance: instance.to_owned(),
             incarnation: self.incarnation,
             address: self.address.to_string(),
             data_centre: self.data_centre.clone(),
             capacity_percent: self.capacity_percent,
             store_age_ms: unix_ms(self.store_age),
-            heard_age_ms: unix_ms(heard_age),
+            received_age_ms: unix_ms(received_age),
         })
     }
 }
--- a/crates/damaskstile-gateway/src/peers.rs
+++ b/crates/damaskstile-gateway/src/peers.rs
@@ -9,21 +9,21 @@
 mod catalogue_answer;
 mod datagram;
 mod digest;
-mod gifts;
-mod hearing;
+mod limit_report;
 mod list_answer;
 mod loans;
 mod member_answer;
-mod peer_word;
+mod peer_report;
 mod pull;
 mod pull_messages;
 mod reading;
+mod received_digest;
 mod reports;
+mod suspect_report;
 mod suspects;
+mod target_report;
 mod tokens;
-mod told_limit;
-mod told_suspect;
-mod told_target;
+mod transfers;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,13 +38,13 @@
 
 pub use datagram::{Datagram, DatagramBody};
 pub use digest::{AccountTokens, Digest};
-pub use peer_word::PeerWord;
+pub use limit_report::LimitReport;
+pub use peer_report::PeerReport;
 pub use pull::serve as serve_pulls;
 pub use reading::Reading;
+pub use suspect_report::{SuspectReport, TargetEndReport};
+pub use target_report::TargetReport;
 pub use tokens::{AskTokens, GiveTokens};
-pub use told_limit::ToldLimit;
-pub use told_suspect::{ToldEnd, ToldSuspect};
-pub use told_target::ToldTarget;
 
 use crate::gateway::Gateway;
 use crate::outgoing::Outgoing;
@@ -53,7 +53,7 @@
 const DIGEST_INTERVAL: Duration = Duration::from_millis(400);
 /// Time for which an instance of a large fleet batches updates before it sends a digest, so that
 /// consecutive changes while targets are replaced reach all peers together.
-const NEWS_GATHER: Duration = Duration::from_millis(100);
+const UPDATE_BATCH_DELAY: Duration = Duration::from_millis(100);
 /// Largest datagram, in bytes.
 const DATAGRAM_BYTES_MAX: usize = 16 * 1024;
 /// Largest ledger change that is sent to peers, in bytes. Peers read larger changes from the store.
@@ -97,10 +97,10 @@
             pause = DIGEST_INTERVAL;
             let is_large = self.gateway.state().is_large_fleet();
             if is_large {
-                tokio::time::sleep(NEWS_GATHER).await;
+                tokio::time::sleep(UPDATE_BATCH_DELAY).await;
             }
             let digest = self.make_digest();
-            for address in self.addresses() {
+            for address in self.digest_recipients() {
                 let body = DatagramBody::Digest(digest.clone());
                 self.send(address, body).await;
             }
@@ -112,12 +112,12 @@
     pub async fn beg(self: Arc<Self>) {
         loop {
             self.gateway.tokens_wanted.notified().await;
-            for (address, ask) in self.asks() {
+            for (address, ask) in self.token_requests() {
                 self.send(address, DatagramBody::Ask(ask)).await;
             }
-            for (address, gift) in self.returns() {
-                self.note_gift(EventCode::TokensGiven, &address.to_string(), &gift);
-                self.send(address, DatagramBody::Give(gift)).await;
+            for (address, transfer) in self.token_returns() {
+                self.log_transfer(EventCode::TokensGiven, &address.to_string(), &transfer);
+                self.send(address, DatagramBody::Give(transfer)).await;
             }
         }
     }
@@ -126,9 +126,9 @@
     pub async fn send_out(self: Arc<Self>, mut outbox: Receiver<Outgoing>) {
         while let Some(outgoing) = outbox.recv().await {
             match outgoing {
-                Outgoing::Change(change) => self.tell_change(&change).await,
-                Outgoing::Reading(reading) => self.tell_reading(&reading).await,
-                Outgoing::Suspect(content) => self.tell_suspect(&content).await,
+                Outgoing::Change(change) => self.send_change(&change).await,
+                Outgoing::Reading(reading) => self.send_reading(&reading).await,
+                Outgoing::Suspect(content) => self.send_suspect(&content).await,
                 Outgoing::Report(address, report) => {
                     self.send(address, DatagramBody::Report(report)).await;
                 }
@@ -143,7 +143,7 @@
     }
 
     /// Sends a ledger change written by this instance to all other ledger writers.
-    async fn tell_change(&self, change: &LedgerChange) {
+    async fn send_change(&self, change: &LedgerChange) {
         let Ok(bytes) = serde_json::to_vec(change) else {
             return;
         };
@@ -151,21 +151,21 @@
             return;
         }
         let bytes = Bytes::from(bytes);
-        for address in self.writers() {
+        for address in self.other_writers() {
             self.send(address, DatagramBody::Change(bytes.clone()))
                 .await;
         }
     }
 
     /// Notifies all peers of a long prompt that a target is reading.
-    async fn tell_reading(&self, reading: &Reading) {
-        for address in self.all() {
+    async fn send_reading(&self, reading: &Reading) {
+        for address in self.all_peers() {
             let body = DatagramBody::Reading(reading.clone());
             self.send(address, body).await;
         }
     }
 
-    fn take_change(&self, bytes: &[u8]) {
+    fn apply_change(&self, bytes: &[u8]) {
         match serde_json::from_slice::<LedgerChange>(bytes) {
             Ok(change) => {
                 let now = self.gateway.now();
@@ -187,7 +187,7 @@
         loop {
             match self.socket.recv_from(&mut buffer).await {
                 Ok((len, from)) => match Datagram::decode(&buffer[..len]) {
-                    Ok(datagram) => self.take(datagram, from).await,
+                    Ok(datagram) => self.handle(datagram, from).await,
                     Err(error) => {
                         let error = error.to_string();
                         self.gateway
@@ -235,7 +235,7 @@
             .filter(|free| free.tokens > 0)
             .collect();
         let limits = state.book.limits_to_tell(now).into_iter();
-        let limits = limits.map(|(identity, word)| ToldLimit::of(now, identity, word));
+        let limits = limits.map(|(identity, limit)| LimitReport::of(now, identity, limit));
         let digest = Digest {
             unix_ms: crate::clock::own_unix_ms(),
             catalogue_version: state.catalogue.version(),
@@ -247,55 +247,58 @@
             free,
             is_stopping: state.is_stopping,
             known_instances: state.known_instances(),
-            heard_instances: state.heard_instances(),
+            discovered_instances: state.discovered_instances(),
             is_watcher: state.is_watcher(now),
             capacity_percent: self.gateway.options.capacity_percent,
             data_centre: self.gateway.options.identity.data_centre.clone(),
-            writer: state.best_in_touch(now),
-            suspects: suspects.into_iter().map(ToldSuspect::of).collect(),
+            writer: state.writer_report(now),
+            suspects: suspects.into_iter().map(SuspectReport::of).collect(),
             limits: limits.collect(),
             ledger_version: state.holder.ledger_version(),
             store_history: state.holder.store_history(),
-            emptied_version: state.book.emptied().version().unwrap_or_default(),
-            emptied: state.book.emptied().names(),
+            evacuated_version: state.book.emptied().version().unwrap_or_default(),
+            evacuated: state.book.emptied().names(),
             ..Digest::default()
         };
         digest.with_departures(&state.book.draining(now), &state.vanished(now))
     }
 
-    async fn take(&self, datagram: Datagram, from: SocketAddr) {
+    async fn handle(&self, datagram: Datagram, from: SocketAddr) {
         let Some(body) = datagram.body else {
             return;
         };
         match body {
             DatagramBody::Digest(digest) => {
-                let is_new = self.take_digest(&datagram.from, datagram.incarnation, &digest, from);
-                self.hear_suspects(&datagram.from, &digest.suspects);
+                let is_new =
+                    self.handle_digest(&datagram.from, datagram.incarnation, &digest, from);
+                self.handle_suspects(&datagram.from, &digest.suspects);
                 self.introduce(&digest, is_new, from).await;
             }
-            DatagramBody::Ask(ask) => self.answer_ask(&datagram.from, ask, from).await,
-            DatagramBody::Change(bytes) => self.take_change(&bytes),
-            DatagramBody::Give(gift) => self.take_gift(&datagram.from, datagram.incarnation, &gift),
-            DatagramBody::Report(report) => self.take_report(report),
+            DatagramBody::Ask(ask) => self.answer_token_request(&datagram.from, ask, from).await,
+            DatagramBody::Change(bytes) => self.apply_change(&bytes),
+            DatagramBody::Give(transfer) => {
+                self.accept_transfer(&datagram.from, datagram.incarnation, &transfer);
+            }
+            DatagramBody::Report(report) => self.handle_report(report),
             DatagramBody::Reading(reading) => {
                 let now = self.gateway.now();
                 let book = &mut self.gateway.state().book;
                 book.hear_reading(now, &reading.identity(), reading.time());
             }
-            DatagramBody::Receipt(receipt) => self.take_receipt(&datagram.from, &receipt),
+            DatagramBody::Receipt(receipt) => self.handle_receipt(&datagram.from, &receipt),
             DatagramBody::Borrow(ask) => {
-                self.take_borrow(&datagram.from, datagram.incarnation, ask, from)
+                self.handle_loan_request(&datagram.from, datagram.incarnation, ask, from)
                     .await;
             }
-            DatagramBody::Lend(answer) => self.take_lend(&datagram.from, &answer),
+            DatagramBody::Lend(answer) => self.handle_loan_answer(&datagram.from, &answer),
             DatagramBody::LoanEnds(ends) => {
-                self.take_loan_ends(&datagram.from, datagram.incarnation, ends, from)
+                self.handle_loan_ends(&datagram.from, datagram.incarnation, ends, from)
                     .await;
             }
-            DatagramBody::Suspect(told) => {
-                self.hear_suspects(&datagram.from, std::slice::from_ref(&told));
+            DatagramBody::Suspect(report) => {
+                self.handle_suspects(&datagram.from, std::slice::from_ref(&report));
             }
-            DatagramBody::LoanEndsTaken(taken) => self.take_loan_ends_taken(&taken, from),
+            DatagramBody::LoanEndsTaken(taken) => self.handle_loan_ends_ack(&taken, from),
         }
     }
 
--- a/crates/damaskstile-gateway/src/peers/addresses.rs
+++ b/crates/damaskstile-gateway/src/peers/addresses.rs
@@ -14,17 +14,17 @@
     /// Returns the addresses of the peers that a digest is sent to. In a small fleet these are all
     /// peers. In a large fleet they are a random subset, except that the instances that watch the
     /// store and write for others send to all.
-    pub(super) fn addresses(&self) -> Vec<SocketAddr> {
+    pub(super) fn digest_recipients(&self) -> Vec<SocketAddr> {
         let gateway = &self.gateway;
         let now = gateway.now();
         let mut state = gateway.state();
-        let mut known = self.known(&state);
+        let mut known = self.known_peers(&state);
         if known.is_empty() {
             known.extend(&gateway.options.seeds);
             known.remove(&gateway.options.peers_address);
         }
         let mut addresses: Vec<SocketAddr> = known.into_iter().collect();
-        let is_to_all = state.must_tell_all(now);
+        let is_to_all = state.must_send_to_all(now);
         while !is_to_all && addresses.len() > DIGEST_FANOUT {
             let index = state.random.index(addresses.len());
             addresses.swap_remove(index);
@@ -34,11 +34,11 @@
 
     /// Returns the addresses of all peers that the ledger lists or that were discovered through
     /// gossip.
-    pub(super) fn all(&self) -> BTreeSet<SocketAddr> {
-        self.known(&self.gateway.state())
+    pub(super) fn all_peers(&self) -> BTreeSet<SocketAddr> {
+        self.known_peers(&self.gateway.state())
     }
 
-    fn known(&self, state: &State) -> BTreeSet<SocketAddr> {
+    fn known_peers(&self, state: &State) -> BTreeSet<SocketAddr> {
         let mut known = listed_addresses(state);
         known.extend(state.members.values().map(|member| member.address));
         known.remove(&self.gateway.options.peers_address);
@@ -47,7 +47,7 @@
 
     /// Returns the addresses of the other instances that write to the ledger: all of a small fleet,
     /// and none in a large fleet, where a writer does not send its changes to peers.
-    pub(super) fn writers(&self) -> BTreeSet<SocketAddr> {
+    pub(super) fn other_writers(&self) -> BTreeSet<SocketAddr> {
         let state = self.gateway.state();
         if state.is_large_fleet() {
             return BTreeSet::new();
--- a/crates/damaskstile-gateway/src/peers/catalogue_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/catalogue_answer.rs
@@ -4,7 +4,7 @@
 use damaskstile_core::random::stable_hash_of_bytes;
 
 use crate::content_changes::rebuild;
-use crate::follow::take_catalogue;
+use crate::follow::apply_catalogue;
 use crate::gateway::Gateway;
 use crate::objects::StoredObject;
 use crate::state::State;
@@ -55,14 +55,14 @@
 
 /// Applies a pulled catalogue. An answer that does not reproduce the peer's catalogue is dropped;
 /// the catalogue is then pulled again or read from the store.
-pub(super) fn take(gateway: &Gateway, answer: PullAnswer, source: &str) {
+pub(super) fn apply(gateway: &Gateway, answer: PullAnswer, source: &str) {
     if answer.version == 0 {
         return;
     }
     let content = if answer.base == 0 {
         Some(answer.content)
     } else {
-        put_together(gateway, &answer)
+        rebuild_catalogue(gateway, &answer)
     };
     let Some(content) = content else {
         return;
@@ -72,13 +72,13 @@
         version: answer.version,
         content,
     };
-    take_catalogue(gateway, &object, source);
+    apply_catalogue(gateway, &object, source);
 }
 
-fn put_together(gateway: &Gateway, answer: &PullAnswer) -> Option<Bytes> {
+fn rebuild_catalogue(gateway: &Gateway, answer: &PullAnswer) -> Option<Bytes> {
     let known = gateway.state().stored_catalogue.clone();
     let base = known.filter(|object| object.version == answer.base)?;
     let content = rebuild(&base.content, &answer.pieces)?;
-    let is_theirs = answer.content_hash == Some(stable_hash_of_bytes(&content));
-    is_theirs.then(|| Bytes::from(content))
+    let is_identical = answer.content_hash == Some(stable_hash_of_bytes(&content));
+    is_identical.then(|| Bytes::from(content))
 }
--- a/crates/damaskstile-gateway/src/peers/datagram.rs
+++ b/crates/damaskstile-gateway/src/peers/datagram.rs
@@ -4,7 +4,7 @@
 use damaskstile_escrow::{Receipt, Report};
 use damaskstile_loans::{LoanAnswer, LoanAsk, LoanEnds, LoanEndsTaken};
 
-use super::{AskTokens, Digest, GiveTokens, Reading, ToldSuspect};
+use super::{AskTokens, Digest, GiveTokens, Reading, SuspectReport};
 
 /// `DatagramBody` is the payload of a datagram.
 #[derive(prost::Oneof, Clone, PartialEq)]
@@ -44,7 +44,7 @@
     LoanEndsTaken(LoanEndsTaken),
     /// What the sender knows of a suspect content.
     #[prost(message, tag = "14")]
-    Suspect(ToldSuspect),
+    Suspect(SuspectReport),
 }
 
 impl DatagramBody {
--- a/crates/damaskstile-gateway/src/peers/digest.rs
+++ b/crates/damaskstile-gateway/src/peers/digest.rs
@@ -2,7 +2,7 @@
 
 use damaskstile_core::prelude::*;
 
-use super::{PeerWord, ToldLimit, ToldSuspect, ToldTarget};
+use super::{LimitReport, PeerReport, SuspectReport, TargetReport};
 
 /// `AccountTokens` is a number of tokens of one account.
 #[derive(prost::Message, Clone, PartialEq)]
@@ -38,17 +38,17 @@
     pub leaving: Vec<String>,
     /// Targets without a stated start that were delisted.
     #[prost(string, repeated, tag = "8")]
-    pub vanished: Vec<String>,
+    pub delisted: Vec<String>,
     /// Incarnations that are draining or have ended.
     #[prost(message, repeated, tag = "12")]
-    pub leaving_incarnations: Vec<ToldTarget>,
+    pub leaving_incarnations: Vec<TargetReport>,
     /// Incarnations that were delisted.
     #[prost(message, repeated, tag = "13")]
-    pub vanished_incarnations: Vec<ToldTarget>,
+    pub delisted_incarnations: Vec<TargetReport>,
     /// List versions at which the delisted targets were gone: first for the targets without a
     /// stated start, then for the others.
     #[prost(uint64, repeated, tag = "14")]
-    pub vanished_at: Vec<u64>,
+    pub delisted_at: Vec<u64>,
     /// Tokens that the sender could reserve immediately, by account.
     #[prost(message, repeated, tag = "6")]
     pub free: Vec<AccountTokens>,
@@ -68,19 +68,19 @@
     /// The best-ranked writer, other than the sender, that the sender knows to be in touch with the
     /// store.
     #[prost(message, optional, tag = "16")]
-    pub writer: Option<PeerWord>,
+    pub writer: Option<PeerReport>,
     /// Contents that are suspected of ending targets.
     #[prost(message, repeated, tag = "18")]
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<SuspectReport>,
     /// Store version of the sender's list of evacuated data centres; 0 if it has none.
     #[prost(uint64, tag = "19")]
-    pub emptied_version: u64,
+    pub evacuated_version: u64,
     /// The evacuated data centres.
     #[prost(string, repeated, tag = "20")]
-    pub emptied: Vec<String>,
+    pub evacuated: Vec<String>,
     /// Call limits that targets advertise, or advertised until recently.
     #[prost(message, repeated, tag = "21")]
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<LimitReport>,
     /// Version of the ledger that the sender holds.
     #[prost(uint64, tag = "22")]
     pub ledger_version: u64,
@@ -89,7 +89,7 @@
     pub store_history: u64,
     /// Number of instances that the sender knows by name, itself included.
     #[prost(uint64, tag = "24")]
-    pub heard_instances: u64,
+    pub discovered_instances: u64,
     /// Whether the sender is stopping.
     #[prost(bool, tag = "7")]
     pub is_stopping: bool,
@@ -102,18 +102,18 @@
     pub fn with_departures(
         mut self,
         leaving: &[TargetIdentity],
-        vanished: &[(TargetIdentity, Version)],
+        delisted: &[(TargetIdentity, Version)],
     ) -> Self {
         (self.leaving, self.leaving_incarnations) = split(leaving);
         // The order of the versions must match the order in which `vanished_with_versions` joins
         // the two lists.
-        let (unstated, stated): (Vec<_>, Vec<_>) = vanished
+        let (unstated, stated): (Vec<_>, Vec<_>) = delisted
             .iter()
             .cloned()
             .partition(|(identity, _)| identity.incarnation.is_none());
-        let (vanished, versions): (Vec<_>, Vec<_>) = unstated.into_iter().chain(stated).unzip();
-        (self.vanished, self.vanished_incarnations) = split(&vanished);
-        self.vanished_at = versions;
+        let (delisted, versions): (Vec<_>, Vec<_>) = unstated.into_iter().chain(stated).unzip();
+        (self.delisted, self.delisted_incarnations) = split(&delisted);
+        self.delisted_at = versions;
         self
     }
 
@@ -126,29 +126,29 @@
     /// Returns the delisted targets with the list versions at which they were gone.
     #[must_use]
     pub fn vanished_with_versions(&self) -> Vec<(TargetIdentity, Version)> {
-        let versions = self.vanished_at.iter().copied();
+        let versions = self.delisted_at.iter().copied();
         // The sender's own list no longer names targets without a version of their own.
         let versions = versions.chain(std::iter::repeat(self.targets_version));
-        join(&self.vanished, &self.vanished_incarnations)
+        join(&self.delisted, &self.delisted_incarnations)
             .into_iter()
             .zip(versions)
             .collect()
     }
 }
 
-fn split(identities: &[TargetIdentity]) -> (Vec<String>, Vec<ToldTarget>) {
+fn split(identities: &[TargetIdentity]) -> (Vec<String>, Vec<TargetReport>) {
     let is_unstated = |identity: &&TargetIdentity| identity.incarnation.is_none();
     let unstated = identities.iter().filter(is_unstated);
     let unstated = unstated.map(|identity| identity.target.clone()).collect();
-    let stated = identities.iter().filter_map(ToldTarget::of).collect();
+    let stated = identities.iter().filter_map(TargetReport::of).collect();
     (unstated, stated)
 }
 
-fn join(unstated: &[String], stated: &[ToldTarget]) -> Vec<TargetIdentity> {
+fn join(unstated: &[String], stated: &[TargetReport]) -> Vec<TargetIdentity> {
     let unstated = unstated
         .iter()
         .map(|target| TargetIdentity::new(target, None));
     unstated
-        .chain(stated.iter().map(ToldTarget::identity))
+        .chain(stated.iter().map(TargetReport::identity))
         .collect()
 }
--- a/crates/damaskstile-gateway/src/peers/limit_report.rs
+++ b/crates/damaskstile-gateway/src/peers/limit_report.rs
@@ -4,9 +4,9 @@
 use damaskstile_core::time::unix_ms;
 use damaskstile_targets::LimitWord;
 
-/// `ToldLimit` is the call limit that a target advertises for all instances together.
+/// `LimitReport` is the call limit that a target advertises for all instances together.
 #[derive(prost::Message, Clone, PartialEq)]
-pub struct ToldLimit {
+pub struct LimitReport {
     /// The target.
     #[prost(string, tag = "1")]
     pub target: String,
@@ -21,28 +21,28 @@
     pub age_ms: u64,
 }
 
-impl ToldLimit {
+impl LimitReport {
     /// Makes the report of a limit as of `now`.
-    pub(super) fn of(now: Duration, identity: TargetIdentity, word: LimitWord) -> Self {
+    pub(super) fn of(now: Duration, identity: TargetIdentity, limit: LimitWord) -> Self {
         Self {
             target: identity.target,
             started_at_unix_ms: identity.incarnation,
-            calls_per_s: word.calls_per_s,
-            age_ms: unix_ms(now.saturating_sub(word.at)),
+            calls_per_s: limit.calls_per_s,
+            age_ms: unix_ms(now.saturating_sub(limit.at)),
         }
     }
 
     /// Returns the target and its limit as of `now`; `None` if the value cannot be a limit.
-    pub(super) fn word(&self, now: Duration) -> Option<(TargetIdentity, LimitWord)> {
+    pub(super) fn to_limit(&self, now: Duration) -> Option<(TargetIdentity, LimitWord)> {
         let is_limit = |calls: f64| calls.is_finite() && calls >= 0.0;
         if !self.calls_per_s.is_none_or(is_limit) {
             return None;
         }
-        let word = LimitWord {
+        let limit = LimitWord {
             calls_per_s: self.calls_per_s,
             at: now.saturating_sub(Duration::from_millis(self.age_ms)),
         };
         let identity = TargetIdentity::new(&self.target, self.started_at_unix_ms);
-        Some((identity, word))
+        Some((identity, limit))
     }
 }
--- a/crates/damaskstile-gateway/src/peers/list_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/list_answer.rs
@@ -5,7 +5,7 @@
 use damaskstile_targets::{Book, Listed};
 
 use crate::gateway::Gateway;
-use crate::state::{State, ToldChanges};
+use crate::state::{ReportedChanges, State};
 
 use super::pull_messages::{PullAnswer, PullRequest, PulledTarget};
 
@@ -13,14 +13,14 @@
 /// time limit of a pull.
 const PART_TARGETS: u64 = 1_000;
 /// Shortest interval between comparisons of this instance's list with a peer's.
-const COMPARED_INTERVAL: Duration = Duration::from_secs(10);
+const COMPARE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Makes the request for the changes since the known version of the list, or for the whole list if
 /// none is known or it differs from a peer's. From time to time the request also asks for a hash to
 /// compare the lists, which visits every target on both sides.
 pub(super) fn request(state: &mut State, now: Duration) -> PullRequest {
     let compared_at = state.compared_at.get_or_insert(now);
-    let wants_hash = now.saturating_sub(*compared_at) >= COMPARED_INTERVAL;
+    let wants_hash = now.saturating_sub(*compared_at) >= COMPARE_INTERVAL;
     if wants_hash {
         *compared_at = now;
     }
@@ -54,10 +54,10 @@
         content_hash,
         ..PullAnswer::default()
     };
-    let told = |listed: &Listed| told_target(&state.book, now, listed);
+    let to_pulled = |listed: &Listed| to_pulled_target(&state.book, now, listed);
     let changed = state.list_changes.since(since).filter(|_| since > 0);
     let Some(changed) = changed else {
-        let targets = state.book.present().map(told).collect();
+        let targets = state.book.present().map(to_pulled).collect();
         return PullAnswer { targets, ..answer };
     };
     let (there, gone): (Vec<_>, Vec<_>) = changed
@@ -68,14 +68,14 @@
         since,
         targets: there
             .into_iter()
-            .filter_map(|(_, entry)| entry.map(told))
+            .filter_map(|(_, entry)| entry.map(to_pulled))
             .collect(),
         gone: gone.into_iter().map(|(target, _)| target.clone()).collect(),
         ..answer
     }
 }
 
-fn told_target(book: &Book, now: Duration, listed: &Listed) -> PulledTarget {
+fn to_pulled_target(book: &Book, now: Duration, listed: &Listed) -> PulledTarget {
     PulledTarget {
         target: listed.target.clone(),
         started_at_unix_ms: listed.incarnation,
@@ -88,7 +88,7 @@
     }
 }
 
-fn heard_target(book: &Book, pulled: PulledTarget) -> Option<Listed> {
+fn to_listed(book: &Book, pulled: PulledTarget) -> Option<Listed> {
     Some(Listed {
         // A peer of an older release does not send incarnations. If they were treated as unstated,
         // its whole list would be refused during an upgrade of the fleet.
@@ -106,7 +106,7 @@
 }
 
 /// Applies a pulled list or its changes.
-pub(super) fn take(gateway: &Gateway, answer: PullAnswer, source: &str) {
+pub(super) fn apply(gateway: &Gateway, answer: PullAnswer, source: &str) {
     let now = gateway.now();
     let mut state = gateway.state();
     let is_whole = answer.since == 0;
@@ -119,7 +119,7 @@
     }
     let pulled = answer.targets.into_iter();
     let listed: Vec<Listed> = pulled
-        .filter_map(|pulled| heard_target(&state.book, pulled))
+        .filter_map(|pulled| to_listed(&state.book, pulled))
         .collect();
     // Entries that lapsed during an outage get the same grace period here as at the instance that
     // read the list. An instance that relies on its peers may not have called the store meanwhile
@@ -131,9 +131,9 @@
         state.wants_whole_list = false;
     } else {
         let gone = answer.gone;
-        let changes = ToldChanges { listed, gone };
+        let changes = ReportedChanges { listed, gone };
         state.take_list_changes(now, answer.version, changes, is_around_outage);
-        note_difference(&mut state, now, answer.content_hash);
+        check_difference(&mut state, now, answer.content_hash);
     }
     drop(state);
     let version = answer.version.to_string();
@@ -149,10 +149,10 @@
 
 /// Requests the whole list with the next pull if this instance's list differs from the peer's at
 /// the same version: a change was lost in transit.
-fn note_difference(state: &mut State, now: Duration, told: Option<u64>) {
-    let Some(told) = told else {
+fn check_difference(state: &mut State, now: Duration, reported: Option<u64>) {
+    let Some(reported) = reported else {
         return;
     };
     let own = state.book.content_hash(now);
-    state.wants_whole_list |= own.is_some_and(|own| own != told);
+    state.wants_whole_list |= own.is_some_and(|own| own != reported);
 }
--- a/crates/damaskstile-gateway/src/peers/loans.rs
+++ b/crates/damaskstile-gateway/src/peers/loans.rs
@@ -11,15 +11,15 @@
 use crate::state::State;
 
 /// Time for which ended loans are batched into one message.
-const GATHER: Duration = Duration::from_millis(20);
+const ENDS_BATCH_DELAY: Duration = Duration::from_millis(20);
 /// Interval between checks for ended loans that were not acknowledged.
-const ENDS_LOOK: Duration = Duration::from_millis(250);
+const ENDS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval between checks for waiting loan requests and for loans that were never ended.
-const LENDER_LOOK: Duration = Duration::from_millis(100);
+const LENDER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Peers {
     /// Answers a peer's request for a loan of the tokens of a call.
-    pub(super) async fn take_borrow(
+    pub(super) async fn handle_loan_request(
         &self,
         from: &str,
         incarnation: Incarnation,
@@ -47,14 +47,14 @@
     }
 
     /// Processes a lender's answer.
-    pub(super) fn take_lend(&self, from: &str, answer: &LoanAnswer) {
+    pub(super) fn handle_loan_answer(&self, from: &str, answer: &LoanAnswer) {
         if self.gateway.state().borrower.hear(from, answer) {
             self.gateway.loans_heard.notify_waiters();
         }
     }
 
     /// Records ended loans and acknowledges them.
-    pub(super) async fn take_loan_ends(
+    pub(super) async fn handle_loan_ends(
         &self,
         from: &str,
         incarnation: Incarnation,
@@ -79,7 +79,7 @@
     }
 
     /// Processes a lender's acknowledgement of ended loans.
-    pub(super) fn take_loan_ends_taken(&self, taken: &LoanEndsTaken, address: SocketAddr) {
+    pub(super) fn handle_loan_ends_ack(&self, taken: &LoanEndsTaken, address: SocketAddr) {
         let mut state = self.gateway.state();
         state.borrower.ends_taken(address, taken);
     }
@@ -89,8 +89,8 @@
         loop {
             let ended = self.gateway.loans_ended.notified();
             // Woken when a loan ends, at the latest after the interval.
-            let _ = tokio::time::timeout(ENDS_LOOK, ended).await;
-            tokio::time::sleep(GATHER).await;
+            let _ = tokio::time::timeout(ENDS_CHECK_INTERVAL, ended).await;
+            tokio::time::sleep(ENDS_BATCH_DELAY).await;
             let now = self.gateway.now();
             let due = self.gateway.state().borrower.ends_due(now);
             for (address, ends) in due {
@@ -104,7 +104,7 @@
         loop {
             let round_done = self.gateway.round_done.notified();
             // Woken when a round is done, at the latest after the interval.
-            let _ = tokio::time::timeout(LENDER_LOOK, round_done).await;
+            let _ = tokio::time::timeout(LENDER_CHECK_INTERVAL, round_done).await;
             let now = self.gateway.now();
             let answers = {
                 let mut state = self.gateway.state();
--- a/crates/damaskstile-gateway/src/peers/member_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/member_answer.rs
@@ -7,7 +7,7 @@
 use crate::gateway::Gateway;
 use crate::member::Member;
 
-use super::PeerWord;
+use super::PeerReport;
 use super::pull_messages::{PullAnswer, PullRequest};
 
 /// Makes the request.
@@ -23,7 +23,7 @@
     let now = gateway.now();
     let state = gateway.state();
     let members = state.members.iter();
-    let members = members.filter_map(|(name, member)| member.word(now, name));
+    let members = members.filter_map(|(name, member)| member.report(now, name));
     PullAnswer {
         members: members.collect(),
         ..PullAnswer::default()
@@ -32,17 +32,17 @@
 
 /// Adds the members in an answer that are not known yet. For known members the local record is
 /// better.
-pub(super) fn take(gateway: &Gateway, words: &[PeerWord]) {
+pub(super) fn apply(gateway: &Gateway, reports: &[PeerReport]) {
     let now = gateway.now();
     let own = &gateway.options.identity.instance;
     let mut state = gateway.state();
-    for word in words.iter().filter(|word| word.instance != *own) {
-        if state.members.contains_key(&word.instance) {
+    for report in reports.iter().filter(|report| report.instance != *own) {
+        if state.members.contains_key(&report.instance) {
             continue;
         }
-        if let Some(member) = Member::told(now, word) {
-            state.members.insert(word.instance.clone(), member);
-            state.book.meet(&word.instance, 0);
+        if let Some(member) = Member::from_report(now, report) {
+            state.members.insert(report.instance.clone(), member);
+            state.book.meet(&report.instance, 0);
         }
     }
 }
--- a/crates/damaskstile-gateway/src/peers/peer_report.rs
+++ b/crates/damaskstile-gateway/src/peers/peer_report.rs
@@ -1,13 +1,13 @@
 //! Reports of an instance about another one.
 
-/// `PeerWord` is what an instance reports about another one: about the best writer, or about where
+/// `PeerReport` is what an instance reports about another one: about the best writer, or about where
 /// a member is.
 ///
 /// In a large fleet an instance receives a given peer's digest only every ten seconds or so.
 /// Forwarded reports make all instances agree on the same writer within a few digests, also at a
 /// start, when each knows only some seeds.
 #[derive(prost::Message, Clone, PartialEq)]
-pub struct PeerWord {
+pub struct PeerReport {
     /// Name of the instance.
     #[prost(string, tag = "1")]
     pub instance: String,
@@ -28,5 +28,5 @@
     pub store_age_ms: u64,
     /// Milliseconds since a digest of the instance was last received.
     #[prost(uint64, tag = "7")]
-    pub heard_age_ms: u64,
+    pub received_age_ms: u64,
 }
--- a/crates/damaskstile-gateway/src/peers/pull.rs
+++ b/crates/damaskstile-gateway/src/peers/pull.rs
@@ -24,18 +24,18 @@
 const FRAME_BYTES_MAX: usize = 2 * 1024 * 1024;
 /// Time limit for one part of a pull: 100 KB for each of ten concurrent peers over 10 Mbit/s, with
 /// a margin.
-const PULL_LIMIT: Duration = Duration::from_millis(1_500);
+const PULL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Attempts before a pull is given up. After that, the next digest of a peer starts another one.
-const PULLS_MAX: usize = 4;
+const PULL_ATTEMPTS_MAX: usize = 4;
 /// Upper bound of the random pause between attempts, in milliseconds.
 const PULL_PAUSE_MS: u64 = 100;
 /// Limit on concurrently served pulls. More would share the link until all of them time out; a
 /// refused peer asks another instance.
-const ANSWERS_MAX: usize = 6;
+const SERVED_PULLS_MAX: usize = 6;
 /// Longest time for which a pulled catalogue may occupy the link. Instances that have the catalogue
 /// pass it on, so some hundreds of instances have it after eight such times, well within the time
 /// limit for a change to take effect.
-const PULLED_TIME_MAX: Duration = Duration::from_millis(60);
+const WHOLE_CATALOGUE_TIME_MAX: Duration = Duration::from_millis(60);
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
@@ -48,12 +48,12 @@
         return;
     }
     tokio::time::sleep(delay).await;
-    for pulls_left in (0..PULLS_MAX).rev() {
+    for attempts_left in (0..PULL_ATTEMPTS_MAX).rev() {
         if !lacks(&gateway, wanted) {
             break;
         }
         // The last attempt goes to the peer that announced the data and so has all of it.
-        let source = if pulls_left == 0 {
+        let source = if attempts_left == 0 {
             peer
         } else {
             let now = gateway.now();
@@ -82,7 +82,7 @@
         return 0;
     }
     let link_bytes_per_s = u128::from(gateway.options.link_bytes_per_s);
-    let bytes = link_bytes_per_s * PULLED_TIME_MAX.as_millis() / 1000;
+    let bytes = link_bytes_per_s * WHOLE_CATALOGUE_TIME_MAX.as_millis() / 1000;
     u64::try_from(bytes).unwrap_or(u64::MAX)
 }
 
@@ -105,10 +105,10 @@
     };
     let source = peer.to_string();
     match wanted {
-        Wanted::Targets(_) => list_answer::take(gateway, answer, &source),
-        Wanted::Members => member_answer::take(gateway, &answer.members),
+        Wanted::Targets(_) => list_answer::apply(gateway, answer, &source),
+        Wanted::Members => member_answer::apply(gateway, &answer.members),
         Wanted::Catalogue(_) if answer.version == 0 => return false,
-        Wanted::Catalogue(_) => catalogue_answer::take(gateway, answer, &source),
+        Wanted::Catalogue(_) => catalogue_answer::apply(gateway, answer, &source),
     }
     true
 }
@@ -121,10 +121,10 @@
         frames.send(Bytes::from(request.encode_to_vec())).await?;
         std::io::Result::Ok(frames)
     };
-    let mut frames = timeout(PULL_LIMIT, begin).await??;
+    let mut frames = timeout(PULL_TIMEOUT, begin).await??;
     let mut whole: Option<PullAnswer> = None;
     loop {
-        let frame = timeout(PULL_LIMIT, frames.next()).await?;
+        let frame = timeout(PULL_TIMEOUT, frames.next()).await?;
         let frame = frame.ok_or(std::io::ErrorKind::UnexpectedEof)??;
         let part = PullAnswer::decode(frame).map_err(std::io::Error::other)?;
         let has_more = part.has_more;
@@ -140,18 +140,18 @@
 
 /// Serves pulls until the process ends.
 pub async fn serve(gateway: Arc<Gateway>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(ANSWERS_MAX));
+    let permits = Arc::new(Semaphore::new(SERVED_PULLS_MAX));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+                let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                     continue;
                 };
                 let answering = answer(Arc::clone(&gateway), stream);
                 let answering = async move {
                     // A peer that receives no answer pulls again.
                     let _ = answering.await;
-                    drop(place);
+                    drop(permit);
                 };
                 spawn_counted(&gateway, "answer_pulls", answering);
             }
@@ -166,7 +166,7 @@
 
 async fn answer(gateway: Arc<Gateway>, stream: TcpStream) -> std::io::Result<()> {
     let mut frames = Framed::new(stream, codec());
-    let Some(frame) = timeout(PULL_LIMIT, frames.next()).await? else {
+    let Some(frame) = timeout(PULL_TIMEOUT, frames.next()).await? else {
         return Ok(());
     };
     let request = PullRequest::decode(frame?).map_err(std::io::Error::other)?;
@@ -189,7 +189,7 @@
         gateway.sent_bytes.add(duty, bytes.len());
         let now = gateway.now();
         gateway.state().pressure.note_sent(now, bytes.len());
-        timeout(PULL_LIMIT, frames.send(Bytes::from(bytes))).await??;
+        timeout(PULL_TIMEOUT, frames.send(Bytes::from(bytes))).await??;
     }
     Ok(())
 }
--- a/crates/damaskstile-gateway/src/peers/pull_messages.rs
+++ b/crates/damaskstile-gateway/src/peers/pull_messages.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 
-use super::PeerWord;
+use super::PeerReport;
 use crate::content_changes::ContentPiece;
 
 /// `PullRequest` names the data to pull.
@@ -74,7 +74,7 @@
     pub(super) has_more: bool,
     /// The known members.
     #[prost(message, repeated, tag = "11")]
-    pub(super) members: Vec<PeerWord>,
+    pub(super) members: Vec<PeerReport>,
 }
 
 /// `PulledTarget` is an entry of the list of targets.
--- a/crates/damaskstile-gateway/src/peers/received_digest.rs
+++ b/crates/damaskstile-gateway/src/peers/received_digest.rs
@@ -28,7 +28,7 @@
 
 impl Peers {
     /// Processes a digest; returns whether its sender is new.
-    pub(super) fn take_digest(
+    pub(super) fn handle_digest(
         &self,
         from: &str,
         incarnation: u64,
@@ -52,10 +52,10 @@
         // While this instance is in touch with the store, its own list is newer than what peers
         // report.
         let is_follower = !state.is_watcher(now);
-        let is_list_told = is_store_lost || is_follower;
-        let vanished = digest.vanished_with_versions();
-        for (target, version) in vanished.into_iter().filter(|_| is_list_told) {
-            if state.take_vanished(now, &target, version) {
+        let uses_reported_list = is_store_lost || is_follower;
+        let delisted = digest.vanished_with_versions();
+        for (target, version) in delisted.into_iter().filter(|_| uses_reported_list) {
+            if state.apply_delisting(now, &target, version) {
                 left.push(target);
             }
         }
@@ -77,20 +77,24 @@
         state.holder.hear_ledger_version(digest.ledger_version);
         let has_entered = state.holder.enter_history(digest.store_history);
         let mut limits = Vec::new();
-        for (target, word) in digest.limits.iter().filter_map(|told| told.word(now)) {
-            if state.book.hear_limit(now, &target, word) {
-                limits.push((target, word));
+        for (target, limit) in digest
+            .limits
+            .iter()
+            .filter_map(|report| report.to_limit(now))
+        {
+            if state.book.hear_limit(now, &target, limit) {
+                limits.push((target, limit));
             }
         }
-        if let Some(word) = &digest.writer {
-            state.hear_of(now, word);
+        if let Some(report) = &digest.writer {
+            state.apply_peer_report(now, report);
         }
         let is_new =
-            is_new.is_none_or(|member| member.incarnation != incarnation || member.is_told);
+            is_new.is_none_or(|member| member.incarnation != incarnation || member.is_reported);
         let lacks_members = state.lacks_members();
         drop(state);
-        if digest.emptied_version > 0 {
-            emptied_list::hear(gateway, digest.emptied_version, &digest.emptied, from);
+        if digest.evacuated_version > 0 {
+            emptied_list::apply_report(gateway, digest.evacuated_version, &digest.evacuated, from);
         }
         if has_entered {
             gateway.round_wanted.notify_one();
@@ -98,8 +102,8 @@
         if is_new {
             gateway.log(EventCode::MemberJoined, &[("peer", from)]);
         }
-        for (target, word) in limits {
-            log_limit(gateway, &target, word.calls_per_s, from);
+        for (target, limit) in limits {
+            log_limit(gateway, &target, limit.calls_per_s, from);
         }
         for target in left {
             let incarnation = incarnation_text(target.incarnation);
--- a/crates/damaskstile-gateway/src/peers/reports.rs
+++ b/crates/damaskstile-gateway/src/peers/reports.rs
@@ -9,9 +9,10 @@
 /// Maximum number of forwards of a report: enough for an instance that knows only a seed, and a
 /// bound on forwarding when two instances each take the other for the writer.
 const HOPS_MAX: u32 = 2;
+
 impl Peers {
     /// Accepts a peer's report, to be written with the next round, or forwards it to the writer.
-    pub(super) fn take_report(&self, mut report: Report) {
+    pub(super) fn handle_report(&self, mut report: Report) {
         let gateway = &self.gateway;
         let now = gateway.now();
         let is_urgent = report.is_urgent();
@@ -41,7 +42,7 @@
     }
 
     /// Processes a receipt for this instance's own report.
-    pub(super) fn take_receipt(&self, from: &str, receipt: &Receipt) {
+    pub(super) fn handle_receipt(&self, from: &str, receipt: &Receipt) {
         let gateway = &self.gateway;
         let now = gateway.now();
         if !gateway.state().holder.take_receipt(now, receipt) {
--- a/crates/damaskstile-gateway/src/peers/suspect_report.rs
+++ b/crates/damaskstile-gateway/src/peers/suspect_report.rs
@@ -7,9 +7,9 @@
 /// Limit on ends accepted from one message: more than are ever reported for one content.
 const ENDS_MAX: usize = 64;
 
-/// `ToldEnd` reports the end of a target.
+/// `TargetEndReport` reports the end of a target.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct ToldEnd {
+pub struct TargetEndReport {
     /// The target.
     #[prost(string, tag = "1")]
     pub target: TargetId,
@@ -21,9 +21,9 @@
     pub age_ms: u64,
 }
 
-/// `ToldSuspect` reports a content under which targets have ended.
+/// `SuspectReport` reports a content under which targets have ended.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct ToldSuspect {
+pub struct SuspectReport {
     /// Fingerprint of the content.
     #[prost(bytes = "vec", tag = "1")]
     pub fingerprint: Vec<u8>,
@@ -32,31 +32,31 @@
     pub account: AccountId,
     /// Targets that ended while running it.
     #[prost(message, repeated, tag = "3")]
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<TargetEndReport>,
     /// Milliseconds since it last ran to completion.
     #[prost(uint64, optional, tag = "4")]
     pub cleared_age_ms: Option<u64>,
 }
 
-impl ToldSuspect {
-    pub(super) fn of(word: SuspectWord) -> Self {
-        let ends = word.ends.into_iter();
+impl SuspectReport {
+    pub(super) fn of(suspect: SuspectWord) -> Self {
+        let ends = suspect.ends.into_iter();
         Self {
-            fingerprint: word.fingerprint.to_bytes(),
-            account: word.account,
+            fingerprint: suspect.fingerprint.to_bytes(),
+            account: suspect.account,
             ends: ends
-                .map(|(identity, age)| ToldEnd {
+                .map(|(identity, age)| TargetEndReport {
                     target: identity.target,
                     incarnation: identity.incarnation,
                     age_ms: unix_ms(age),
                 })
                 .collect(),
-            cleared_age_ms: word.cleared_age.map(unix_ms),
+            cleared_age_ms: suspect.cleared_age.map(unix_ms),
         }
     }
 
     /// Returns the decoded report; `None` if the fingerprint is invalid.
-    pub(super) fn word(&self) -> Option<SuspectWord> {
+    pub(super) fn to_suspect(&self) -> Option<SuspectWord> {
         let ends = self.ends.iter().take(ENDS_MAX);
         Some(SuspectWord {
             fingerprint: Fingerprint::from_bytes(&self.fingerprint)?,
--- a/crates/damaskstile-gateway/src/peers/suspects.rs
+++ b/crates/damaskstile-gateway/src/peers/suspects.rs
@@ -2,30 +2,30 @@
 
 use damaskstile_requests::Fingerprint;
 
-use super::{DatagramBody, Peers, ToldSuspect};
+use super::{DatagramBody, Peers, SuspectReport};
 
 impl Peers {
     /// Sends what is known of a content to the peers that collect target ends for it.
-    pub(super) async fn tell_suspect(&self, content: &Fingerprint) {
+    pub(super) async fn send_suspect(&self, content: &Fingerprint) {
         let now = self.gateway.now();
-        let (word, collectors) = {
+        let (suspect, collectors) = {
             let state = self.gateway.state();
-            let word = state.suspects.word(now, content);
-            (word, state.collectors(content))
+            let suspect = state.suspects.word(now, content);
+            (suspect, state.collectors(content))
         };
-        let Some(told) = word.map(ToldSuspect::of) else {
+        let Some(report) = suspect.map(SuspectReport::of) else {
             return;
         };
         for address in collectors {
-            self.send(address, DatagramBody::Suspect(told.clone()))
+            self.send(address, DatagramBody::Suspect(report.clone()))
                 .await;
         }
     }
 
     /// Processes a peer's reports of suspect contents.
-    pub(super) fn hear_suspects(&self, from: &str, told: &[ToldSuspect]) {
-        for word in told.iter().filter_map(ToldSuspect::word) {
-            self.gateway.hear_suspect(from, word);
+    pub(super) fn handle_suspects(&self, from: &str, reports: &[SuspectReport]) {
+        for suspect in reports.iter().filter_map(SuspectReport::to_suspect) {
+            self.gateway.hear_suspect(from, suspect);
         }
     }
 }
--- a/crates/damaskstile-gateway/src/peers/target_report.rs
+++ b/crates/damaskstile-gateway/src/peers/target_report.rs
@@ -2,9 +2,9 @@
 
 use damaskstile_core::prelude::*;
 
-/// `ToldTarget` names an incarnation of a target.
+/// `TargetReport` names an incarnation of a target.
 #[derive(prost::Message, Clone, PartialEq)]
-pub struct ToldTarget {
+pub struct TargetReport {
     /// The target.
     #[prost(string, tag = "1")]
     pub target: String,
@@ -13,7 +13,7 @@
     pub started_at_unix_ms: u64,
 }
 
-impl ToldTarget {
+impl TargetReport {
     /// Makes the message for an incarnation; `None` if its start is not stated.
     pub(super) fn of(identity: &TargetIdentity) -> Option<Self> {
         Some(Self {
--- a/crates/damaskstile-gateway/src/proof.rs
+++ b/crates/damaskstile-gateway/src/proof.rs
@@ -15,20 +15,20 @@
 /// for two probes within the time for which peers rely on the instance's contact with the store,
 /// and, together with the time limit of a call, it detects a lost watch within the time limit for a
 /// change to take effect. A probe costs a tenth of another call.
-const PROOF_INTERVAL: Duration = Duration::from_millis(700);
+const PROBE_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Probe interval of an instance that watches for no other and whose last call failed. It may have
 /// no other call to make for long and would take the store for lost all that time, which keeps
 /// delisted targets in use for a grace period. In an outage all instances of a large fleet do this.
-const LOST_INTERVAL: Duration = Duration::from_secs(2);
+const LOST_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Probe interval in a large fleet, where the few outage probers notify all others. If these are
 /// wrong or dead, each instance finds out itself, well within the time limit for a change to take
 /// effect after an outage.
-const LARGE_LOST_INTERVAL: Duration = Duration::from_secs(4);
+const LARGE_FLEET_PROBE_INTERVAL: Duration = Duration::from_secs(4);
 /// Upper bound of the random addition to that interval, in milliseconds, so that instances do not
 /// probe together.
-const LARGE_LOST_JITTER_MS: u64 = 1_000;
+const LARGE_FLEET_PROBE_JITTER_MS: u64 = 1_000;
 
 /// Probes the store when needed, until the process ends.
 pub async fn keep(gateway: Arc<Gateway>) {
@@ -36,15 +36,15 @@
         let silence = silence(&gateway);
         let interval = interval(&gateway);
         if interval.is_some_and(|interval| silence >= interval) {
-            prove(&gateway).await;
+            probe_store(&gateway).await;
             // A store that refuses immediately is not probed more often than one that does not
             // answer.
-            let pause = interval.unwrap_or(PROOF_INTERVAL).max(PROOF_INTERVAL);
+            let pause = interval.unwrap_or(PROBE_INTERVAL).max(PROBE_INTERVAL);
             tokio::time::sleep(pause).await;
         } else {
-            let left = PROOF_INTERVAL.checked_sub(silence);
-            let pause = left.unwrap_or(PROOF_INTERVAL);
-            tokio::time::sleep(pause.max(PROOF_INTERVAL / 4)).await;
+            let left = PROBE_INTERVAL.checked_sub(silence);
+            let pause = left.unwrap_or(PROBE_INTERVAL);
+            tokio::time::sleep(pause.max(PROBE_INTERVAL / 4)).await;
         }
     }
 }
@@ -60,19 +60,23 @@
         return None;
     }
     if !state.may_call_store(now) {
-        let jitter_ms = state.random.below(LARGE_LOST_JITTER_MS);
-        let interval = LARGE_LOST_INTERVAL + Duration::from_millis(jitter_ms);
-        let is_scout = state.is_scout(now);
-        return Some(if is_scout { PROOF_INTERVAL } else { interval });
+        let jitter_ms = state.random.below(LARGE_FLEET_PROBE_JITTER_MS);
+        let interval = LARGE_FLEET_PROBE_INTERVAL + Duration::from_millis(jitter_ms);
+        let is_outage_prober = state.is_outage_prober(now);
+        return Some(if is_outage_prober {
+            PROBE_INTERVAL
+        } else {
+            interval
+        });
     }
     if state.is_watcher(now) {
-        return Some(PROOF_INTERVAL);
+        return Some(PROBE_INTERVAL);
     }
-    is_lost.then_some(LOST_INTERVAL)
+    is_lost.then_some(LOST_PROBE_INTERVAL)
 }
 
 /// Probes the store once.
-pub(crate) async fn prove(gateway: &Gateway) {
+pub(crate) async fn probe_store(gateway: &Gateway) {
     match gateway.store.probe().await {
         Ok(()) => note_answer(gateway),
         Err(error) => note_failure(gateway, &error),
--- a/crates/damaskstile-gateway/src/reservation.rs
+++ b/crates/damaskstile-gateway/src/reservation.rs
@@ -43,7 +43,7 @@
     /// The call is in progress, or its caller has left.
     Open,
     /// A complete answer was delivered whose tokens were not counted.
-    Whole,
+    Complete,
     /// The call failed for a reason other than its caller.
     Failed,
 }
@@ -116,7 +116,7 @@
         Arc::clone(&self.charge)
     }
 
-    fn note_charge(&self) {
+    fn update_charge(&self) {
         self.charge.set(self.used_tokens(), self.delivered_events);
     }
 
@@ -124,42 +124,42 @@
     pub fn sending(&mut self) {
         self.had_run = self.may_have_run;
         self.may_have_run = true;
-        self.note_charge();
+        self.update_charge();
     }
 
     /// Records that the target of the latest send proved that it has not run the call.
     pub fn not_run(&mut self) {
         self.may_have_run = self.had_run;
-        self.note_charge();
+        self.update_charge();
     }
 
     /// Records that another event is delivered to the caller.
     pub fn delivering(&mut self) {
         self.delivered_events += 1;
-        self.note_charge();
+        self.update_charge();
     }
 
     /// Records that a complete answer is delivered, whose tokens are not counted on the way.
     pub fn delivering_whole(&mut self) {
-        self.ending = Ending::Whole;
-        self.note_charge();
+        self.ending = Ending::Complete;
+        self.update_charge();
     }
 
     /// Records that the call failed for a reason other than its caller.
     pub fn failed(&mut self) {
         self.ending = Ending::Failed;
-        self.note_charge();
+        self.update_charge();
     }
 
     /// Returns the number of tokens to charge for the call so far.
     #[must_use]
     pub fn used_tokens(&self) -> u64 {
-        let is_in_vain = self.ending == Ending::Failed && self.delivered_events == 0;
-        if !self.may_have_run || is_in_vain {
+        let is_undelivered_failure = self.ending == Ending::Failed && self.delivered_events == 0;
+        if !self.may_have_run || is_undelivered_failure {
             return 0;
         }
         let delivered = self.delivered_events.saturating_mul(self.tokens_per_event);
-        let output_tokens = if self.ending == Ending::Whole {
+        let output_tokens = if self.ending == Ending::Complete {
             self.output_tokens_max
         } else {
             delivered.min(self.output_tokens_max)
--- a/crates/damaskstile-gateway/src/rounds.rs
+++ b/crates/damaskstile-gateway/src/rounds.rs
@@ -23,7 +23,7 @@
 /// Object name of the ledger.
 const LEDGER_NAME: &str = "main";
 /// Interval between checks whether a round is due.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Shortest interval between rounds, so that refused writes do not turn into a stream of calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -43,7 +43,7 @@
         // The next check runs when a call lacks tokens, at the latest after the interval.
         let now = gateway.now();
         let urgent_wait = gateway.state().holder.urgent_wait(now);
-        let wait = urgent_wait.map_or(LOOK_INTERVAL, |wait| wait.min(LOOK_INTERVAL));
+        let wait = urgent_wait.map_or(CHECK_INTERVAL, |wait| wait.min(CHECK_INTERVAL));
         let _ = tokio::time::timeout(wait, gateway.round_wanted.notified()).await;
         look(&gateway).await;
         tokio::time::sleep(CALL_INTERVAL).await;
@@ -64,7 +64,7 @@
     if writer.is_none() && !gateway.state().may_call_store(now) {
         return;
     }
-    if writer.is_none() && must_wait_for_peers(gateway) && may_go_by_peers(gateway) {
+    if writer.is_none() && must_wait_for_peers(gateway) && may_rely_on_peers(gateway) {
         return;
     }
     if must_read(gateway) {
@@ -137,8 +137,8 @@
     };
     state.holder.set_role(role);
     let (name, address) = writer.unzip();
-    let is_new = state.writer_known != name;
-    state.writer_known.clone_from(&name);
+    let is_new = state.known_writer != name;
+    state.known_writer.clone_from(&name);
     drop(state);
     if is_new {
         let name = name.unwrap_or_else(|| "-".to_owned());
@@ -166,7 +166,7 @@
 /// Returns whether peers may make this instance's first read of the ledger unnecessary. In a large
 /// fleet they do, and until a peer is known the fleet may be large. A seed, which others contact
 /// first, reads the ledger immediately.
-fn may_go_by_peers(gateway: &Gateway) -> bool {
+fn may_rely_on_peers(gateway: &Gateway) -> bool {
     let now = gateway.now();
     let state = gateway.state();
     if state.holder.ledger_age(now).is_some() || state.is_large_fleet() {
@@ -222,9 +222,9 @@
     let mut state = gateway.state();
     let checked = ledger.and_then(|ledger| {
         // A stale copy from an earlier history lacks what was written since.
-        let is_copy = ledger.history < state.holder.store_history();
+        let is_stale_copy = ledger.history < state.holder.store_history();
         let is_newer = object.version > state.holder.ledger_version();
-        let fault = if is_copy || !is_newer {
+        let fault = if is_stale_copy || !is_newer {
             ledger.fault()
         } else {
             ledger.fault_after(state.holder.ledger())
@@ -267,13 +267,13 @@
         .store
         .write(LEDGER_KIND, LEDGER_NAME, expected, Bytes::from(content));
     let written = written.await;
-    let name = number.to_string();
+    let round_number = number.to_string();
     let expected = expected.to_string();
-    let fields = [("round", name.as_str()), ("on", expected.as_str())];
+    let fields = [("round", round_number.as_str()), ("on", expected.as_str())];
     match written {
         Ok(version) => {
             note_answer(gateway);
-            tell(gateway, version, round);
+            commit(gateway, version, round);
             gateway.log(EventCode::RoundWritten, &fields);
             true
         }
@@ -303,9 +303,9 @@
 }
 
 /// Applies a committed round and notifies the peers concerned.
-fn tell(gateway: &Gateway, version: Version, round: Round) {
+fn commit(gateway: &Gateway, version: Version, round: Round) {
     for settlement in &round.settlements {
-        note_settlement(gateway, settlement);
+        log_settlement(gateway, settlement);
     }
     let instance = &gateway.options.identity.instance;
     let change = LedgerChange::try_new(&round, instance, version);
@@ -327,7 +327,7 @@
     }
 }
 
-fn note_settlement(gateway: &Gateway, settlement: &Settlement) {
+fn log_settlement(gateway: &Gateway, settlement: &Settlement) {
     let lived = settlement.lived;
     let lived_ms = lived.map_or_else(|| "unknown".to_owned(), |time| time.as_millis().to_string());
     let spent_of_granted = settlement.to_string();
--- a/crates/damaskstile-gateway/src/state.rs
+++ b/crates/damaskstile-gateway/src/state.rs
@@ -34,14 +34,14 @@
 
 use lenders::Lenders;
 pub use lenders::LendersToAsk;
-pub use targets::ToldChanges;
+pub use targets::ReportedChanges;
 
 /// Window over which requests are counted for the retry budget, which is a share of them.
 const RETRY_SPAN: Duration = Duration::from_secs(10);
 
 /// Most peers that are asked for the missing tokens of one call: enough for a long call when each
 /// peer holds tokens for a few short ones, at two messages per peer.
-const GIVERS_MAX: usize = 6;
+const TOKEN_SENDERS_MAX: usize = 6;
 
 /// Age past which a peer's digest no longer shows its free tokens.
 const MEMBER_AGE_MAX: Duration = Duration::from_millis(1_500);
@@ -90,9 +90,9 @@
     pub catalogue_fault: Option<String>,
     /// Store history in which evacuated data centres were last listed, and the time of the first
     /// listing after the store was restored from an older copy.
-    pub emptied_listed: Option<(History, Option<Duration>)>,
+    pub evacuated_listed: Option<(History, Option<Duration>)>,
     /// Last fault of an entry that names no data centre.
-    pub emptied_fault: Option<String>,
+    pub evacuated_fault: Option<String>,
     /// Fault of the stored ledger while it is unusable.
     pub ledger_fault: Option<LedgerFault>,
     /// History that the store was last seen in.
@@ -117,11 +117,11 @@
     /// Tokens that calls at this instance lack, by account.
     pub wanted_tokens: BTreeMap<AccountId, u64>,
     /// Number of token transfers made.
-    pub gifts_made: u64,
+    pub transfers_made: u64,
     /// Numbers of the accepted token transfers, by sender and its incarnation.
-    pub gifts_taken: BTreeMap<(InstanceId, Incarnation), BTreeSet<u64>>,
+    pub transfers_accepted: BTreeMap<(InstanceId, Incarnation), BTreeSet<u64>>,
     /// The peer that writes for this instance, as last determined.
-    pub writer_known: Option<InstanceId>,
+    pub known_writer: Option<InstanceId>,
     /// Contents that are suspected of ending targets.
     pub suspects: Suspects,
     /// Durations of calls, by route.
@@ -171,8 +171,8 @@
             stored_catalogue: None,
             catalogue_changes: ContentChanges::default(),
             catalogue_fault: None,
-            emptied_listed: None,
-            emptied_fault: None,
+            evacuated_listed: None,
+            evacuated_fault: None,
             ledger_fault: None,
             store_history: None,
             targets_version: 0,
@@ -184,9 +184,9 @@
             fleet_clock: FleetClock::default(),
             pulling: BTreeSet::new(),
             wanted_tokens: BTreeMap::new(),
-            gifts_made: 0,
-            gifts_taken: BTreeMap::new(),
-            writer_known: None,
+            transfers_made: 0,
+            transfers_accepted: BTreeMap::new(),
+            known_writer: None,
             suspects: Suspects::default(),
             call_times: CallTimes::default(),
             pressure: Pressure::new(options.link_bytes_per_s),
@@ -253,7 +253,7 @@
     /// Returns the address of the peer that last reported the most free tokens of an account.
     #[must_use]
     pub fn richest_member(&self, now: Duration, account: &str) -> Option<SocketAddr> {
-        self.rich_members(now, account)
+        self.members_by_free_tokens(now, account)
             .first()
             .map(|(_, address, _)| *address)
     }
@@ -268,7 +268,11 @@
     pub fn givers(&self, now: Duration, account: &str, tokens: u64) -> Vec<(SocketAddr, u64)> {
         let mut missing = tokens;
         let mut givers = Vec::new();
-        for (free, address, _) in self.rich_members(now, account).iter().take(GIVERS_MAX) {
+        for (free, address, _) in self
+            .members_by_free_tokens(now, account)
+            .iter()
+            .take(TOKEN_SENDERS_MAX)
+        {
             let part = missing.min(free / 2);
             if part > 0 {
                 givers.push((*address, part));
@@ -282,11 +286,15 @@
     }
 
     /// Returns the free tokens of an account that peers last reported, largest first.
-    fn rich_members(&self, now: Duration, account: &str) -> Vec<(u64, SocketAddr, &InstanceId)> {
+    fn members_by_free_tokens(
+        &self,
+        now: Duration,
+        account: &str,
+    ) -> Vec<(u64, SocketAddr, &InstanceId)> {
         let mut members: Vec<(u64, SocketAddr, &InstanceId)> = self
             .members
             .iter()
-            .filter(|(_, member)| now.saturating_sub(member.heard_at) < MEMBER_AGE_MAX)
+            .filter(|(_, member)| now.saturating_sub(member.received_at) < MEMBER_AGE_MAX)
             .filter_map(|(name, member)| {
                 Some((*member.free_tokens.get(account)?, member.address, name))
             })
--- a/crates/damaskstile-gateway/src/state/lenders.rs
+++ b/crates/damaskstile-gateway/src/state/lenders.rs
@@ -7,7 +7,7 @@
 
 /// Time after which the candidate lenders are determined anew. Instances come and go within
 /// minutes; one that is gone meanwhile is skipped because it does not answer.
-const PLACEMENT_LIFE: Duration = Duration::from_secs(2);
+const PLACEMENT_LIFETIME: Duration = Duration::from_secs(2);
 
 /// `Lenders` caches the placement of lenders and the lenders of each account.
 #[derive(Debug, Default)]
@@ -66,7 +66,7 @@
         tokens: u64,
         asked: &[Candidate],
     ) -> Option<Candidate> {
-        let members = self.rich_members(now, account).into_iter();
+        let members = self.members_by_free_tokens(now, account).into_iter();
         members
             .filter(|(free, _, name)| *free >= tokens && !self.borrower.is_silent(now, name))
             .map(|(_, address, name)| Candidate::new(name, address, ""))
@@ -74,7 +74,7 @@
     }
 
     fn place_lenders(&mut self, now: Duration) {
-        let is_fresh = |at: Duration| now.saturating_sub(at) < PLACEMENT_LIFE;
+        let is_fresh = |at: Duration| now.saturating_sub(at) < PLACEMENT_LIFETIME;
         if self.lenders.made_at.is_some_and(is_fresh) {
             return;
         }
--- a/crates/damaskstile-gateway/src/state/roles.rs
+++ b/crates/damaskstile-gateway/src/state/roles.rs
@@ -9,7 +9,7 @@
 
 use super::State;
 use crate::member::Member;
-use crate::peers::{Digest, PeerWord};
+use crate::peers::{Digest, PeerReport};
 
 /// Number of instances of a large fleet that watch the store and notify all others: one writes, and
 /// two more stand by in case it fails.
@@ -17,37 +17,37 @@
 
 /// Age past which a peer's report of contact with the store no longer counts: three digests and a
 /// call to the store.
-const TOLD_AGE_MAX: Duration = Duration::from_millis(1_800);
+const REPORT_AGE_MAX: Duration = Duration::from_millis(1_800);
 
 /// Delay for each better-ranked instance before an instance of a large fleet takes over a vacant
 /// role. Some ten instances start to take it before the first one's digest has reached all.
 const TURN: Duration = Duration::from_millis(15);
 /// Limit on the better-ranked instances that are waited for. All these delays together with
-/// [`TOLD_AGE_MAX`] fit well within the time limit for a change to take effect.
+/// [`REPORT_AGE_MAX`] fit well within the time limit for a change to take effect.
 const TURNS_MAX: u32 = 100;
 
 /// Number of instances that probe the store during an outage, as seen by each instance. Each knows
 /// only a part of the others, so the actual number is somewhat higher, and every partition of the
 /// fleet has its own.
-const SCOUTS_MAX: usize = 3;
+const OUTAGE_PROBERS_MAX: usize = 3;
 
 /// Age past which a peer is not counted among the outage probers. At ten digests per instance in
 /// 0.4 s, an instance receives digests from a hundred of three hundred peers within this time.
-const SCOUT_AGE_MAX: Duration = Duration::from_secs(5);
+const PROBER_AGE_MAX: Duration = Duration::from_secs(5);
 
 impl State {
     /// Returns whether the fleet is so large that some instances watch and write for the others.
     #[must_use]
     pub fn is_large_fleet(&self) -> bool {
         // At the first start an instance knows only some peers, which may know the others.
-        let mut told = self.members.values().map(|member| member.known_instances);
-        self.known_instances() > self.small_fleet || told.any(|known| known > self.small_fleet)
+        let mut reported = self.members.values().map(|member| member.known_instances);
+        self.known_instances() > self.small_fleet || reported.any(|known| known > self.small_fleet)
     }
 
     /// Returns the number of instances that this one knows of, itself included.
     #[must_use]
     pub fn known_instances(&self) -> u64 {
-        self.heard_instances().max(self.holder.instances())
+        self.discovered_instances().max(self.holder.instances())
     }
 
     /// Returns whether this instance watches the store for others: all of a small fleet do, and in
@@ -59,17 +59,17 @@
             return true;
         }
         let is_free = self.better_members(now).count() < WATCHERS_MAX;
-        is_free && now >= self.uncovered_at(now) + self.turn(now)
+        is_free && now >= self.vacant_since(now) + self.turn(now)
     }
 
     /// Returns when too few better-ranked instances in touch with the store were left, or when the
     /// store answered this one again.
-    fn uncovered_at(&self, now: Duration) -> Duration {
+    fn vacant_since(&self, now: Duration) -> Duration {
         let mut ends: Vec<Duration> = self
             .better_ranked()
-            .filter(|(_, member)| !member.is_told)
+            .filter(|(_, member)| !member.is_reported)
             .filter_map(|(_, member)| {
-                Some(member.heard_at + TOLD_AGE_MAX.checked_sub(member.store_age)?)
+                Some(member.received_at + REPORT_AGE_MAX.checked_sub(member.store_age)?)
             })
             .collect();
         ends.sort_unstable_by_key(|end| Reverse(*end));
@@ -99,7 +99,7 @@
     /// Counts the better-ranked instances with a recent digest, in touch with the store or not.
     fn better_present(&self, now: Duration) -> usize {
         let present = self.better_ranked().filter(|(_, member)| {
-            let is_there = now.saturating_sub(member.heard_at) < SCOUT_AGE_MAX;
+            let is_there = now.saturating_sub(member.received_at) < PROBER_AGE_MAX;
             is_there && !member.is_stopping
         });
         present.count()
@@ -110,8 +110,11 @@
     /// the store, no instance outranks another; if all sent to all, digests would fill slow links
     /// and displace important messages.
     #[must_use]
-    pub fn must_tell_all(&self, now: Duration) -> bool {
-        let is_in_touch = self.contact.age(now).is_some_and(|age| age < TOLD_AGE_MAX);
+    pub fn must_send_to_all(&self, now: Duration) -> bool {
+        let is_in_touch = self
+            .contact
+            .age(now)
+            .is_some_and(|age| age < REPORT_AGE_MAX);
         !self.is_large_fleet() || (is_in_touch && self.is_watcher(now))
     }
 
@@ -131,12 +134,12 @@
     /// instance.
     fn better_members(&self, now: Duration) -> impl Iterator<Item = (&InstanceId, &Member)> {
         let own_rank = rank(&self.instance, self.capacity_percent);
-        let is_own_lost = self.contact.age(now).is_none_or(|age| age > TOLD_AGE_MAX);
+        let is_own_lost = self.contact.age(now).is_none_or(|age| age > REPORT_AGE_MAX);
         self.members
             .iter()
             .filter(move |(_, member)| {
-                let age = now.saturating_sub(member.heard_at) + member.store_age;
-                age < TOLD_AGE_MAX && !member.is_stopping
+                let age = now.saturating_sub(member.received_at) + member.store_age;
+                age < REPORT_AGE_MAX && !member.is_stopping
             })
             .filter(move |(name, member)| {
                 is_own_lost || self.is_stopping || rank(name, member.capacity_percent) < own_rank
@@ -155,70 +158,70 @@
             return true;
         }
         // An instance that has just started has made no call yet.
-        let is_answered_lately = self.contact.age(now).is_none_or(|age| age < TOLD_AGE_MAX);
-        let is_told = self.better_members(now).next().is_some();
-        !self.contact.is_lost() && (is_answered_lately || is_told)
+        let is_answered_lately = self.contact.age(now).is_none_or(|age| age < REPORT_AGE_MAX);
+        let is_peer_answered = self.better_members(now).next().is_some();
+        !self.contact.is_lost() && (is_answered_lately || is_peer_answered)
     }
 
     /// Returns whether this instance is one of the outage probers: those that receive digests from
     /// few better-ranked instances. Contact with the store does not count, as no instance has any.
     #[must_use]
-    pub fn is_scout(&self, now: Duration) -> bool {
-        !self.is_large_fleet() || self.better_present(now) < SCOUTS_MAX
+    pub fn is_outage_prober(&self, now: Duration) -> bool {
+        !self.is_large_fleet() || self.better_present(now) < OUTAGE_PROBERS_MAX
     }
 
     /// Returns a report of the peer that writes for this instance, to be included in digests;
     /// `None` if this instance writes itself, which its digest shows.
     #[must_use]
-    pub fn best_in_touch(&self, now: Duration) -> Option<PeerWord> {
+    pub fn writer_report(&self, now: Duration) -> Option<PeerReport> {
         let (name, _) = self.writer(now)?;
         let member = self.members.get(name)?;
-        let store_age = now.saturating_sub(member.heard_at) + member.store_age;
-        Some(PeerWord {
+        let store_age = now.saturating_sub(member.received_at) + member.store_age;
+        Some(PeerReport {
             instance: name.clone(),
             incarnation: member.incarnation,
             address: member.address.to_string(),
             data_centre: member.data_centre.clone(),
             capacity_percent: member.capacity_percent,
             store_age_ms: unix_ms(store_age),
-            heard_age_ms: 0,
+            received_age_ms: 0,
         })
     }
 
     /// Applies a peer's report of the best writer if it is newer than what is known.
-    pub fn hear_of(&mut self, now: Duration, word: &PeerWord) {
-        let Ok(address) = word.address.parse() else {
+    pub fn apply_peer_report(&mut self, now: Duration, report: &PeerReport) {
+        let Ok(address) = report.address.parse() else {
             return;
         };
-        let store_age = Duration::from_millis(word.store_age_ms);
-        let known = self.members.get(&word.instance);
+        let store_age = Duration::from_millis(report.store_age_ms);
+        let known = self.members.get(&report.instance);
         let is_known = known.is_some_and(|member| {
-            now.saturating_sub(member.heard_at) + member.store_age <= store_age
+            now.saturating_sub(member.received_at) + member.store_age <= store_age
         });
-        if is_known || word.instance == self.instance || store_age >= TOLD_AGE_MAX {
+        if is_known || report.instance == self.instance || store_age >= REPORT_AGE_MAX {
             return;
         }
         let digest = Digest {
-            data_centre: word.data_centre.clone(),
-            capacity_percent: word.capacity_percent,
-            store_age_ms: word.store_age_ms,
+            data_centre: report.data_centre.clone(),
+            capacity_percent: report.capacity_percent,
+            store_age_ms: report.store_age_ms,
             is_watcher: true,
             ..Digest::default()
         };
-        let member = Member::new(word.incarnation, address, now, &digest);
-        self.members.insert(word.instance.clone(), member);
+        let member = Member::new(report.incarnation, address, now, &digest);
+        self.members.insert(report.instance.clone(), member);
     }
 
     /// Returns whether most peers with a recent digest are stopping, so that a caller that retries
     /// at once would most likely be refused again.
     #[must_use]
     pub fn are_most_peers_stopping(&self, now: Duration) -> bool {
-        let heard = self
+        let recent = self
             .members
             .values()
-            .filter(|member| !member.is_told)
-            .filter(|member| now.saturating_sub(member.heard_at) < TOLD_AGE_MAX);
-        let (stopping, serving): (Vec<_>, Vec<_>) = heard.partition(|member| member.is_stopping);
+            .filter(|member| !member.is_reported)
+            .filter(|member| now.saturating_sub(member.received_at) < REPORT_AGE_MAX);
+        let (stopping, serving): (Vec<_>, Vec<_>) = recent.partition(|member| member.is_stopping);
         stopping.len() > serving.len()
     }
 
@@ -230,14 +233,14 @@
             return true;
         }
         let watchers = self.members.values().filter(|member| member.is_watcher);
-        let told_until = watchers
+        let reported_until = watchers
             .filter_map(|member| {
-                Some(member.heard_at + TOLD_AGE_MAX.checked_sub(member.store_age)?)
+                Some(member.received_at + REPORT_AGE_MAX.checked_sub(member.store_age)?)
             })
             .max()
             .unwrap_or_default();
         let regained_at = self.contact.regained_at().unwrap_or_default();
-        now >= told_until.max(regained_at) + self.turn(now)
+        now >= reported_until.max(regained_at) + self.turn(now)
     }
 }
 
--- a/crates/damaskstile-gateway/src/state/sources.rs
+++ b/crates/damaskstile-gateway/src/state/sources.rs
@@ -26,14 +26,15 @@
     /// instance's data centre if possible. If all pulled from the few that have everything first,
     /// those would be busy for seconds.
     pub fn source(&mut self, now: Duration, wanted: Wanted) -> Option<SocketAddr> {
-        let most = self.told_instances();
+        let most = self.max_known_instances();
         let has_more = |member: &&Member| match wanted {
             Wanted::Catalogue(_) => member.catalogue_version > self.catalogue.version(),
             Wanted::Targets(_) => member.targets_version > self.targets_version,
-            Wanted::Members => knows_most(member.heard_instances, most),
+            Wanted::Members => knows_most(member.discovered_instances, most),
         };
         let members = self.members.values();
-        let lately = members.filter(|member| now.saturating_sub(member.heard_at) < SOURCE_AGE_MAX);
+        let lately =
+            members.filter(|member| now.saturating_sub(member.received_at) < SOURCE_AGE_MAX);
         let all: Vec<&Member> = lately.filter(has_more).collect();
         let own = &self.own.data_centre;
         let near = all.iter().filter(|member| member.data_centre == *own);
@@ -48,20 +49,21 @@
     /// it should pull the list of members.
     #[must_use]
     pub fn lacks_members(&self) -> bool {
-        self.is_large_fleet() && !knows_most(self.heard_instances(), self.told_instances())
+        self.is_large_fleet()
+            && !knows_most(self.discovered_instances(), self.max_known_instances())
     }
 
     /// Returns the number of instances that this one knows by name, itself included.
     #[must_use]
-    pub fn heard_instances(&self) -> u64 {
-        let heard = u64::try_from(self.members.len()).unwrap_or(u64::MAX);
-        heard.saturating_add(1)
+    pub fn discovered_instances(&self) -> u64 {
+        let members = u64::try_from(self.members.len()).unwrap_or(u64::MAX);
+        members.saturating_add(1)
     }
 
     /// Returns the highest number of instances that this one or any peer knows of.
-    fn told_instances(&self) -> u64 {
-        let told = self.members.values().map(|member| member.known_instances);
-        told.fold(self.known_instances(), u64::max)
+    fn max_known_instances(&self) -> u64 {
+        let reported = self.members.values().map(|member| member.known_instances);
+        reported.fold(self.known_instances(), u64::max)
     }
 }
 
--- a/crates/damaskstile-gateway/src/state/targets.rs
+++ b/crates/damaskstile-gateway/src/state/targets.rs
@@ -6,9 +6,9 @@
 
 use super::State;
 
-/// `ToldChanges` holds the changes in the list of targets that a peer reported.
+/// `ReportedChanges` holds the changes in the list of targets that a peer reported.
 #[derive(Debug, Clone, Default)]
-pub struct ToldChanges {
+pub struct ReportedChanges {
     /// New or changed entries.
     pub listed: Vec<Listed>,
     /// Names that were removed from the list.
@@ -42,14 +42,14 @@
         &mut self,
         now: Duration,
         version: Version,
-        changes: ToldChanges,
+        changes: ReportedChanges,
         is_around_outage: bool,
     ) {
         self.targets_version = version;
         // Includes targets that were never known here: peers may know them.
         let listed = changes.listed.iter().map(|listed| &listed.target);
-        let told: Vec<TargetId> = listed.chain(&changes.gone).cloned().collect();
-        self.list_changes.note(version, told);
+        let touched: Vec<TargetId> = listed.chain(&changes.gone).cloned().collect();
+        self.list_changes.note(version, touched);
         for target in changes.gone {
             if self.book.is_named(&target) {
                 self.book.unlist(now, &target, is_around_outage);
@@ -72,7 +72,7 @@
     /// Applies a peer's report that a target was gone at a version; returns whether it was news. It
     /// is ignored if this instance's list is as new as that and names the target, which has come
     /// back since.
-    pub fn take_vanished(
+    pub fn apply_delisting(
         &mut self,
         now: Duration,
         identity: &TargetIdentity,
@@ -90,14 +90,14 @@
     #[must_use]
     pub fn vanished(&self, now: Duration) -> Vec<(TargetIdentity, Version)> {
         let with_version = |identity: TargetIdentity| {
-            let told = self.target_words.gone_at(&identity.target);
+            let reported = self.target_words.gone_at(&identity.target);
             // A target that this instance's list does not name is gone at the list's version.
             let own = if self.book.is_named(&identity.target) {
                 0
             } else {
                 self.targets_version
             };
-            (identity, told.max(own))
+            (identity, reported.max(own))
         };
         let vanished = self.book.vanished(now).into_iter();
         vanished.map(with_version).collect()
--- a/crates/damaskstile-gateway/src/target_list.rs
+++ b/crates/damaskstile-gateway/src/target_list.rs
@@ -17,7 +17,7 @@
 }
 
 /// Applies the whole list.
-pub(crate) fn take_all(gateway: &Gateway, listing: &Listing) {
+pub(crate) fn apply_listing(gateway: &Gateway, listing: &Listing) {
     let objects = listing.objects.iter();
     let all: Vec<_> = objects.map(|object| decode(gateway, object)).collect();
     let count = all.iter().flatten().count().to_string();
@@ -37,7 +37,7 @@
 }
 
 /// Applies an entry of the list; returns whether it is news.
-pub(crate) fn take(gateway: &Gateway, object: &StoredObject) -> bool {
+pub(crate) fn apply_entry(gateway: &Gateway, object: &StoredObject) -> bool {
     let now = gateway.now();
     let entry = decode(gateway, object);
     let is_ready = matches!(&entry, Ok(listed) if listed.is_ready);
@@ -87,7 +87,7 @@
 
 /// Applies the removal of a name from the list, as reported by a watch up to a version; returns
 /// whether it is news.
-pub(crate) fn take_gone(gateway: &Gateway, name: &str, version: Version) -> bool {
+pub(crate) fn apply_removal(gateway: &Gateway, name: &str, version: Version) -> bool {
     let now = gateway.now();
     let mut state = gateway.state();
     // A newer list names the target: it has come back since.
--- a/crates/damaskstile-gateway/tests/fleets.rs
+++ b/crates/damaskstile-gateway/tests/fleets.rs
@@ -11,7 +11,7 @@
 use damaskstile_gateway::follow::{DRAWS, list_pause};
 use damaskstile_gateway::member::Member;
 use damaskstile_gateway::options::GatewayOptions;
-use damaskstile_gateway::peers::{Digest, PeerWord};
+use damaskstile_gateway::peers::{Digest, PeerReport};
 use damaskstile_gateway::state::State;
 use damaskstile_gateway::wanted::Wanted;
 use damaskstile_targets::BookOptions;
@@ -35,7 +35,7 @@
 const CLOCKS: usize = 12;
 const CLOCK_STEPS: u64 = 20;
 /// Size of one member in an answer, and capacity of a slow link in a step, both in bytes.
-const WORD_BYTES: usize = 75;
+const REPORT_BYTES: usize = 75;
 const LINK_BYTES: usize = 250_000;
 
 fn name(index: usize) -> String {
@@ -49,7 +49,7 @@
 
 fn index_of(address: SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else {
-        panic!("another kind of address");
+        panic!("not an IPv4 address");
     };
     let [_, _, high, low] = address.ip().octets();
     usize::from(high) * 200 + usize::from(low) - 1
@@ -89,7 +89,7 @@
     let store_age = state.contact.age(now);
     Digest {
         known_instances: state.known_instances(),
-        heard_instances: state.heard_instances(),
+        discovered_instances: state.discovered_instances(),
         is_watcher: state.is_watcher(now),
         store_age_ms: store_age.map_or(u64::MAX, damaskstile_core::time::unix_ms),
         capacity_percent: capacity_percent(index),
@@ -98,19 +98,19 @@
     }
 }
 
-fn hear(state: &mut State, now: Duration, from: usize, digest: &Digest) {
+fn receive(state: &mut State, now: Duration, from: usize, digest: &Digest) {
     let member = Member::new(1, address(from), now, digest);
     state.members.insert(name(from), member);
 }
 
 /// A fleet whose instances start at the same time and know only the seeds.
-struct Meeting {
+struct Fleet {
     states: Vec<State>,
     pulls_at: BTreeMap<usize, u64>,
     random: Random,
 }
 
-impl Meeting {
+impl Fleet {
     fn new(instances: usize) -> Self {
         Self {
             states: (0..instances).map(state).collect(),
@@ -121,24 +121,24 @@
 
     fn step(&mut self, step: u64) {
         let now = Duration::from_millis(step * STEP_MS);
-        let mut mail = Vec::new();
+        let mut messages = Vec::new();
         for index in 0..self.states.len() {
             if step % DIGEST_STEPS == index as u64 % DIGEST_STEPS {
-                let told = digest(&self.states[index], index, now);
-                mail.extend(
+                let message = digest(&self.states[index], index, now);
+                messages.extend(
                     self.peers_of(index)
                         .into_iter()
-                        .map(|to| (index, to, told.clone())),
+                        .map(|to| (index, to, message.clone())),
                 );
             }
         }
-        for (from, to, told) in mail {
-            hear(&mut self.states[to], now, from, &told);
+        for (from, to, message) in messages {
+            receive(&mut self.states[to], now, from, &message);
             // An instance that knows fewer than half of the instances gets a digest in return.
             let known = self.states[to].known_instances();
-            if told.known_instances * 2 < known {
+            if message.known_instances * 2 < known {
                 let answer = digest(&self.states[to], to, now);
-                hear(&mut self.states[from], now, to, &answer);
+                receive(&mut self.states[from], now, to, &answer);
             }
         }
         for (index, state) in self.states.iter().enumerate() {
@@ -173,28 +173,28 @@
                 continue;
             };
             let source = index_of(source);
-            let words: Vec<PeerWord> = {
+            let reports: Vec<PeerReport> = {
                 let members = self.states[source].members.iter();
                 members
-                    .filter_map(|(name, member)| member.word(now, name))
+                    .filter_map(|(name, member)| member.report(now, name))
                     .collect()
             };
             let sent = sent.entry(source).or_default();
-            *sent += words.len() * WORD_BYTES;
+            *sent += reports.len() * REPORT_BYTES;
             if *sent > LINK_BYTES {
                 continue;
             }
             let state = &mut self.states[index];
-            for word in words {
-                if let Some(member) = Member::told(now, &word) {
-                    state.members.entry(word.instance).or_insert(member);
+            for report in reports {
+                if let Some(member) = Member::from_report(now, &report) {
+                    state.members.entry(report.instance).or_insert(member);
                 }
             }
             self.pulls_at.remove(&index);
         }
     }
 
-    fn have_met(&self) -> bool {
+    fn have_discovered(&self) -> bool {
         self.states.iter().all(|state| !state.lacks_members())
     }
 
@@ -203,7 +203,7 @@
     fn least_heard(&self, step: u64) -> usize {
         let now = Duration::from_millis(step * STEP_MS);
         let is_recent = |member: &&Member| {
-            !member.is_told && now.saturating_sub(member.heard_at) < Duration::from_secs(2)
+            !member.is_reported && now.saturating_sub(member.received_at) < Duration::from_secs(2)
         };
         let heard = self.states.iter();
         let heard = heard.map(|state| state.members.values().filter(is_recent).count());
@@ -218,11 +218,11 @@
 }
 
 /// Returns the milliseconds until all instances of a fleet know most of the others.
-fn met_after_ms(instances: usize) -> u64 {
-    let mut fleet = Meeting::new(instances);
+fn discovery_ms(instances: usize) -> u64 {
+    let mut fleet = Fleet::new(instances);
     for step in 0..200 {
         fleet.step(step);
-        if step > 0 && fleet.have_met() {
+        if step > 0 && fleet.have_discovered() {
             assert!(fleet.least_known() * 4 >= instances * 3);
             for after in 1..=CLOCK_STEPS {
                 fleet.step(step + after);
@@ -232,16 +232,19 @@
             return step * STEP_MS;
         }
     }
-    panic!("the least known are {} of {instances}", fleet.least_known());
+    panic!(
+        "an instance knows only {} of {instances}",
+        fleet.least_known()
+    );
 }
 
 #[test]
-fn a_fleet_that_starts_knows_itself_in_seconds_whatever_its_size() {
+fn instances_of_a_starting_fleet_discover_each_other_in_seconds() {
     // Guards against instances that discover the others one by one, which takes longer the more
     // there are, or that all read the ledger for it, which fills the store's link.
 
     // Act
-    let took_ms = FLEETS.map(met_after_ms);
+    let took_ms = FLEETS.map(discovery_ms);
 
     // Assert: callers arrive seconds after a start, and a larger fleet takes one more round.
     assert!(took_ms[1] <= 3_000, "{took_ms:?}");
@@ -251,10 +254,10 @@
 /// Returns how many instances list everything at the end of an outage that affected all of them,
 /// and the time in milliseconds until the first of them have notified all others.
 fn lists_after_outage(instances: usize) -> (usize, u64) {
-    const TOLD_AFTER_MS: u64 = 150;
+    const NOTIFY_DELAY_MS: u64 = 150;
     const FINE_STEP_MS: u64 = 10;
     let mut states: Vec<State> = (0..instances).map(state).collect();
-    let heard_at = Duration::from_secs(9);
+    let received_at = Duration::from_secs(9);
     let lost = Digest {
         known_instances: instances as u64,
         store_age_ms: 8_000,
@@ -264,24 +267,24 @@
         state.contact.answered(Duration::from_secs(1));
         state.contact.failed(Duration::from_secs(2));
         for other in (0..instances).filter(|other| *other != index) {
-            let told = Digest {
+            let digest = Digest {
                 capacity_percent: capacity_percent(other),
                 data_centre: data_centre(other),
                 ..lost.clone()
             };
-            hear(state, heard_at, other, &told);
+            receive(state, received_at, other, &digest);
         }
         state.contact.answered(Duration::from_secs(10));
     }
     let mut listed: BTreeMap<usize, u64> = BTreeMap::new();
     for ms in (10_000..16_000).step_by(usize::try_from(FINE_STEP_MS).unwrap()) {
         let now = Duration::from_millis(ms);
-        let news: Vec<usize> = {
-            let told = listed.iter().filter(|(_, at)| **at + TOLD_AFTER_MS == ms);
-            told.map(|(index, _)| *index).collect()
+        let notifying: Vec<usize> = {
+            let due = listed.iter().filter(|(_, at)| **at + NOTIFY_DELAY_MS == ms);
+            due.map(|(index, _)| *index).collect()
         };
-        for from in news {
-            let told = Digest {
+        for from in notifying {
+            let digest = Digest {
                 is_watcher: true,
                 store_age_ms: 0,
                 capacity_percent: capacity_percent(from),
@@ -289,7 +292,7 @@
             };
             for (index, state) in states.iter_mut().enumerate() {
                 if index != from {
-                    hear(state, now, from, &told);
+                    receive(state, now, from, &digest);
                 }
             }
         }
@@ -298,7 +301,7 @@
                 listed.insert(index, ms);
             }
         }
-        if ms >= 10_000 + 2 * TOLD_AFTER_MS {
+        if ms >= 10_000 + 2 * NOTIFY_DELAY_MS {
             return (listed.len(), ms - 10_000);
         }
     }
@@ -306,7 +309,7 @@
 }
 
 #[test]
-fn few_instances_list_everything_when_the_store_is_back_whatever_the_size() {
+fn few_instances_list_everything_after_an_outage_at_any_fleet_size() {
     // Guards against all instances of a fleet listing everything at the end of an outage because no
     // watcher is known yet. The store's link is full then, and all lose contact again.
 
@@ -320,21 +323,21 @@
 }
 
 #[test]
-fn where_all_better_instances_are_silent_the_next_one_watches_in_time() {
+fn the_next_instance_watches_in_time_if_better_ranked_ones_are_silent() {
     // Guards against instances that wait for others that have ended.
 
     // Arrange: the last instance has received digests from all others, and then from none.
     let instances = FLEETS[1];
     let mut last = state(instances - 1);
     for other in 0..instances - 1 {
-        let told = Digest {
+        let digest = Digest {
             known_instances: instances as u64,
             is_watcher: other < SEEDS,
             store_age_ms: 0,
             capacity_percent: capacity_percent(other),
             ..Digest::default()
         };
-        hear(&mut last, Duration::from_secs(1), other, &told);
+        receive(&mut last, Duration::from_secs(1), other, &digest);
     }
     last.contact.answered(Duration::from_secs(1));
 
--- a/crates/damaskstile-gateway/tests/givers.rs
+++ b/crates/damaskstile-gateway/tests/givers.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn several_peers_give_parts_of_what_a_long_call_lacks() {
+fn several_peers_are_asked_for_shares_of_the_tokens_of_a_long_call() {
     // Guards against refusing long calls while the whole fleet is isolated from the store although
     // their account has half of its tokens left: sixty instances each hold the tokens of a few
     // short calls, and a call of 12,000 tokens asked only the richest peer, which had to hold twice
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn nobody_is_asked_where_all_together_have_too_little() {
+fn no_peer_is_asked_if_all_together_have_too_few_tokens() {
     // Arrange: two thousand peers with few tokens each, of which only a few are asked.
     let gateway = with_peers(&[1_000; 2_000]);
 
--- a/crates/damaskstile-gateway/tests/list_changes.rs
+++ b/crates/damaskstile-gateway/tests/list_changes.rs
@@ -7,7 +7,7 @@
 
 use damaskstile_core::prelude::*;
 use damaskstile_gateway::gateway::Gateway;
-use damaskstile_gateway::state::{State, ToldChanges};
+use damaskstile_gateway::state::{ReportedChanges, State};
 use damaskstile_targets::Listed;
 use proptest::prelude::*;
 use support::{Away, gateway, listed, unused_address};
@@ -57,25 +57,25 @@
 
 /// Returns the answer to an instance that knows the list as of a version: the changes, or the whole
 /// list.
-fn told(state: &State, since: Version) -> (Version, Option<ToldChanges>, Vec<Listed>) {
+fn answer(state: &State, since: Version) -> (Version, Option<ReportedChanges>, Vec<Listed>) {
     let names = state.list_changes.since(since).filter(|_| since > 0);
-    let told = names.map(|names| {
-        let mut told = ToldChanges::default();
+    let changes = names.map(|names| {
+        let mut changes = ReportedChanges::default();
         for target in names {
             match state.book.present_entry(target) {
-                Some(entry) => told.listed.push(entry.clone()),
-                None => told.gone.push(target.clone()),
+                Some(entry) => changes.listed.push(entry.clone()),
+                None => changes.gone.push(target.clone()),
             }
         }
-        told
+        changes
     });
     let all = state.book.present().cloned().collect();
-    (state.targets_version, told, all)
+    (state.targets_version, changes, all)
 }
 
 fn pull(to: &Gateway, from: &Gateway, now: Duration) {
     let since = to.state().targets_version;
-    let (version, changes, all) = told(&from.state(), since);
+    let (version, changes, all) = answer(&from.state(), since);
     let mut state = to.state();
     if version <= since {
         return;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_target_that_came_and_went_between_two_whole_lists_is_told_as_gone() {
+fn a_target_listed_and_removed_between_two_lists_is_reported_as_gone() {
     // Guards against an instance that never knew a target and therefore does not report its
     // removal.
 
--- a/crates/damaskstile-gateway/tests/lists.rs
+++ b/crates/damaskstile-gateway/tests/lists.rs
@@ -22,7 +22,7 @@
 use tokio::sync::Notify;
 
 /// Time limit for any event that a test waits for.
-const PATIENCE: Duration = Duration::from_secs(5);
+const WAIT_LIMIT: Duration = Duration::from_secs(5);
 /// Number of peers of an instance of a large fleet.
 const PEERS: usize = 40;
 /// Time to send one round of digests on one machine; shorter than the interval between digests.
@@ -31,7 +31,7 @@
 /// A store that lists two targets, at version 285, once it is released, and then does not answer.
 #[derive(Default)]
 struct SlowStore {
-    is_let_go: Notify,
+    is_released: Notify,
     is_watched: Notify,
 }
 
@@ -46,7 +46,7 @@
 impl ObjectStore for SlowStore {
     fn list<'a>(&'a self, _kind: &'a str) -> BoxFuture<'a, StoreResult<Listing>> {
         async {
-            self.is_let_go.notified().await;
+            self.is_released.notified().await;
             Ok(Listing {
                 objects: vec![object("t0"), object("t1")],
                 version: 285,
@@ -89,7 +89,7 @@
 }
 
 /// Makes an instance whose list names two targets at a version.
-fn knowing(peers_address: SocketAddr, version: Version) -> (Arc<Gateway>, Arc<SlowStore>) {
+fn with_list(peers_address: SocketAddr, version: Version) -> (Arc<Gateway>, Arc<SlowStore>) {
     let store = Arc::new(SlowStore::default());
     let known: Arc<dyn ObjectStore> = Arc::<SlowStore>::clone(&store);
     let gateway = gateway(peers_address, known);
@@ -108,9 +108,9 @@
 
 /// Makes an instance that the store does not answer, so that it relies on its peers, and starts its
 /// receiver.
-async fn hearing(version: Version) -> (Arc<Gateway>, SocketAddr) {
+async fn receiving(version: Version) -> (Arc<Gateway>, SocketAddr) {
     let address = free_address();
-    let (gateway, _) = knowing(address, version);
+    let (gateway, _) = with_list(address, version);
     let now = gateway.now();
     gateway.state().contact.failed(now);
     let peers = Peers::try_new(&gateway).await.unwrap();
@@ -124,10 +124,10 @@
 }
 
 /// Sends an instance the digest of a peer that is in touch with the store.
-async fn tell(from: &UdpSocket, to: SocketAddr, version: Version, vanished: &[&str]) {
+async fn send_digest(from: &UdpSocket, to: SocketAddr, version: Version, delisted: &[&str]) {
     let digest = Digest {
         targets_version: version,
-        vanished: vanished.iter().map(|name| (*name).to_owned()).collect(),
+        delisted: delisted.iter().map(|name| (*name).to_owned()).collect(),
         ..Digest::default()
     };
     let datagram = Datagram {
@@ -144,32 +144,32 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting).await.unwrap();
+    tokio::time::timeout(WAIT_LIMIT, waiting).await.unwrap();
 }
 
-fn heard_peers(gateway: &Gateway) -> BTreeSet<InstanceId> {
+fn known_peers(gateway: &Gateway) -> BTreeSet<InstanceId> {
     gateway.state().members.keys().cloned().collect()
 }
 
 #[tokio::test]
-async fn an_older_list_of_a_peer_does_not_bring_back_a_target_that_vanished() {
+async fn an_older_list_of_a_peer_does_not_restore_a_delisted_target() {
     // Guards against calls to a target that is known to be gone, for up to 0.3 s in quiet runs and
     // until the next report of it when datagrams get lost. The instance pulls a peer's list; before
     // the answer arrives, another peer reports that a target was delisted since; then the older
     // list arrives, which still names it, and was applied because it arrived last.
 
     // Arrange: the peer with the older list answers only once it is released.
-    let (gateway, address) = hearing(280).await;
+    let (gateway, address) = receiving(280).await;
     let older = TcpListener::bind(unused_address()).await.unwrap();
     let older_address = older.local_addr().unwrap();
-    let (older_peer, _) = knowing(older_address, 289);
+    let (older_peer, _) = with_list(older_address, 289);
     let older_socket = UdpSocket::bind(older_address).await.unwrap();
     let newer_socket = UdpSocket::bind(unused_address()).await.unwrap();
 
     // Act
-    tell(&older_socket, address, 289, &[]).await;
-    wait_for(|| heard_peers(&gateway).len() == 1).await;
-    tell(&newer_socket, address, 290, &["t0"]).await;
+    send_digest(&older_socket, address, 289, &[]).await;
+    wait_for(|| known_peers(&gateway).len() == 1).await;
+    send_digest(&newer_socket, address, 290, &["t0"]).await;
     wait_for(|| choose(&gateway, &["t1"]).is_none()).await;
     tokio::spawn(serve_pulls(older_peer, older));
     wait_for(|| gateway.state().targets_version == 289).await;
@@ -180,19 +180,19 @@
 }
 
 #[tokio::test]
-async fn a_list_that_came_slowly_does_not_bring_back_a_target_that_vanished() {
+async fn a_late_list_of_the_store_does_not_restore_a_delisted_target() {
     // Guards against returning to targets that have left. The instance lists the targets at the
     // store, and the answer is slow over a saturated link; meanwhile a peer's newer list without a
     // target arrives, then the store's older one, which still names it and replaced the newer one.
 
     // Arrange
-    let (gateway, store) = knowing(unused_address(), 280);
+    let (gateway, store) = with_list(unused_address(), 280);
     tokio::spawn(follow(Arc::clone(&gateway), Followed::Targets));
 
     // Act
     take_list(&gateway, 290, &["t1"]);
-    store.is_let_go.notify_one();
-    tokio::time::timeout(PATIENCE, store.is_watched.notified())
+    store.is_released.notify_one();
+    tokio::time::timeout(WAIT_LIMIT, store.is_watched.notified())
         .await
         .unwrap();
 
@@ -202,48 +202,48 @@
 }
 
 #[tokio::test]
-async fn late_word_that_a_target_vanished_does_not_take_it_out_after_its_return() {
+async fn a_late_delisting_report_does_not_remove_a_target_that_is_back() {
     // Guards against a healthy target getting no calls from some instances until the list changes
     // again. The target is delisted and listed again; an instance whose list shows it again
     // receives the report of a lagging peer that it was delisted. Such reports carried no version.
 
     // Arrange
-    let (gateway, address) = hearing(300).await;
-    let behind = UdpSocket::bind(unused_address()).await.unwrap();
+    let (gateway, address) = receiving(300).await;
+    let lagging = UdpSocket::bind(unused_address()).await.unwrap();
 
     // Act
-    tell(&behind, address, 290, &["t0"]).await;
-    wait_for(|| heard_peers(&gateway).len() == 1).await;
+    send_digest(&lagging, address, 290, &["t0"]).await;
+    wait_for(|| known_peers(&gateway).len() == 1).await;
 
     // Assert
     assert!(choose(&gateway, &["t1"]).is_some());
 }
 
 #[tokio::test]
-async fn word_that_a_target_vanished_takes_it_out_where_it_is_newer_than_the_list() {
+async fn a_delisting_report_newer_than_the_list_removes_the_target() {
     // Arrange
-    let (gateway, address) = hearing(280).await;
+    let (gateway, address) = receiving(280).await;
     let ahead = UdpSocket::bind(unused_address()).await.unwrap();
 
     // Act
-    tell(&ahead, address, 290, &["t0"]).await;
-    wait_for(|| heard_peers(&gateway).len() == 1).await;
+    send_digest(&ahead, address, 290, &["t0"]).await;
+    wait_for(|| known_peers(&gateway).len() == 1).await;
 
     // Assert
     assert_eq!(choose(&gateway, &["t1"]), None);
 }
 
 #[tokio::test]
-async fn a_list_of_any_length_comes_from_a_peer() {
+async fn a_list_of_any_length_is_pulled_from_a_peer() {
     // Guards against a list that does not fit into one message, or into the time limit of one, so
     // that an instance without it requests it again and again.
 
     // Arrange: twice the targets of the largest expected fleet.
     const TARGETS: usize = 40_000;
-    let (gateway, address) = hearing(280).await;
+    let (gateway, address) = receiving(280).await;
     let listener = TcpListener::bind(unused_address()).await.unwrap();
     let peer_address = listener.local_addr().unwrap();
-    let (peer, _) = knowing(peer_address, 289);
+    let (peer, _) = with_list(peer_address, 289);
     let names: Vec<String> = (0..TARGETS)
         .map(|index| format!("target-{index:024}"))
         .collect();
@@ -254,7 +254,7 @@
 
     // Act
     tokio::spawn(serve_pulls(peer, listener));
-    tell(&socket, address, 290, &[]).await;
+    send_digest(&socket, address, 290, &[]).await;
     wait_for(|| gateway.state().targets_version == 290).await;
 
     // Assert
@@ -264,7 +264,7 @@
 
 /// Makes an instance with peers, none of which is in touch with the store.
 async fn instance() -> (Arc<Gateway>, Vec<UdpSocket>) {
-    let (gateway, _) = knowing(unused_address(), 280);
+    let (gateway, _) = with_list(unused_address(), 280);
     let now = gateway.now();
     let isolated = Digest {
         store_age_ms: u64::MAX,
@@ -284,22 +284,22 @@
 }
 
 /// Has an instance send its digest once, and returns the number of peers that receive it.
-async fn tell_once(gateway: &Arc<Gateway>, sockets: &[UdpSocket]) -> usize {
+async fn send_digests_once(gateway: &Arc<Gateway>, sockets: &[UdpSocket]) -> usize {
     let peers = Peers::try_new(gateway).await.unwrap();
-    let telling = tokio::spawn(peers.tell());
+    let sending = tokio::spawn(peers.tell());
     gateway.news.notify_one();
     tokio::time::sleep(ROUND).await;
-    telling.abort();
+    sending.abort();
     let mut buffer = [0; 2048];
-    let mut heard = 0;
+    let mut received = 0;
     for socket in sockets {
-        heard += usize::from(socket.try_recv(&mut buffer).is_ok());
+        received += usize::from(socket.try_recv(&mut buffer).is_ok());
     }
-    heard
+    received
 }
 
 #[tokio::test]
-async fn an_isolated_instance_of_a_large_fleet_tells_a_few_peers_and_not_all() {
+async fn an_isolated_instance_of_a_large_fleet_sends_digests_to_few_peers() {
     // Guards against digests that take a fifth of a slow link while all instances of a large fleet
     // are cut off from the store: digests grow with the targets that left, and calls and digests
     // wait or get lost behind them. No peer is in touch with the store, so each instance took
@@ -309,22 +309,22 @@
     let (gateway, sockets) = instance().await;
 
     // Act
-    let heard = tell_once(&gateway, &sockets).await;
+    let received = send_digests_once(&gateway, &sockets).await;
 
     // Assert
-    assert!((1..=PEERS / 4).contains(&heard), "{heard}");
+    assert!((1..=PEERS / 4).contains(&received), "{received}");
 }
 
 #[tokio::test]
-async fn an_instance_in_touch_with_the_store_that_watches_for_others_tells_all() {
+async fn a_watcher_in_touch_with_the_store_sends_digests_to_all_peers() {
     // Arrange
     let (gateway, sockets) = instance().await;
     let now = gateway.now();
     gateway.state().contact.answered(now);
 
     // Act
-    let heard = tell_once(&gateway, &sockets).await;
+    let received = send_digests_once(&gateway, &sockets).await;
 
     // Assert
-    assert_eq!(heard, PEERS);
+    assert_eq!(received, PEERS);
 }
--- a/crates/damaskstile-gateway/tests/outages.rs
+++ b/crates/damaskstile-gateway/tests/outages.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn one_call_that_fails_is_no_outage_in_which_entries_lapse() {
+fn a_single_failed_call_is_not_an_outage_in_which_entries_lapse() {
     // Guards against calls to a target seconds after its entry was removed. Many instances call the
     // store at the same time, a connection times out, and the next call is answered 0.6 s later
     // with a list that no longer names a target. If any failed call counted as an outage, that
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_failed_call_after_an_outage_does_not_prolong_its_time() {
+fn a_failed_call_after_an_outage_does_not_extend_its_grace_period() {
     // Arrange
     let mut contact = contact(1_200, 3_000);
 
--- a/crates/damaskstile-gateway/tests/told_targets.rs
+++ b/crates/damaskstile-gateway/tests/told_targets.rs
@@ -78,7 +78,7 @@
     }
 }
 
-async fn tell(socket: &UdpSocket, address: &str, from: &str, digest: Digest) {
+async fn send_digest(socket: &UdpSocket, address: &str, from: &str, digest: Digest) {
     let datagram = Datagram {
         from: from.to_owned(),
         incarnation: 1,
@@ -128,11 +128,14 @@
 
     // Act: three peers with more capacity watch the store for a large fleet.
     for from in WATCHERS.into_iter().chain(["a"]) {
-        tell(&socket, &address, from, digest(9)).await;
+        send_digest(&socket, &address, from, digest(9)).await;
     }
     let end = tokio::time::Instant::now() + LIMIT;
     while gateway.state().targets_version != 9 {
-        assert!(tokio::time::Instant::now() < end, "no list was pulled");
+        assert!(
+            tokio::time::Instant::now() < end,
+            "the list was not pulled in time"
+        );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 
@@ -145,7 +148,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_with_an_older_list_takes_no_target_out() {
+async fn a_delisting_report_of_an_older_list_removes_no_target() {
     // Guards against a healthy target getting no calls from some instances of a large fleet for up
     // to twenty seconds. Its entry is gone for a moment and comes back; an instance applies the new
     // list and then receives the report of a peer that has not done so yet that the target was
@@ -154,32 +157,35 @@
     // Arrange
     let (gateway, address) = instance(2).await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let vanished_at = |version| [(TargetIdentity::new("t0", Some(5)), version)];
+    let delisted_at = |version| [(TargetIdentity::new("t0", Some(5)), version)];
     let now = gateway.now();
     gateway.state().book.list(now, listed("t0", 5));
     gateway.state().targets_version = 9;
     for from in WATCHERS {
-        tell(&socket, &address, from, digest(9)).await;
+        send_digest(&socket, &address, from, digest(9)).await;
     }
 
     // Act
-    let older = digest(8).with_departures(&[], &vanished_at(8));
-    tell(&socket, &address, "late", older).await;
-    heard(&gateway, "late").await;
+    let older = digest(8).with_departures(&[], &delisted_at(8));
+    send_digest(&socket, &address, "late", older).await;
+    wait_for_digest(&gateway, "late").await;
     let after_older = gateway.state().book.usable_targets(now, SERVICE);
-    let newer = digest(10).with_departures(&[], &vanished_at(10));
-    tell(&socket, &address, "timely", newer).await;
-    heard(&gateway, "timely").await;
+    let newer = digest(10).with_departures(&[], &delisted_at(10));
+    send_digest(&socket, &address, "timely", newer).await;
+    wait_for_digest(&gateway, "timely").await;
 
     // Assert
     assert_eq!(after_older, 1);
     assert_eq!(gateway.state().book.usable_targets(now, SERVICE), 0);
 }
 
-async fn heard(gateway: &Gateway, peer: &str) {
+async fn wait_for_digest(gateway: &Gateway, peer: &str) {
     let end = tokio::time::Instant::now() + LIMIT;
     while !gateway.state().members.contains_key(peer) {
-        assert!(tokio::time::Instant::now() < end, "{peer} was not heard");
+        assert!(
+            tokio::time::Instant::now() < end,
+            "no digest of {peer} was received"
+        );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/damaskstile-gateway/tests/writers.rs
+++ b/crates/damaskstile-gateway/tests/writers.rs
@@ -59,7 +59,7 @@
 }
 
 /// Processes a peer's digest that states the age of the store's last answer.
-fn hear(state: &mut State, ms: u64, index: usize, store_age_ms: u64, known_instances: u64) {
+fn receive(state: &mut State, ms: u64, index: usize, store_age_ms: u64, known_instances: u64) {
     let digest = Digest {
         store_age_ms,
         known_instances,
@@ -70,9 +70,9 @@
     state.members.insert(name(index), member);
 }
 
-fn hear_all(state: &mut State, own: usize, ms: u64) {
+fn receive_all(state: &mut State, own: usize, ms: u64) {
     for index in (0..INSTANCES).filter(|index| *index != own) {
-        hear(state, ms, index, 100, 1);
+        receive(state, ms, index, 100, 1);
     }
 }
 
@@ -89,7 +89,7 @@
     // Arrange
     let mut states: Vec<State> = (0..INSTANCES).map(state).collect();
     for (index, state) in states.iter_mut().enumerate() {
-        hear_all(state, index, 400);
+        receive_all(state, index, 400);
     }
 
     // Act
@@ -107,17 +107,17 @@
 }
 
 #[test]
-fn another_takes_over_where_the_writer_lost_the_store() {
+fn another_instance_takes_over_if_the_writer_loses_the_store() {
     // Arrange
     let mut state = state(INSTANCES - 1);
-    hear_all(&mut state, INSTANCES - 1, 400);
+    receive_all(&mut state, INSTANCES - 1, 400);
     let first = writer_of(&state, 500).unwrap();
     let first_index: usize = first[1..].parse().unwrap();
 
     // Act: it still reaches its peers, but the store does not answer it.
-    hear(&mut state, 2_000, first_index, 2_000, 1);
+    receive(&mut state, 2_000, first_index, 2_000, 1);
     for index in (0..INSTANCES - 1).filter(|index| *index != first_index) {
-        hear(&mut state, 2_000, index, 100, 1);
+        receive(&mut state, 2_000, index, 100, 1);
     }
 
     // Assert
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn an_instance_that_knows_only_a_seed_learns_from_it_that_the_fleet_is_large() {
+fn an_instance_learns_from_a_seed_that_the_fleet_is_large() {
     // Guards against 546 refused writes to the ledger in the first two seconds. All instances start
     // at once and know three seeds each, so without reports of the number of instances each takes
     // the fleet for a small one, in which all write.
@@ -136,9 +136,9 @@
     let mut state = state(INSTANCES - 1);
 
     // Act
-    hear(&mut state, 400, 0, 100, 1);
+    receive(&mut state, 400, 0, 100, 1);
     let before = writer_of(&state, 500);
-    hear(&mut state, 800, 0, 100, 40);
+    receive(&mut state, 800, 0, 100, 40);
 
     // Assert
     assert_eq!(before, None);
@@ -146,13 +146,13 @@
 }
 
 #[test]
-fn an_instance_knows_that_most_of_its_peers_are_being_stopped() {
+fn an_instance_detects_that_most_of_its_peers_are_stopping() {
     // Guards against callers that retry at once while most instances stop together, are refused
     // again and give up, because the refusal did not depend on what peers report.
 
     // Arrange
     let mut state = state(0);
-    let mut hear_stopping = |index: usize, ms: u64, is_stopping: bool| {
+    let mut receive_stopping = |index: usize, ms: u64, is_stopping: bool| {
         let digest = Digest {
             is_stopping,
             ..Digest::default()
@@ -163,16 +163,16 @@
     };
 
     // Act
-    let told = [
-        hear_stopping(1, 100, false),
-        hear_stopping(2, 200, true),
-        hear_stopping(3, 300, true),
-        hear_stopping(4, 400, false),
-        hear_stopping(5, 5_000, true),
+    let results = [
+        receive_stopping(1, 100, false),
+        receive_stopping(2, 200, true),
+        receive_stopping(3, 300, true),
+        receive_stopping(4, 400, false),
+        receive_stopping(5, 5_000, true),
     ];
 
     // Assert: half is not most, and old digests do not count.
-    assert_eq!(told, [false, false, true, false, true]);
+    assert_eq!(results, [false, false, true, false, true]);
 }
 
 /// Cuts an instance off from the store.
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn at_a_start_all_learn_the_best_writer_from_a_seed() {
+fn at_a_start_all_instances_learn_the_best_writer_from_a_seed() {
     // Guards against 1,500 refused writes to the ledger within two seconds of a start of 295
     // instances. All start at once and know three seeds; without reports of the best writer each
     // instance takes the best seed, or itself, for the writer until the best instance's digest
@@ -189,38 +189,38 @@
 
     // Arrange: the seed has digests from all, the other instance only from the seed.
     let mut seed = state(LARGE);
-    hear_all(&mut seed, LARGE, 400);
+    receive_all(&mut seed, LARGE, 400);
     let mut other = state(INSTANCES - 1);
     let known = u64::try_from(INSTANCES).unwrap();
-    hear(&mut other, 400, LARGE, 100, known);
+    receive(&mut other, 400, LARGE, 100, known);
     let best = writer_of(&seed, 500);
     assert_ne!(writer_of(&other, 500), best);
 
     // Act
-    let word = seed.best_in_touch(at(500)).unwrap();
-    other.hear_of(at(500), &word);
+    let report = seed.writer_report(at(500)).unwrap();
+    other.apply_peer_report(at(500), &report);
 
     // Assert
     assert_eq!(writer_of(&other, 500), best);
 }
 
 #[test]
-fn what_is_said_of_a_writer_ages_on_its_way_and_does_not_keep_a_dead_one() {
+fn forwarded_reports_of_a_writer_age_and_do_not_keep_a_dead_one() {
     // Guards against seconds without a writer. The writer dies, and two instances keep reporting to
     // each other that it is in touch with the store, because a report counted as new on arrival.
 
     // Arrange
     let mut states = [state(INSTANCES - 1), state(INSTANCES - 2)];
     for state in &mut states {
-        hear(state, 0, 0, 0, 100);
+        receive(state, 0, 0, 0, 100);
     }
 
     // Act
     for ms in (400..4_000).step_by(400) {
-        let words = states.each_ref().map(|state| state.best_in_touch(at(ms)));
-        for (state, word) in states.iter_mut().zip(words.iter().rev()) {
-            if let Some(word) = word {
-                state.hear_of(at(ms), word);
+        let reports = states.each_ref().map(|state| state.writer_report(at(ms)));
+        for (state, report) in states.iter_mut().zip(reports.iter().rev()) {
+            if let Some(report) = report {
+                state.apply_peer_report(at(ms), report);
             }
         }
     }
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn in_an_outage_few_look_out_for_its_end_and_the_others_leave_the_store_alone() {
+fn in_an_outage_few_instances_probe_the_store_and_no_other_calls_it() {
     // Guards against 2,600 calls to the store in an outage of eight seconds. All instances are cut
     // off at once, so if only instances in touch with the store count as better-ranked, none
     // outranks another and all list everything every 1.8 s.
@@ -242,24 +242,26 @@
     let mut states: Vec<State> = (0..INSTANCES).map(state).collect();
     for (index, state) in states.iter_mut().enumerate() {
         for other in (0..INSTANCES).filter(|other| *other != index) {
-            hear(state, 2_000, other, 3_000, 1);
+            receive(state, 2_000, other, 3_000, 1);
         }
         lose_store(state, 2_000);
     }
 
     // Act
-    let scouts = states.iter().filter(|state| state.is_scout(at(2_500)));
+    let probers = states
+        .iter()
+        .filter(|state| state.is_outage_prober(at(2_500)));
     let callers = states
         .iter()
         .filter(|state| state.may_call_store(at(2_500)));
 
     // Assert: an instance without recent digests probes for itself.
-    assert_eq!((scouts.count(), callers.count()), (3, 0));
-    assert!(states.iter().all(|state| state.is_scout(at(7_000))));
+    assert_eq!((probers.count(), callers.count()), (3, 0));
+    assert!(states.iter().all(|state| state.is_outage_prober(at(7_000))));
 }
 
 #[test]
-fn an_instance_that_lends_to_itself_asks_nobody_and_one_that_does_not_asks_its_data_centre() {
+fn one_instance_lends_to_itself_and_the_others_ask_it() {
     // Arrange
     let mut states: Vec<State> = (0..INSTANCES).map(state).collect();
     let prepaid = BTreeMap::from([("a".to_owned(), 1_000_000)]);
