--- a/crates/damaskstile-gateway/src/follow.rs
+++ b/crates/damaskstile-gateway/src/follow.rs
@@ -17,10 +17,10 @@
 use crate::target_list;
 
 use self::starting::{can_follow_peers, is_overdue};
-use self::watching::{Watched, watch_once};
+use self::watching::{WatchOutcome, watch_once};
 
-/// Interval between lists of an instance that receives changes from peers, multiplied by the number
-/// of instances: all together make one call a second for each kind, whatever their number.
+/// Interval between lists of an instance that receives changes from peers, per instance of the
+/// fleet: all together make one call a second for each kind, whatever their number.
 const FOLLOWER_INTERVAL: Duration = Duration::from_secs(1);
 /// Range of the random number by which an instance chooses its delay within that interval.
 pub const DRAWS: u64 = 1_000;
@@ -184,12 +184,12 @@
     loop {
         let began_at = gateway.now();
         match watch_once(gateway, kind, version).await {
-            Watched::Changes(changes, next) => {
+            WatchOutcome::Changes(changes, next) => {
                 version = next;
                 apply_changes(gateway, followed, changes, version).await;
             }
             // The next watch begins at the same version and covers the changes since.
-            Watched::LostInOutage => {
+            WatchOutcome::LostInOutage => {
                 log_unanswered(
                     gateway,
                     followed,
@@ -197,8 +197,8 @@
                     "an outage of the store is over",
                 );
             }
-            Watched::NotNeeded => {}
-            Watched::Failed(error) => {
+            WatchOutcome::NotNeeded => {}
+            WatchOutcome::Failed(error) => {
                 log_unanswered(gateway, followed, began_at, &error.to_string());
                 handle_failed_watch(gateway, began_at, &error);
                 return;
@@ -302,7 +302,7 @@
     ];
     let fields = fields.map(|(name, value)| (name, value.as_str()));
     gateway.log(EventCode::StoreRestored, &fields);
-    // Restarts the watches: the store issues the versions that they wait on again.
+    // Restarts the watches: they wait on versions that the restored store issues a second time.
     gateway.outages_over.send_modify(|count| *count += 1);
     gateway.round_wanted.notify_one();
     gateway.news.notify_one();
--- a/crates/damaskstile-gateway/src/follow/watching.rs
+++ b/crates/damaskstile-gateway/src/follow/watching.rs
@@ -32,9 +32,9 @@
 /// always watch for themselves and should wake up seldom.
 const SMALL_FLEET_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// `Watched` is the outcome of one watch.
+/// `WatchOutcome` is the outcome of one watch.
 #[derive(Debug)]
-pub(super) enum Watched {
+pub(super) enum WatchOutcome {
     /// The changes, and the version from which to continue to watch.
     Changes(Vec<Change>, Version),
     /// The store answers again after an outage that may have lost this watch.
@@ -46,24 +46,24 @@
 }
 
 /// Waits for changes after a version.
-pub(super) async fn watch_once(gateway: &Gateway, kind: &str, after: Version) -> Watched {
+pub(super) async fn watch_once(gateway: &Gateway, kind: &str, after: Version) -> WatchOutcome {
     // Subscribed before the watch is sent: an outage that ended earlier cannot have met it.
     let outages_over = gateway.outages_over.subscribe();
     let watching = gateway.store.watch(kind, after, WATCH_WAIT);
     tokio::select! {
         biased;
         answer = watching => match answer {
-            Ok((changes, next)) => Watched::Changes(changes, next),
-            Err(error) => Watched::Failed(error),
+            Ok((changes, next)) => WatchOutcome::Changes(changes, next),
+            Err(error) => WatchOutcome::Failed(error),
         },
-        () = outage_over(gateway, outages_over) => Watched::LostInOutage,
-        () = not_needed(gateway) => Watched::NotNeeded,
+        () = until_outage_over(gateway, outages_over) => WatchOutcome::LostInOutage,
+        () = until_not_needed(gateway) => WatchOutcome::NotNeeded,
     }
 }
 
 /// Returns once peers watch for this instance. While it watches itself, it would not read what they
 /// announce, and nothing would make up for a watch that the store has lost.
-async fn not_needed(gateway: &Gateway) {
+async fn until_not_needed(gateway: &Gateway) {
     while must_watch(gateway) {
         let is_large = gateway.state().is_large_fleet();
         let interval = if is_large {
@@ -76,7 +76,7 @@
 }
 
 /// Returns once an outage has ended that may have lost a watch that was just sent.
-async fn outage_over(gateway: &Gateway, mut outages_over: Receiver<u64>) {
+async fn until_outage_over(gateway: &Gateway, mut outages_over: Receiver<u64>) {
     let sent_at = Instant::now();
     tokio::time::sleep(PROBE_DELAY).await;
     proof::probe_store(gateway).await;
--- a/crates/damaskstile-gateway/src/peers.rs
+++ b/crates/damaskstile-gateway/src/peers.rs
@@ -272,7 +272,7 @@
                 let is_new =
                     self.handle_digest(&datagram.from, datagram.incarnation, &digest, from);
                 self.handle_suspects(&datagram.from, &digest.suspects);
-                self.introduce(&digest, is_new, from).await;
+                self.send_digest_to_newcomer(&digest, is_new, from).await;
             }
             DatagramBody::Ask(ask) => self.answer_token_request(&datagram.from, ask, from).await,
             DatagramBody::Change(bytes) => self.apply_change(&bytes),
@@ -306,7 +306,7 @@
     /// instance knows it, so it would discover the others only by chance and take itself for their
     /// writer. It also does not know which contents are quarantined and would send them to targets,
     /// and it waits to learn whether it must list everything itself.
-    async fn introduce(&self, digest: &Digest, is_new: bool, address: SocketAddr) {
+    async fn send_digest_to_newcomer(&self, digest: &Digest, is_new: bool, address: SocketAddr) {
         let known = {
             let state = self.gateway.state();
             let is_large = state.is_large_fleet();
--- a/crates/damaskstile-gateway/src/peers/digest.rs
+++ b/crates/damaskstile-gateway/src/peers/digest.rs
@@ -127,7 +127,8 @@
     #[must_use]
     pub fn vanished_with_versions(&self) -> Vec<(TargetIdentity, Version)> {
         let versions = self.delisted_at.iter().copied();
-        // The sender's own list no longer names targets without a version of their own.
+        // Delisted targets without a version get that of the sender's list, which does not name
+        // them either.
         let versions = versions.chain(std::iter::repeat(self.targets_version));
         join(&self.delisted, &self.delisted_incarnations)
             .into_iter()
--- a/crates/damaskstile-gateway/src/peers/pull.rs
+++ b/crates/damaskstile-gateway/src/peers/pull.rs
@@ -15,7 +15,7 @@
 
 use crate::gateway::Gateway;
 use crate::spawn_counted;
-use crate::wanted::{Pulled, Wanted};
+use crate::wanted::{PullKind, Wanted};
 
 use super::pull_messages::{PullAnswer, PullRequest, PulledTarget};
 use super::{catalogue_answer, list_answer, member_answer};
@@ -41,10 +41,10 @@
 
 /// Pulls from a peer, unless the store delivers the data first.
 pub(super) async fn pull(gateway: Arc<Gateway>, peer: SocketAddr, wanted: Wanted, delay: Duration) {
-    let pulled = wanted.pulled();
+    let kind = wanted.kind();
     // Only one pull of a kind runs at a time: many digests announce the same version, and
     // concurrent pulls would share the peers' links until all of them time out.
-    if !gateway.state().pulling.insert(pulled) {
+    if !gateway.state().pulling.insert(kind) {
         return;
     }
     tokio::time::sleep(delay).await;
@@ -65,8 +65,8 @@
         let pause_ms = gateway.state().random.below(PULL_PAUSE_MS);
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
-    gateway.state().pulling.remove(&pulled);
-    if pulled == Pulled::Catalogue && lacks(&gateway, wanted) {
+    gateway.state().pulling.remove(&kind);
+    if kind == PullKind::Catalogue && lacks(&gateway, wanted) {
         gateway.catalogue_wanted.notify_one();
     }
 }
--- a/crates/damaskstile-gateway/src/peers/received_digest.rs
+++ b/crates/damaskstile-gateway/src/peers/received_digest.rs
@@ -134,6 +134,7 @@
         self.pull_from(address, wanted);
         is_new
     }
+
     /// Pulls the data that this instance lacks from the sender of a digest, each after a delay.
     fn pull_from(&self, peer: SocketAddr, wanted: Vec<(Wanted, Duration)>) {
         for (wanted, pause) in wanted {
--- a/crates/damaskstile-gateway/src/proof.rs
+++ b/crates/damaskstile-gateway/src/proof.rs
@@ -19,12 +19,12 @@
 
 /// Probe interval of an instance that watches for no other and whose last call failed. It may have
 /// no other call to make for long and would take the store for lost all that time, which keeps
-/// delisted targets in use for a grace period. In an outage all instances of a large fleet do this.
+/// delisted targets in use for a grace period.
 const LOST_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Probe interval in a large fleet, where the few outage probers notify all others. If these are
-/// wrong or dead, each instance finds out itself, well within the time limit for a change to take
-/// effect after an outage.
+/// Probe interval in a large fleet, all of whose instances probe during an outage. The few outage
+/// probers notify all others; if these are wrong or dead, each instance finds out itself, well
+/// within the time limit for a change to take effect after an outage.
 const LARGE_FLEET_PROBE_INTERVAL: Duration = Duration::from_secs(4);
 /// Upper bound of the random addition to that interval, in milliseconds, so that instances do not
 /// probe together.
--- a/crates/damaskstile-gateway/src/record.rs
+++ b/crates/damaskstile-gateway/src/record.rs
@@ -66,7 +66,7 @@
     }
 
     /// Adds a field to the log line.
-    #[allow(clippy::needless_pass_by_value)] // callers hand over numbers and texts alike
+    #[allow(clippy::needless_pass_by_value)] // callers pass numbers and strings
     pub fn add(&mut self, name: &'static str, value: impl ToString) {
         self.fields.push((name, value.to_string()));
     }
--- a/crates/damaskstile-gateway/src/state.rs
+++ b/crates/damaskstile-gateway/src/state.rs
@@ -30,7 +30,7 @@
 use crate::options::GatewayOptions;
 use crate::pressure::Pressure;
 use crate::target_words::TargetWords;
-use crate::wanted::Pulled;
+use crate::wanted::PullKind;
 
 use lenders::Lenders;
 pub use lenders::LendersToAsk;
@@ -113,7 +113,7 @@
     /// The fleet clock.
     pub fleet_clock: FleetClock,
     /// Kinds of data that are being pulled from a peer.
-    pub pulling: BTreeSet<Pulled>,
+    pub pulling: BTreeSet<PullKind>,
     /// Tokens that calls at this instance lack, by account.
     pub wanted_tokens: BTreeMap<AccountId, u64>,
     /// Number of token transfers made.
@@ -134,7 +134,7 @@
     pub is_stopping: bool,
     instance: InstanceId,
     /// This instance as a candidate lender.
-    own: Candidate,
+    own_candidate: Candidate,
     lenders: Lenders,
     capacity_percent: u64,
     small_fleet: u64,
@@ -155,7 +155,7 @@
                 .of_instance(&identity.instance, started_at),
             random: Random::new(identity.incarnation),
             instance: identity.instance.clone(),
-            own: Candidate::new(
+            own_candidate: Candidate::new(
                 &identity.instance,
                 options.peers_address,
                 &identity.data_centre,
--- a/crates/damaskstile-gateway/src/state/lenders.rs
+++ b/crates/damaskstile-gateway/src/state/lenders.rs
@@ -35,7 +35,7 @@
         }
         self.place_lenders(now);
         let placement = &self.lenders.placement;
-        let data_centre = &self.own.data_centre;
+        let data_centre = &self.own_candidate.data_centre;
         let of_account = &mut self.lenders.of_account;
         let all = of_account.entry(account.to_owned()).or_insert_with(|| {
             let lenders = placement.lenders(account, data_centre);
@@ -103,7 +103,7 @@
                 candidates.insert(name, candidate);
             }
         }
-        candidates.insert(&self.instance, self.own.clone());
+        candidates.insert(&self.instance, self.own_candidate.clone());
         candidates.into_values().collect()
     }
 }
--- a/crates/damaskstile-gateway/src/state/roles.rs
+++ b/crates/damaskstile-gateway/src/state/roles.rs
@@ -21,10 +21,10 @@
 
 /// Delay for each better-ranked instance before an instance of a large fleet takes over a vacant
 /// role. Some ten instances start to take it before the first one's digest has reached all.
-const TURN: Duration = Duration::from_millis(15);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(15);
 /// Limit on the better-ranked instances that are waited for. All these delays together with
 /// [`REPORT_AGE_MAX`] fit well within the time limit for a change to take effect.
-const TURNS_MAX: u32 = 100;
+const TAKEOVER_DELAYS_MAX: u32 = 100;
 
 /// Number of instances that probe the store during an outage, as seen by each instance. Each knows
 /// only a part of the others, so the actual number is somewhat higher, and every partition of the
@@ -59,7 +59,7 @@
             return true;
         }
         let is_free = self.better_members(now).count() < WATCHERS_MAX;
-        is_free && now >= self.vacant_since(now) + self.turn(now)
+        is_free && now >= self.vacant_since(now) + self.takeover_delay(now)
     }
 
     /// Returns when too few better-ranked instances in touch with the store were left, or when the
@@ -81,13 +81,13 @@
     /// Returns how long this instance waits for better-ranked ones to take a vacant role. The delay
     /// grows with their number: if all took the role at the same time, hundreds of list calls would
     /// keep the store from answering any.
-    fn turn(&self, now: Duration) -> Duration {
+    fn takeover_delay(&self, now: Duration) -> Duration {
         let better = self.better_present(now);
         if better < WATCHERS_MAX {
             return Duration::ZERO;
         }
         let turns = u32::try_from(better).unwrap_or(u32::MAX);
-        TURN * turns.min(TURNS_MAX)
+        TAKEOVER_DELAY * turns.min(TAKEOVER_DELAYS_MAX)
     }
 
     fn better_ranked(&self) -> impl Iterator<Item = (&InstanceId, &Member)> {
@@ -96,7 +96,8 @@
         members.filter(move |(name, member)| rank(name, member.capacity_percent) < own_rank)
     }
 
-    /// Counts the better-ranked instances with a recent digest, in touch with the store or not.
+    /// Counts the better-ranked instances with a recent digest or report, in touch with the store
+    /// or not.
     fn better_present(&self, now: Duration) -> usize {
         let present = self.better_ranked().filter(|(_, member)| {
             let is_there = now.saturating_sub(member.received_at) < PROBER_AGE_MAX;
@@ -240,7 +241,7 @@
             .max()
             .unwrap_or_default();
         let regained_at = self.contact.regained_at().unwrap_or_default();
-        now >= reported_until.max(regained_at) + self.turn(now)
+        now >= reported_until.max(regained_at) + self.takeover_delay(now)
     }
 }
 
--- a/crates/damaskstile-gateway/src/state/sources.rs
+++ b/crates/damaskstile-gateway/src/state/sources.rs
@@ -36,7 +36,7 @@
         let lately =
             members.filter(|member| now.saturating_sub(member.received_at) < SOURCE_AGE_MAX);
         let all: Vec<&Member> = lately.filter(has_more).collect();
-        let own = &self.own.data_centre;
+        let own = &self.own_candidate.data_centre;
         let near = all.iter().filter(|member| member.data_centre == *own);
         let near: Vec<SocketAddr> = near.map(|member| member.address).collect();
         let all: Vec<SocketAddr> = all.iter().map(|member| member.address).collect();
--- a/crates/damaskstile-gateway/src/wanted.rs
+++ b/crates/damaskstile-gateway/src/wanted.rs
@@ -2,9 +2,9 @@
 
 use damaskstile_core::prelude::*;
 
-/// `Pulled` is a kind of data that can be pulled from a peer.
+/// `PullKind` is a kind of data that can be pulled from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Pulled {
+pub enum PullKind {
     /// The catalogue.
     Catalogue,
     /// The list of targets.
@@ -28,15 +28,15 @@
     /// Returns the kind of data to pull.
     ///
     /// ```
-    /// use damaskstile_gateway::wanted::{Pulled, Wanted};
-    /// assert_eq!(Wanted::Targets(7).pulled(), Pulled::Targets);
+    /// use damaskstile_gateway::wanted::{PullKind, Wanted};
+    /// assert_eq!(Wanted::Targets(7).kind(), PullKind::Targets);
     /// ```
     #[must_use]
-    pub fn pulled(self) -> Pulled {
+    pub fn kind(self) -> PullKind {
         match self {
-            Self::Catalogue(_) => Pulled::Catalogue,
-            Self::Targets(_) => Pulled::Targets,
-            Self::Members => Pulled::Members,
+            Self::Catalogue(_) => PullKind::Catalogue,
+            Self::Targets(_) => PullKind::Targets,
+            Self::Members => PullKind::Members,
         }
     }
 }
--- a/crates/damaskstile-gateway/tests/support/mod.rs
+++ b/crates/damaskstile-gateway/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Fixtures of the tests of a whole gateway: a dialect without headers, a store that is
 //! unreachable, targets by name.
 
-#![allow(dead_code)] // each test uses a part
+#![allow(dead_code)] // each test uses only some of the fixtures
 
 use std::net::SocketAddr;
 use std::sync::Arc;
