--- a/crates/damaskstile-gateway/src/follow/starting.rs
+++ b/crates/damaskstile-gateway/src/follow/starting.rs
@@ -1,52 +1,52 @@
-//! `starting` keeps a fleet that starts together from listing everything at each instance.
+//! Start of a fleet: keeps instances that start together from all listing everything at the store.
 
 use std::time::Duration;
 
 use super::{Followed, must_watch};
 use crate::gateway::Gateway;
 
-/// Longest time after a first start until the seeds have listed everything and told of it: two
-/// digests and a list.
-const START_TOLD_WAIT: Duration = Duration::from_millis(1_200);
-/// Time after a first start until an instance that was told that peers have everything reads it
-/// itself. A fleet hands on what there is from one to the other in some rounds.
-const FIRST_START_PATIENCE: Duration = Duration::from_secs(5);
-/// Longest time until peers are heard where instances start while callers wait.
-const RESTART_TOLD_WAIT: Duration = Duration::from_millis(500);
-/// Time between two looks at whether peers have told.
-const START_LOOK: Duration = Duration::from_millis(25);
+/// Time limit after a first start for the seeds to list everything and announce it: two digests and
+/// a list.
+const START_DIGEST_WAIT: Duration = Duration::from_millis(1_200);
+/// Time after a first start past which an instance that learned that peers have everything reads it
+/// itself. A fleet passes data from instance to instance in several rounds.
+const FIRST_START_WAIT: Duration = Duration::from_secs(5);
+/// Time limit for receiving digests of peers when instances restart while callers wait.
+const RESTART_DIGEST_WAIT: Duration = Duration::from_millis(500);
+/// Interval between checks for digests of peers.
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Tells whether peers say what there is, before anything was listed. Hundreds that start together
-/// and list everything fill the store's link for seconds; all but the seeds wait a moment to hear of
-/// peers in touch with the store. When a fleet starts for the first time no caller waits, so there is
-/// more time.
-pub(super) async fn is_told_at_start(gateway: &Gateway) -> bool {
+/// Returns whether peers provide the data, before anything was listed. Hundreds of instances that
+/// start together and list everything would fill the store's link for seconds, so all but the seeds
+/// wait briefly for digests of peers in touch with the store. At the first start of a fleet no
+/// caller waits, so the limit is longer.
+pub(super) async fn can_follow_peers(gateway: &Gateway) -> bool {
     let options = &gateway.options;
     if options.seeds.is_empty() || options.seeds.contains(&options.peers_address) {
         return false;
     }
     let wait = if options.is_first_start {
-        START_TOLD_WAIT
+        START_DIGEST_WAIT
     } else {
-        RESTART_TOLD_WAIT
+        RESTART_DIGEST_WAIT
     };
     let until = gateway.started_at + wait;
     while must_watch(gateway) && gateway.now() < until {
         if !options.is_first_start && is_of_small_fleet(gateway) {
             return false;
         }
-        tokio::time::sleep(START_LOOK).await;
+        tokio::time::sleep(START_CHECK_INTERVAL).await;
     }
     !must_watch(gateway)
 }
 
-/// Tells whether a peer was heard and the fleet is small: each instance lists for itself then.
+/// Returns whether a peer is known and the fleet is small: then each instance lists for itself.
 fn is_of_small_fleet(gateway: &Gateway) -> bool {
     let state = gateway.state();
     !state.members.is_empty() && !state.is_large_fleet()
 }
 
-/// Tells whether nothing of a kind is known, although peers had the time to tell of it.
+/// Returns whether nothing of a kind is known although peers had time to provide it.
 pub(super) fn is_overdue(gateway: &Gateway, followed: Followed) -> bool {
     let is_unknown = {
         let state = gateway.state();
@@ -57,9 +57,9 @@
         }
     };
     let wait = if gateway.options.is_first_start {
-        FIRST_START_PATIENCE
+        FIRST_START_WAIT
     } else {
-        START_TOLD_WAIT
+        START_DIGEST_WAIT
     };
     is_unknown && gateway.now() >= gateway.started_at + wait
 }
--- a/crates/damaskstile-gateway/src/peers.rs
+++ b/crates/damaskstile-gateway/src/peers.rs
@@ -1,27 +1,29 @@
-//! `peers` tells the other instances what this one knows, and hears them.
+//! Gossip between instances: sends what this instance knows to its peers and processes what they
+//! send.
 //!
-//! Digests go as datagrams to all peers of a small fleet and to some of a large one. What is too
-//! large for a datagram is pulled over a connection by whoever lacks it.
+//! Digests are sent as datagrams, to all peers of a small fleet and to a random subset of a large
+//! one. Data too large for a datagram is pulled over a TCP connection by the instance that lacks
+//! it.
 
 mod addresses;
 mod catalogue_answer;
 mod datagram;
 mod digest;
-mod gifts;
-mod hearing;
+mod limit_report;
 mod list_answer;
 mod loans;
 mod member_answer;
-mod peer_word;
+mod peer_report;
 mod pull;
 mod pull_messages;
 mod reading;
+mod received_digest;
 mod reports;
+mod suspect_report;
 mod suspects;
+mod target_report;
 mod tokens;
-mod told_limit;
-mod told_suspect;
-mod told_target;
+mod transfers;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -36,34 +38,34 @@
 
 pub use datagram::{Datagram, DatagramBody};
 pub use digest::{AccountTokens, Digest};
-pub use peer_word::PeerWord;
+pub use limit_report::LimitReport;
+pub use peer_report::PeerReport;
 pub use pull::serve as serve_pulls;
 pub use reading::Reading;
+pub use suspect_report::{SuspectReport, TargetEndReport};
+pub use target_report::TargetReport;
 pub use tokens::{AskTokens, GiveTokens};
-pub use told_limit::ToldLimit;
-pub use told_suspect::{ToldEnd, ToldSuspect};
-pub use told_target::ToldTarget;
 
 use crate::gateway::Gateway;
 use crate::outgoing::Outgoing;
 
-/// Time between two digests.
+/// Interval between digests.
 const DIGEST_INTERVAL: Duration = Duration::from_millis(400);
-/// Time in which an instance of a large fleet gathers news before it tells them: those that come one
-/// after the other while targets are replaced go to all peers together.
-const NEWS_GATHER: Duration = Duration::from_millis(100);
-/// Largest datagram.
+/// Time for which an instance of a large fleet batches updates before it sends a digest, so that
+/// consecutive changes while targets are replaced reach all peers together.
+const UPDATE_BATCH_DELAY: Duration = Duration::from_millis(100);
+/// Largest datagram, in bytes.
 const DATAGRAM_BYTES_MAX: usize = 16 * 1024;
-/// Largest change of the ledger that is told to peers; a larger one is left to the store.
+/// Largest ledger change that is sent to peers, in bytes. Peers read larger changes from the store.
 const CHANGE_BYTES_MAX: usize = 8 * 1024;
-/// Instances that one knows at most that has just started: itself and the seeds.
+/// Most instances that an instance knows of just after its start: itself and the seeds.
 const JUST_STARTED_KNOWN_MAX: u64 = 4;
-/// Bytes of a packet beside what it carries.
+/// Size of the IP and UDP headers of a datagram, in bytes.
 const PACKET_BYTES: usize = 28;
-/// Pause after a failure to receive.
+/// Pause after a failed receive.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(50);
 
-/// `Peers` is the socket for datagrams.
+/// `Peers` sends and receives the datagrams between instances.
 #[derive(Debug)]
 pub struct Peers {
     gateway: Arc<Gateway>,
@@ -71,11 +73,11 @@
 }
 
 impl Peers {
-    /// Binds the socket.
+    /// Binds the UDP socket.
     ///
     /// # Errors
     ///
-    /// Returns an error where the address cannot be used.
+    /// Returns an error if the address cannot be bound.
     pub async fn try_new(gateway: &Arc<Gateway>) -> std::io::Result<Arc<Self>> {
         let socket = UdpSocket::bind(gateway.options.peers_address).await?;
         Ok(Arc::new(Self {
@@ -86,46 +88,47 @@
 
     /// Sends digests until the process ends.
     pub async fn tell(self: Arc<Self>) {
-        // Peers hear of a start at once.
+        // The first digest is sent immediately so that peers learn of the start.
         let mut pause = Duration::ZERO;
         loop {
             let changed = self.gateway.news.notified();
-            // Either news or the passing of time brings the next digest.
+            // The next digest is sent on an update, at the latest after the interval.
             let _ = tokio::time::timeout(pause, changed).await;
             pause = DIGEST_INTERVAL;
             let is_large = self.gateway.state().is_large_fleet();
             if is_large {
-                tokio::time::sleep(NEWS_GATHER).await;
+                tokio::time::sleep(UPDATE_BATCH_DELAY).await;
             }
             let digest = self.make_digest();
-            for address in self.addresses() {
+            for address in self.digest_recipients() {
                 let body = DatagramBody::Digest(digest.clone());
                 self.send(address, body).await;
             }
         }
     }
 
-    /// Asks peers for tokens whenever calls lack them.
+    /// Requests tokens from peers whenever calls lack them. At a stop, returns the tokens that
+    /// peers transferred.
     pub async fn beg(self: Arc<Self>) {
         loop {
             self.gateway.tokens_wanted.notified().await;
-            for (address, ask) in self.asks() {
+            for (address, ask) in self.token_requests() {
                 self.send(address, DatagramBody::Ask(ask)).await;
             }
-            for (address, gift) in self.returns() {
-                self.note_gift(EventCode::TokensGiven, &address.to_string(), &gift);
-                self.send(address, DatagramBody::Give(gift)).await;
+            for (address, transfer) in self.token_returns() {
+                self.log_transfer(EventCode::TokensGiven, &address.to_string(), &transfer);
+                self.send(address, DatagramBody::Give(transfer)).await;
             }
         }
     }
 
-    /// Sends what other duties have for peers, until the process ends.
+    /// Sends the messages that other background tasks queue for peers, until the process ends.
     pub async fn send_out(self: Arc<Self>, mut outbox: Receiver<Outgoing>) {
         while let Some(outgoing) = outbox.recv().await {
             match outgoing {
-                Outgoing::Change(change) => self.tell_change(&change).await,
-                Outgoing::Reading(reading) => self.tell_reading(&reading).await,
-                Outgoing::Suspect(content) => self.tell_suspect(&content).await,
+                Outgoing::Change(change) => self.send_change(&change).await,
+                Outgoing::Reading(reading) => self.send_reading(&reading).await,
+                Outgoing::Suspect(content) => self.send_suspect(&content).await,
                 Outgoing::Report(address, report) => {
                     self.send(address, DatagramBody::Report(report)).await;
                 }
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Tells all that write to the ledger of an own write to it.
-    async fn tell_change(&self, change: &LedgerChange) {
+    /// Sends a ledger change written by this instance to all other ledger writers.
+    async fn send_change(&self, change: &LedgerChange) {
         let Ok(bytes) = serde_json::to_vec(change) else {
             return;
         };
@@ -148,26 +151,26 @@
             return;
         }
         let bytes = Bytes::from(bytes);
-        for address in self.writers() {
+        for address in self.other_writers() {
             self.send(address, DatagramBody::Change(bytes.clone()))
                 .await;
         }
     }
 
-    /// Tells all peers of a long prompt.
-    async fn tell_reading(&self, reading: &Reading) {
-        for address in self.all() {
+    /// Notifies all peers of a long prompt that a target is reading.
+    async fn send_reading(&self, reading: &Reading) {
+        for address in self.all_peers() {
             let body = DatagramBody::Reading(reading.clone());
             self.send(address, body).await;
         }
     }
 
-    fn take_change(&self, bytes: &[u8]) {
+    fn apply_change(&self, bytes: &[u8]) {
         match serde_json::from_slice::<LedgerChange>(bytes) {
             Ok(change) => {
                 let now = self.gateway.now();
-                // A change that does not follow on what is known here is made up for by the next
-                // read or write.
+                // A change that does not apply to the ledger version known here is made up for by
+                // the next read or write.
                 self.gateway.state().holder.hear(now, change);
             }
             Err(error) => {
@@ -178,13 +181,13 @@
         }
     }
 
-    /// Takes datagrams in until the process ends.
+    /// Receives and handles datagrams until the process ends.
     pub async fn hear(self: Arc<Self>) {
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
         loop {
             match self.socket.recv_from(&mut buffer).await {
                 Ok((len, from)) => match Datagram::decode(&buffer[..len]) {
-                    Ok(datagram) => self.take(datagram, from).await,
+                    Ok(datagram) => self.handle(datagram, from).await,
                     Err(error) => {
                         let error = error.to_string();
                         self.gateway
@@ -214,7 +217,7 @@
         let now = self.gateway.now();
         let link_bytes = bytes.len() + PACKET_BYTES;
         self.gateway.state().pressure.note_sent(now, link_bytes);
-        // A datagram may get lost at any time; the next digest says the same.
+        // Datagrams may be lost at any time; the next digest repeats the state.
         let _ = self.socket.send_to(&bytes, address).await;
     }
 
@@ -232,7 +235,7 @@
             .filter(|free| free.tokens > 0)
             .collect();
         let limits = state.book.limits_to_tell(now).into_iter();
-        let limits = limits.map(|(identity, word)| ToldLimit::of(now, identity, word));
+        let limits = limits.map(|(identity, limit)| LimitReport::of(now, identity, limit));
         let digest = Digest {
             unix_ms: crate::clock::own_unix_ms(),
             catalogue_version: state.catalogue.version(),
@@ -244,63 +247,66 @@
             free,
             is_stopping: state.is_stopping,
             known_instances: state.known_instances(),
-            heard_instances: state.heard_instances(),
+            discovered_instances: state.discovered_instances(),
             is_watcher: state.is_watcher(now),
             capacity_percent: self.gateway.options.capacity_percent,
             data_centre: self.gateway.options.identity.data_centre.clone(),
-            writer: state.best_in_touch(now),
-            suspects: suspects.into_iter().map(ToldSuspect::of).collect(),
+            writer: state.writer_report(now),
+            suspects: suspects.into_iter().map(SuspectReport::of).collect(),
             limits: limits.collect(),
             ledger_version: state.holder.ledger_version(),
             store_history: state.holder.store_history(),
-            emptied_version: state.book.emptied().version().unwrap_or_default(),
-            emptied: state.book.emptied().names(),
+            evacuated_version: state.book.emptied().version().unwrap_or_default(),
+            evacuated: state.book.emptied().names(),
             ..Digest::default()
         };
         digest.with_departures(&state.book.draining(now), &state.vanished(now))
     }
 
-    async fn take(&self, datagram: Datagram, from: SocketAddr) {
+    async fn handle(&self, datagram: Datagram, from: SocketAddr) {
         let Some(body) = datagram.body else {
             return;
         };
         match body {
             DatagramBody::Digest(digest) => {
-                let is_new = self.take_digest(&datagram.from, datagram.incarnation, &digest, from);
-                self.hear_suspects(&datagram.from, &digest.suspects);
-                self.introduce(&digest, is_new, from).await;
+                let is_new =
+                    self.handle_digest(&datagram.from, datagram.incarnation, &digest, from);
+                self.handle_suspects(&datagram.from, &digest.suspects);
+                self.send_digest_to_newcomer(&digest, is_new, from).await;
             }
-            DatagramBody::Ask(ask) => self.answer_ask(&datagram.from, ask, from).await,
-            DatagramBody::Change(bytes) => self.take_change(&bytes),
-            DatagramBody::Give(gift) => self.take_gift(&datagram.from, datagram.incarnation, &gift),
-            DatagramBody::Report(report) => self.take_report(report),
+            DatagramBody::Ask(ask) => self.answer_token_request(&datagram.from, ask, from).await,
+            DatagramBody::Change(bytes) => self.apply_change(&bytes),
+            DatagramBody::Give(transfer) => {
+                self.accept_transfer(&datagram.from, datagram.incarnation, &transfer);
+            }
+            DatagramBody::Report(report) => self.handle_report(report),
             DatagramBody::Reading(reading) => {
                 let now = self.gateway.now();
                 let book = &mut self.gateway.state().book;
                 book.hear_reading(now, &reading.identity(), reading.time());
             }
-            DatagramBody::Receipt(receipt) => self.take_receipt(&datagram.from, &receipt),
+            DatagramBody::Receipt(receipt) => self.handle_receipt(&datagram.from, &receipt),
             DatagramBody::Borrow(ask) => {
-                self.take_borrow(&datagram.from, datagram.incarnation, ask, from)
+                self.handle_loan_request(&datagram.from, datagram.incarnation, ask, from)
                     .await;
             }
-            DatagramBody::Lend(answer) => self.take_lend(&datagram.from, &answer),
+            DatagramBody::Lend(answer) => self.handle_loan_answer(&datagram.from, &answer),
             DatagramBody::LoanEnds(ends) => {
-                self.take_loan_ends(&datagram.from, datagram.incarnation, ends, from)
+                self.handle_loan_ends(&datagram.from, datagram.incarnation, ends, from)
                     .await;
             }
-            DatagramBody::Suspect(told) => {
-                self.hear_suspects(&datagram.from, std::slice::from_ref(&told));
+            DatagramBody::Suspect(report) => {
+                self.handle_suspects(&datagram.from, std::slice::from_ref(&report));
             }
-            DatagramBody::LoanEndsTaken(taken) => self.take_loan_ends_taken(&taken, from),
+            DatagramBody::LoanEndsTaken(taken) => self.handle_loan_ends_ack(&taken, from),
         }
     }
 
-    /// Tells a peer that has just started what is known here. It knows some seeds and is known to
-    /// nobody else, so it would hear of the others by chance, and take itself for their writer. It
-    /// does not know either which contents are refused, and would send them to targets; and it waits
-    /// to hear whether it must list everything itself.
-    async fn introduce(&self, digest: &Digest, is_new: bool, address: SocketAddr) {
+    /// Sends a digest to a peer that has just started. Such a peer knows some seeds and no other
+    /// instance knows it, so it would discover the others only by chance and take itself for their
+    /// writer. It also does not know which contents are quarantined and would send them to targets,
+    /// and it waits to learn whether it must list everything itself.
+    async fn send_digest_to_newcomer(&self, digest: &Digest, is_new: bool, address: SocketAddr) {
         let known = {
             let state = self.gateway.state();
             let is_large = state.is_large_fleet();
--- a/crates/damaskstile-gateway/src/peers/catalogue_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/catalogue_answer.rs
@@ -1,17 +1,17 @@
-//! `catalogue_answer` hands the catalogue on to a peer, or what differs in it, and takes it in.
+//! Pulls of the catalogue between peers, whole or as a difference from a known version.
 
 use bytes::Bytes;
 use damaskstile_core::random::stable_hash_of_bytes;
 
 use crate::content_changes::rebuild;
-use crate::follow::take_catalogue;
+use crate::follow::apply_catalogue;
 use crate::gateway::Gateway;
 use crate::objects::StoredObject;
 use crate::state::State;
 
 use super::pull_messages::{PullAnswer, PullRequest};
 
-/// Makes the request for a newer catalogue than the one that is known.
+/// Makes the request for a catalogue newer than the known one.
 pub(super) fn request(state: &State, whole_bytes_max: u64) -> PullRequest {
     let known = state.stored_catalogue.as_ref();
     PullRequest {
@@ -21,7 +21,8 @@
     }
 }
 
-/// Makes the answer; an empty one where only the whole would do and is too large.
+/// Makes the answer. It is empty if only the whole catalogue would help and that exceeds the limit
+/// of the request.
 pub(super) fn make(gateway: &Gateway, request: &PullRequest) -> PullAnswer {
     let state = gateway.state();
     let Some(object) = &state.stored_catalogue else {
@@ -52,16 +53,16 @@
     }
 }
 
-/// Takes in what a peer handed on. What does not add up to the peer's catalogue is left, and pulled
-/// again or read from the store.
-pub(super) fn take(gateway: &Gateway, answer: PullAnswer, source: &str) {
+/// Applies a pulled catalogue. An answer that does not reproduce the peer's catalogue is dropped;
+/// the catalogue is then pulled again or read from the store.
+pub(super) fn apply(gateway: &Gateway, answer: PullAnswer, source: &str) {
     if answer.version == 0 {
         return;
     }
     let content = if answer.base == 0 {
         Some(answer.content)
     } else {
-        put_together(gateway, &answer)
+        rebuild_catalogue(gateway, &answer)
     };
     let Some(content) = content else {
         return;
@@ -71,13 +72,13 @@
         version: answer.version,
         content,
     };
-    take_catalogue(gateway, &object, source);
+    apply_catalogue(gateway, &object, source);
 }
 
-fn put_together(gateway: &Gateway, answer: &PullAnswer) -> Option<Bytes> {
+fn rebuild_catalogue(gateway: &Gateway, answer: &PullAnswer) -> Option<Bytes> {
     let known = gateway.state().stored_catalogue.clone();
     let base = known.filter(|object| object.version == answer.base)?;
     let content = rebuild(&base.content, &answer.pieces)?;
-    let is_theirs = answer.content_hash == Some(stable_hash_of_bytes(&content));
-    is_theirs.then(|| Bytes::from(content))
+    let is_identical = answer.content_hash == Some(stable_hash_of_bytes(&content));
+    is_identical.then(|| Bytes::from(content))
 }
--- a/crates/damaskstile-gateway/src/peers/member_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/member_answer.rs
@@ -1,13 +1,13 @@
-//! `member_answer` tells a peer which instances there are, and takes it in.
+//! Pulls of the list of members: which instances exist and where they are.
 //!
-//! An instance tells some others by chance of itself, so whoever starts in a fleet of hundreds hears
-//! of all the others one by one, for a minute and more. Until then it does not know whom to ask for
-//! tokens or lists.
+//! In a large fleet each instance sends its digests to a random subset of its peers, so a newly
+//! started instance in a fleet of hundreds takes a minute and more to discover all others. Until
+//! then it does not know which peers to ask for tokens or lists.
 
 use crate::gateway::Gateway;
 use crate::member::Member;
 
-use super::PeerWord;
+use super::PeerReport;
 use super::pull_messages::{PullAnswer, PullRequest};
 
 /// Makes the request.
@@ -23,25 +23,26 @@
     let now = gateway.now();
     let state = gateway.state();
     let members = state.members.iter();
-    let members = members.filter_map(|(name, member)| member.word(now, name));
+    let members = members.filter_map(|(name, member)| member.report(now, name));
     PullAnswer {
         members: members.collect(),
         ..PullAnswer::default()
     }
 }
 
-/// Takes in what a peer told. Of what is known already the own word is better.
-pub(super) fn take(gateway: &Gateway, words: &[PeerWord]) {
+/// Adds the members in an answer that are not known yet. For known members the local record is
+/// better.
+pub(super) fn apply(gateway: &Gateway, reports: &[PeerReport]) {
     let now = gateway.now();
     let own = &gateway.options.identity.instance;
     let mut state = gateway.state();
-    for word in words.iter().filter(|word| word.instance != *own) {
-        if state.members.contains_key(&word.instance) {
+    for report in reports.iter().filter(|report| report.instance != *own) {
+        if state.members.contains_key(&report.instance) {
             continue;
         }
-        if let Some(member) = Member::told(now, word) {
-            state.members.insert(word.instance.clone(), member);
-            state.book.meet(&word.instance, 0);
+        if let Some(member) = Member::from_report(now, report) {
+            state.members.insert(report.instance.clone(), member);
+            state.book.meet(&report.instance, 0);
         }
     }
 }
--- a/crates/damaskstile-gateway/src/peers/pull.rs
+++ b/crates/damaskstile-gateway/src/peers/pull.rs
@@ -1,4 +1,4 @@
-//! `pull` fetches from a peer what is too large for a datagram.
+//! Pulls over TCP of data that is too large for a datagram.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,44 +15,45 @@
 
 use crate::gateway::Gateway;
 use crate::spawn_counted;
-use crate::wanted::{Pulled, Wanted};
+use crate::wanted::{PullKind, Wanted};
 
 use super::pull_messages::{PullAnswer, PullRequest, PulledTarget};
 use super::{catalogue_answer, list_answer, member_answer};
 
-/// Largest frame: a stored object with room for its name.
+/// Largest frame, in bytes: a stored object with room for its name.
 const FRAME_BYTES_MAX: usize = 2 * 1024 * 1024;
-/// Time that a part of a pull may take: 100 KB for each of ten peers at once over 10 Mbit/s, with
-/// room.
-const PULL_LIMIT: Duration = Duration::from_millis(1_500);
-/// Pulls that are tried until one brings what is wanted. Then a peer's next digest brings more.
-const PULLS_MAX: usize = 4;
-/// Longest pause between them.
+/// Time limit for one part of a pull: 100 KB for each of ten concurrent peers over 10 Mbit/s, with
+/// a margin.
+const PULL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Attempts before a pull is given up. After that, the next digest of a peer starts another one.
+const PULL_ATTEMPTS_MAX: usize = 4;
+/// Upper bound of the random pause between attempts, in milliseconds.
 const PULL_PAUSE_MS: u64 = 100;
-/// Pulls that are answered at once. More would share the link until all of them take too long;
-/// whoever is refused asks another.
-const ANSWERS_MAX: usize = 6;
-/// Time for which a pulled catalogue may fill a link. Instances that have one hand it on, so all of
-/// some hundreds have it after eight such times, well within the time that a change may take.
-const PULLED_TIME_MAX: Duration = Duration::from_millis(60);
-/// Pause after a failure to accept.
+/// Limit on concurrently served pulls. More would share the link until all of them time out; a
+/// refused peer asks another instance.
+const SERVED_PULLS_MAX: usize = 6;
+/// Longest time for which a pulled catalogue may occupy the link. Instances that have the catalogue
+/// pass it on, so some hundreds of instances have it after eight such times, well within the time
+/// limit for a change to take effect.
+const WHOLE_CATALOGUE_TIME_MAX: Duration = Duration::from_millis(60);
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Pulls from a peer, unless the store was faster.
+/// Pulls from a peer, unless the store delivers the data first.
 pub(super) async fn pull(gateway: Arc<Gateway>, peer: SocketAddr, wanted: Wanted, delay: Duration) {
-    let pulled = wanted.pulled();
-    // One at a time: many digests tell of the same version, and pulls beside each other would
-    // only share the peers' links until all of them take too long.
-    if !gateway.state().pulling.insert(pulled) {
+    let kind = wanted.kind();
+    // Only one pull of a kind runs at a time: many digests announce the same version, and
+    // concurrent pulls would share the peers' links until all of them time out.
+    if !gateway.state().pulling.insert(kind) {
         return;
     }
     tokio::time::sleep(delay).await;
-    for pulls_left in (0..PULLS_MAX).rev() {
+    for attempts_left in (0..PULL_ATTEMPTS_MAX).rev() {
         if !lacks(&gateway, wanted) {
             break;
         }
-        // Whoever told of it has all of it.
-        let source = if pulls_left == 0 {
+        // The last attempt goes to the peer that announced the data and so has all of it.
+        let source = if attempts_left == 0 {
             peer
         } else {
             let now = gateway.now();
@@ -64,8 +65,8 @@
         let pause_ms = gateway.state().random.below(PULL_PAUSE_MS);
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
-    gateway.state().pulling.remove(&pulled);
-    if pulled == Pulled::Catalogue && lacks(&gateway, wanted) {
+    gateway.state().pulling.remove(&kind);
+    if kind == PullKind::Catalogue && lacks(&gateway, wanted) {
         gateway.catalogue_wanted.notify_one();
     }
 }
@@ -74,18 +75,18 @@
     gateway.state().lacks(wanted)
 }
 
-/// Returns the size of the largest catalogue that is pulled whole. A larger one is read faster from
-/// the store than from a peer with a narrow link.
+/// Returns the size of the largest catalogue that is pulled whole, in bytes; 0 for no limit. A
+/// larger one is read faster from the store than from a peer with a slow link.
 fn whole_bytes_max(gateway: &Gateway) -> u64 {
     if gateway.state().contact.is_lost() {
         return 0;
     }
     let link_bytes_per_s = u128::from(gateway.options.link_bytes_per_s);
-    let bytes = link_bytes_per_s * PULLED_TIME_MAX.as_millis() / 1000;
+    let bytes = link_bytes_per_s * WHOLE_CATALOGUE_TIME_MAX.as_millis() / 1000;
     u64::try_from(bytes).unwrap_or(u64::MAX)
 }
 
-/// Pulls from one peer; returns whether another may have what is wanted, should it still lack.
+/// Pulls from one peer; returns whether another attempt may help if the data is still missing.
 async fn pull_once(gateway: &Gateway, peer: SocketAddr, wanted: Wanted) -> bool {
     let request = match wanted {
         Wanted::Targets(_) => {
@@ -98,32 +99,32 @@
         }
         Wanted::Members => member_answer::request(),
     };
-    // A pull that fails is made again, from another.
+    // A failed pull is retried, from another peer.
     let Ok(answer) = fetch(peer, request).await else {
         return true;
     };
     let source = peer.to_string();
     match wanted {
-        Wanted::Targets(_) => list_answer::take(gateway, answer, &source),
-        Wanted::Members => member_answer::take(gateway, &answer.members),
+        Wanted::Targets(_) => list_answer::apply(gateway, answer, &source),
+        Wanted::Members => member_answer::apply(gateway, &answer.members),
         Wanted::Catalogue(_) if answer.version == 0 => return false,
-        Wanted::Catalogue(_) => catalogue_answer::take(gateway, answer, &source),
+        Wanted::Catalogue(_) => catalogue_answer::apply(gateway, answer, &source),
     }
     true
 }
 
-/// Fetches an answer, part by part. Each part has the time of a pull: a list grows with the targets
-/// that there are, and a link that others use too brings it all the same.
+/// Fetches an answer part by part. The time limit applies to each part: the list grows with the
+/// number of targets and must still arrive over a shared link.
 async fn fetch(peer: SocketAddr, request: PullRequest) -> std::io::Result<PullAnswer> {
     let begin = async {
         let mut frames = Framed::new(connect(peer).await?, codec());
         frames.send(Bytes::from(request.encode_to_vec())).await?;
         std::io::Result::Ok(frames)
     };
-    let mut frames = timeout(PULL_LIMIT, begin).await??;
+    let mut frames = timeout(PULL_TIMEOUT, begin).await??;
     let mut whole: Option<PullAnswer> = None;
     loop {
-        let frame = timeout(PULL_LIMIT, frames.next()).await?;
+        let frame = timeout(PULL_TIMEOUT, frames.next()).await?;
         let frame = frame.ok_or(std::io::ErrorKind::UnexpectedEof)??;
         let part = PullAnswer::decode(frame).map_err(std::io::Error::other)?;
         let has_more = part.has_more;
@@ -137,20 +138,20 @@
     }
 }
 
-/// Answers pulls until the process ends.
+/// Serves pulls until the process ends.
 pub async fn serve(gateway: Arc<Gateway>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(ANSWERS_MAX));
+    let permits = Arc::new(Semaphore::new(SERVED_PULLS_MAX));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
+                let Ok(permit) = Arc::clone(&permits).try_acquire_owned() else {
                     continue;
                 };
                 let answering = answer(Arc::clone(&gateway), stream);
                 let answering = async move {
-                    // Whoever does not get its answer pulls again.
+                    // A peer that receives no answer pulls again.
                     let _ = answering.await;
-                    drop(place);
+                    drop(permit);
                 };
                 spawn_counted(&gateway, "answer_pulls", answering);
             }
@@ -165,13 +166,13 @@
 
 async fn answer(gateway: Arc<Gateway>, stream: TcpStream) -> std::io::Result<()> {
     let mut frames = Framed::new(stream, codec());
-    let Some(frame) = timeout(PULL_LIMIT, frames.next()).await? else {
+    let Some(frame) = timeout(PULL_TIMEOUT, frames.next()).await? else {
         return Ok(());
     };
     let request = PullRequest::decode(frame?).map_err(std::io::Error::other)?;
     let is_long = request.is_targets || request.is_members;
     if is_long && gateway.state().pressure.is_high(gateway.now()) {
-        // Whoever is refused asks another, and calls here wait for the same link.
+        // A refused peer asks another instance, and calls here compete for the same link.
         return Ok(());
     }
     let answer = make_answer(&gateway, &request);
@@ -188,7 +189,7 @@
         gateway.sent_bytes.add(duty, bytes.len());
         let now = gateway.now();
         gateway.state().pressure.note_sent(now, bytes.len());
-        timeout(PULL_LIMIT, frames.send(Bytes::from(bytes))).await??;
+        timeout(PULL_TIMEOUT, frames.send(Bytes::from(bytes))).await??;
     }
     Ok(())
 }
@@ -203,7 +204,7 @@
     }
 }
 
-/// Cuts a list of targets into parts of so many; 0 for all in one.
+/// Splits a list of targets into parts of `part_targets` entries; 0 keeps it in one part.
 fn in_parts(mut answer: PullAnswer, part_targets: u64) -> Vec<PullAnswer> {
     let part_targets = usize::try_from(part_targets).unwrap_or(usize::MAX);
     if part_targets == 0 {
--- a/crates/damaskstile-gateway/src/peers/told_suspect.rs
+++ b/crates/damaskstile-gateway/src/peers/suspect_report.rs
@@ -1,15 +1,15 @@
-//! `told_suspect` tells peers of a content under which targets ended.
+//! Reports to peers of contents under which targets have ended.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
 use damaskstile_requests::{Fingerprint, SuspectWord};
 
-/// Ends taken from one message: more than are ever told of one content.
+/// Limit on ends accepted from one message: more than are ever reported for one content.
 const ENDS_MAX: usize = 64;
 
-/// `ToldEnd` is the end of a target.
+/// `TargetEndReport` reports the end of a target.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct ToldEnd {
+pub struct TargetEndReport {
     /// The target.
     #[prost(string, tag = "1")]
     pub target: TargetId,
@@ -21,42 +21,42 @@
     pub age_ms: u64,
 }
 
-/// `ToldSuspect` tells peers of a content under which targets ended.
+/// `SuspectReport` reports a content under which targets have ended.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct ToldSuspect {
-    /// The content.
+pub struct SuspectReport {
+    /// Fingerprint of the content.
     #[prost(bytes = "vec", tag = "1")]
     pub fingerprint: Vec<u8>,
-    /// Client account whose calls ask for it.
+    /// Client account whose calls carry it.
     #[prost(string, tag = "2")]
     pub account: AccountId,
-    /// Targets that ended under it.
+    /// Targets that ended while running it.
     #[prost(message, repeated, tag = "3")]
-    pub ends: Vec<ToldEnd>,
-    /// Milliseconds since it last ran to its end.
+    pub ends: Vec<TargetEndReport>,
+    /// Milliseconds since it last ran to completion.
     #[prost(uint64, optional, tag = "4")]
     pub cleared_age_ms: Option<u64>,
 }
 
-impl ToldSuspect {
-    pub(super) fn of(word: SuspectWord) -> Self {
-        let ends = word.ends.into_iter();
+impl SuspectReport {
+    pub(super) fn of(suspect: SuspectWord) -> Self {
+        let ends = suspect.ends.into_iter();
         Self {
-            fingerprint: word.fingerprint.to_bytes(),
-            account: word.account,
+            fingerprint: suspect.fingerprint.to_bytes(),
+            account: suspect.account,
             ends: ends
-                .map(|(identity, age)| ToldEnd {
+                .map(|(identity, age)| TargetEndReport {
                     target: identity.target,
                     incarnation: identity.incarnation,
                     age_ms: unix_ms(age),
                 })
                 .collect(),
-            cleared_age_ms: word.cleared_age.map(unix_ms),
+            cleared_age_ms: suspect.cleared_age.map(unix_ms),
         }
     }
 
-    /// Returns what it says; `None` where it names no content.
-    pub(super) fn word(&self) -> Option<SuspectWord> {
+    /// Returns the decoded report; `None` if the fingerprint is invalid.
+    pub(super) fn to_suspect(&self) -> Option<SuspectWord> {
         let ends = self.ends.iter().take(ENDS_MAX);
         Some(SuspectWord {
             fingerprint: Fingerprint::from_bytes(&self.fingerprint)?,
--- a/crates/damaskstile-gateway/src/wanted.rs
+++ b/crates/damaskstile-gateway/src/wanted.rs
@@ -1,42 +1,42 @@
-//! `wanted` is what an instance lacks that peers have.
+//! Data that an instance lacks and can pull from peers.
 
 use damaskstile_core::prelude::*;
 
-/// `Pulled` is what can be pulled from a peer.
+/// `PullKind` is a kind of data that can be pulled from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Pulled {
+pub enum PullKind {
     /// The catalogue.
     Catalogue,
     /// The list of targets.
     Targets,
-    /// The instances that there are.
+    /// The list of members.
     Members,
 }
 
-/// `Wanted` is what an instance lacks, with the version that a peer has.
+/// `Wanted` is a piece of missing data, with the version that a peer has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wanted {
     /// A catalogue.
     Catalogue(Version),
     /// A list of targets.
     Targets(Version),
-    /// The instances that there are.
+    /// The list of members.
     Members,
 }
 
 impl Wanted {
-    /// Returns what is to be pulled.
+    /// Returns the kind of data to pull.
     ///
     /// ```
-    /// use damaskstile_gateway::wanted::{Pulled, Wanted};
-    /// assert_eq!(Wanted::Targets(7).pulled(), Pulled::Targets);
+    /// use damaskstile_gateway::wanted::{PullKind, Wanted};
+    /// assert_eq!(Wanted::Targets(7).kind(), PullKind::Targets);
     /// ```
     #[must_use]
-    pub fn pulled(self) -> Pulled {
+    pub fn kind(self) -> PullKind {
         match self {
-            Self::Catalogue(_) => Pulled::Catalogue,
-            Self::Targets(_) => Pulled::Targets,
-            Self::Members => Pulled::Members,
+            Self::Catalogue(_) => PullKind::Catalogue,
+            Self::Targets(_) => PullKind::Targets,
+            Self::Members => PullKind::Members,
         }
     }
 }
--- a/crates/damaskstile-gateway/tests/outages.rs
+++ b/crates/damaskstile-gateway/tests/outages.rs
@@ -1,4 +1,5 @@
-//! What counts as an outage of the store, in which the list of targets may have lost some that live.
+//! Conditions under which a loss of contact counts as an outage of the store, in which the list of
+//! targets may lack some that are alive.
 
 use std::time::Duration;
 
@@ -18,12 +19,12 @@
 }
 
 #[test]
-fn one_call_that_fails_is_no_outage_in_which_entries_lapse() {
-    // Symptom: an instance gives calls to a target seconds after its entry was removed. Sequence:
-    // many instances turn to the store at once, a connection times out, and the next call is
-    // answered 0.6 s later; the list that comes then no longer names a target, which is taken for
-    // lapsed in an outage and stays in use for a grace, however late the instance noticed. Cause:
-    // any failed call counted as an outage, but entries lapse only after seconds of silence.
+fn a_single_failed_call_is_not_an_outage_in_which_entries_lapse() {
+    // Guards against calls to a target seconds after its entry was removed. Many instances call the
+    // store at the same time, a connection times out, and the next call is answered 0.6 s later
+    // with a list that no longer names a target. If any failed call counted as an outage, that
+    // target would be taken for lapsed and stay in use for a grace period, however late the
+    // instance noticed; entries lapse only after seconds without an answer.
 
     // Arrange and act
     let contact = contact(200, 807);
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn a_failed_call_after_an_outage_does_not_prolong_its_time() {
+fn a_failed_call_after_an_outage_does_not_extend_its_grace_period() {
     // Arrange
     let mut contact = contact(1_200, 3_000);
 
