--- a/crates/damaskstile-targets/src/book.rs
+++ b/crates/damaskstile-targets/src/book.rs
@@ -1,4 +1,4 @@
-//! `book` knows the listed targets and chooses one for a call.
+//! Table of the listed targets, from which one is selected for each call.
 
 mod candidates;
 mod cold;
@@ -33,61 +33,62 @@
 use long_load::LongLoad;
 use weighed::{Weighed, first_passing};
 
-/// Instances up to which all prompts are told that are worth it. Each is told to all, so what one
-/// instance hears grows with the fleet: 64 instances tell each other some twenty a second. In a
-/// larger fleet only longer prompts are told, which are rarer.
+/// Fleet size up to which the reporting threshold for prompts applies as it is. Each report goes to
+/// all instances, so the rate at which one instance receives them grows with the fleet: 64
+/// instances send each other some twenty a second. In a larger fleet the threshold grows in
+/// proportion, and only longer prompts are reported, which are rarer.
 const TOLD_INSTANCES: f64 = 64.0;
 
-/// `Book` knows the listed targets and chooses one for a call.
+/// Table of the listed targets, from which one is selected for each call.
 ///
-/// The choice weighs three things in one unit, the time to the first token: prompt tokens that
-/// wait there or would have to be read anew, calls that run there, and failures seen lately.
-/// Evenness alone reads shared parts of prompts anew at every target; affinity alone queues the
-/// calls of a busy session at one.
+/// The selection weighs three things in one unit, the time to the first token: prompt tokens that
+/// wait at a target or would need prefill there, calls that run there, and recent failures. Even
+/// load alone would repeat the prefill of shared prompt parts at every target; affinity alone would
+/// queue the calls of a busy session at one target.
 #[derive(Debug)]
 pub struct Book {
     options: BookOptions,
     data_centre: String,
     targets: BTreeMap<TargetId, Known>,
-    /// The same by service, in the orders in which choices look at them.
+    /// Targets by service, in the orders in which selections go through them.
     indexes: BTreeMap<ServiceId, ServiceIndex>,
-    /// Where this instance begins in its own order of targets.
+    /// Seed of this instance's own order of targets.
     own_seed: u64,
-    /// Listed targets that state their starts.
+    /// Number of listed targets that state their starts.
     stated: usize,
-    /// Targets that the list stopped showing around an outage, some of which it shows again.
+    /// Targets that were delisted around an outage, some of which are listed again.
     lapsed: BTreeSet<TargetId>,
-    /// Targets that named a limit.
+    /// Targets that have advertised a limit.
     limited: BTreeSet<TargetId>,
-    /// Targets that choices have looked at.
+    /// Number of candidates that selections have examined.
     looks: Cell<u64>,
     departures: Departures,
-    /// Entries that name no target to use, with what is wrong with them.
+    /// Names whose entries are invalid, with the fault.
     refused: BTreeMap<TargetId, String>,
-    /// Whether targets state their starts. An entry that does not is another writer's then.
+    /// Whether targets state their starts. If so, an entry that does not is from another writer.
     is_start_stated: bool,
-    /// Instances of the fleet, each with about as much load.
+    /// Number of instances in the fleet, which are assumed to have about the same load each.
     instances: u64,
-    /// Long prompts that this instance sent, by service.
+    /// Load of long prompts that this instance sent, by service.
     long_loads: BTreeMap<ServiceId, LongLoad>,
-    /// How fast targets read, by service.
+    /// Estimated prefill speed of targets, by service.
     speeds: BTreeMap<ServiceId, ReadingSpeed>,
-    /// Data centres whose targets get nothing.
+    /// Evacuated data centres, whose targets receive nothing.
     emptied: Emptied,
-    /// What cold targets bear, by service.
+    /// Call limits of cold targets, by service.
     cold_limits: BTreeMap<ServiceId, ColdLimit>,
-    /// The other instances, by which each knows to which cold targets it may send.
+    /// Other instances, by which each determines to which targets with a call limit it may send.
     fleet: FleetView,
-    /// Counts the changes of that view and of the limits.
+    /// Incremented when the fleet view or the cold limits change.
     fleet_state: u64,
-    /// When the instance started, where that is known.
+    /// When this instance started; `None` if that is unknown.
     started_at: Option<Duration>,
-    /// Targets whose entries changed since that was last asked for.
+    /// Targets whose entries changed since the last [`Self::take_touched`].
     touched: BTreeSet<TargetId>,
 }
 
 impl Book {
-    /// Makes a book without targets.
+    /// Creates a table without targets.
     #[must_use]
     pub fn new(data_centre: &str, options: BookOptions) -> Self {
         Self {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Makes the book of an instance that started at a time.
+    /// Sets the name of the instance that uses the table, and when it started.
     #[must_use]
     pub fn of_instance(mut self, instance: &str, started_at: Duration) -> Self {
         self.fleet = FleetView::new(instance);
@@ -124,7 +125,7 @@
         self
     }
 
-    /// Returns how often choices have looked at a target.
+    /// Returns the number of candidates that selections have examined.
     ///
     /// ```
     /// use damaskstile_targets::{Book, BookOptions};
@@ -135,13 +136,14 @@
         self.looks.get()
     }
 
-    /// Returns the number of targets of a service that may get work.
+    /// Returns the number of targets of a service that may receive work.
     #[must_use]
     pub fn usable_targets(&self, now: Duration, service: &str) -> usize {
         self.usable(now, service).count()
     }
 
-    /// Chooses a target of a service, other than those already tried.
+    /// Selects a target of a service, other than those already tried; `None` if no target may
+    /// receive the call.
     ///
     /// ```
     /// use std::time::Duration;
@@ -173,9 +175,9 @@
         Some(first.choice())
     }
 
-    /// Tells whether an incarnation may still get the call that was chosen for it: nothing that came
-    /// since shows that it leaves, is gone, wants a pause or has been followed by another, and it is
-    /// not cold with all that it bears.
+    /// Tells whether an incarnation may still receive a call for which it was selected: since then
+    /// the target has not begun to leave, been delisted, asked for a backoff or been replaced by
+    /// another incarnation, and its call limits, if any apply, are not used up.
     ///
     /// ```
     /// use std::time::Duration;
@@ -193,8 +195,8 @@
         })
     }
 
-    /// Returns what is known of the incarnation that a call was sent to; `None` where another has
-    /// taken its place, of which the call says nothing.
+    /// Returns the state of the incarnation that a call was sent to; `None` if another one has
+    /// replaced it, which the call does not concern.
     fn chosen(&mut self, choice: &Choice) -> Option<&mut Known> {
         self.of_incarnation(&choice.target, choice.incarnation)
     }
@@ -212,12 +214,12 @@
         Some(known)
     }
 
-    /// Sets how many instances there are, by which each knows the load of all from its own.
+    /// Sets the number of instances, by which each estimates the load of all from its own.
     pub fn set_instances(&mut self, instances: u64) {
         self.instances = instances;
     }
 
-    /// Notes that a call was sent to its choice.
+    /// Records that a call was sent to its target.
     pub fn sent(&mut self, now: Duration, choice: &Choice, work: &Work) {
         self.note_long(now, choice, work);
         self.sweep(now, &choice.target);
@@ -227,8 +229,8 @@
         }
     }
 
-    /// Returns how long the prompt of a call takes to read at its target, if that is worth telling
-    /// the peers.
+    /// Returns the prefill time of a call's prompt at its target if it is long enough to be
+    /// reported to peers.
     #[must_use]
     pub fn reading_to_tell(&self, choice: &Choice) -> Option<Duration> {
         let parts = f64::from(u32::try_from(self.instances).unwrap_or(u32::MAX)) / TOLD_INSTANCES;
@@ -236,7 +238,7 @@
         is_worth.then(|| Duration::from_secs_f64(choice.read_ms / 1_000.0))
     }
 
-    /// Takes in that a peer sent a prompt to a target that takes so long to read there.
+    /// Applies a peer's report that it sent a prompt to a target, where the prefill takes so long.
     pub fn hear_reading(&mut self, now: Duration, identity: &TargetIdentity, time: Duration) {
         self.sweep(now, &identity.target);
         if let Some(known) = self.of_incarnation(&identity.target, identity.incarnation) {
@@ -244,42 +246,42 @@
         }
     }
 
-    /// Notes that the first token came, or that the call ended before it.
+    /// Records that the first token arrived, or that the call ended before it.
     pub fn prefilled(&mut self, choice: &Choice) {
         if let Some(known) = self.chosen(choice) {
             known.prefilled(choice.read_ms);
         }
     }
 
-    /// Notes that a call ended, in whatever way.
+    /// Records that a call ended, whatever its outcome.
     pub fn ended(&mut self, choice: &Choice) {
         if let Some(known) = self.chosen(choice) {
             known.ended();
         }
     }
 
-    /// Takes in a target's report of its load, which came with the answer to a call.
+    /// Applies a load report that a target sent with the answer to a call.
     pub fn report(&mut self, now: Duration, choice: &Choice, running: u64, waiting: u64) {
         if let Some(known) = self.chosen(choice) {
             known.report(now, running, waiting);
         }
     }
 
-    /// Notes that a call succeeded at its target.
+    /// Records that a call succeeded at its target.
     pub fn succeeded(&mut self, now: Duration, choice: &Choice) {
         if let Some(known) = self.chosen(choice) {
             known.succeeded(now);
         }
     }
 
-    /// Notes that a target failed a call.
+    /// Records that a call failed at its target.
     pub fn failed(&mut self, now: Duration, choice: &Choice) {
         if let Some(known) = self.chosen(choice) {
             known.failed(now);
         }
     }
 
-    /// Notes that a target did not answer at all.
+    /// Records that a target did not answer at all.
     pub fn silent(&mut self, now: Duration, choice: &Choice) {
         if let Some(known) = self.chosen(choice) {
             known.silent(now);
@@ -291,7 +293,7 @@
             .filter(move |known| known.paused_for(now).is_zero())
     }
 
-    /// Returns the targets of a service that may get work, now or after a pause.
+    /// Returns the targets of a service that may receive work, now or after a backoff.
     fn in_use<'a>(&'a self, now: Duration, service: &'a str) -> impl Iterator<Item = &'a Known> {
         let index = self.indexes.get(service).into_iter();
         self.known_of(index.flat_map(ServiceIndex::all))
--- a/crates/damaskstile-targets/src/book/candidates.rs
+++ b/crates/damaskstile-targets/src/book/candidates.rs
@@ -1,4 +1,4 @@
-//! `candidates` finds the few targets among which a choice weighs.
+//! Finds the few targets that a selection needs to weigh.
 
 use damaskstile_core::prelude::*;
 
@@ -9,19 +9,20 @@
 use crate::known::{Known, PART_MEMORY};
 use crate::work::Work;
 
-/// Targets kept for long prompts that are weighed for one call, besides those of which this instance
-/// knows more than the list says.
+/// Reserved targets that are weighed for one call, besides those of which this instance knows more
+/// than the list says.
 const KEPT_WEIGHED: usize = FEW;
-/// Time between two looks at which targets have nothing left that tells them from others.
+/// Time between two sweeps, which drop the marks of targets of which no more is known than the list
+/// says.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Book {
-    /// Returns the targets to weigh for a call, some of which may not get it, without those that cost
-    /// the same as another one in the same data centre that comes before them.
+    /// Returns the targets to weigh for a call, some of which may not receive it. Of targets in the
+    /// same data centre that cost the same, only the first is included.
     ///
-    /// All targets of which this instance knows no more than the list says cost the same, but for
-    /// the data centre and whether they are kept for long prompts. So one of each kind stands for
-    /// all, and what a choice costs does not grow with the list.
+    /// All targets of which this instance knows no more than the list says cost the same, apart
+    /// from their data centre and whether they are reserved for long prompts. So one of each kind
+    /// stands for all, and the cost of a selection does not grow with the list.
     pub(super) fn candidates<'a>(
         &'a self,
         now: Duration,
@@ -50,7 +51,7 @@
         candidates
     }
 
-    /// Tells whether a target may get a call.
+    /// Tells whether a target may receive a call.
     pub(super) fn may_get(
         &self,
         now: Duration,
@@ -64,8 +65,8 @@
             && self.has_place(now, known)
     }
 
-    /// Forgets now and then which targets of the same service had something that told them from
-    /// others and have nothing any more.
+    /// At intervals, drops the marks of targets of the same service of which no more is known than
+    /// the list says, and forgets expired prompt parts.
     pub(super) fn sweep(&mut self, now: Duration, target: &str) {
         let Some(known) = self.targets.get(target) else {
             return;
@@ -85,7 +86,7 @@
         });
     }
 
-    /// Notes which targets the shared parts of a prompt were sent to.
+    /// Records which target the shared parts of a prompt were sent to.
     pub(super) fn note_parts(&mut self, now: Duration, target: &str, work: &Work) {
         let Some(known) = self.targets.get(target) else {
             return;
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Puts what is known of a target in its place.
+    /// Adds the state of a target to the table and its indexes.
     pub(super) fn insert_known(&mut self, now: Duration, known: Known) {
         let listed = &known.listed;
         let own_seed = self.own_seed;
@@ -117,7 +118,7 @@
         self.targets.insert(listed.target.clone(), known);
     }
 
-    /// Takes out what is known of a target.
+    /// Removes the state of a target from the table and its indexes.
     pub(super) fn remove_known(&mut self, target: &str) -> Option<Known> {
         let known = self.targets.remove(target)?;
         let listed = &known.listed;
@@ -131,7 +132,7 @@
     }
 }
 
-/// Returns the targets that shared parts of a prompt were sent to last.
+/// Returns the targets that shared parts of a prompt were last sent to.
 pub(super) fn with_parts<'a>(
     index: &'a ServiceIndex,
     work: &Work,
--- a/crates/damaskstile-targets/src/book/cold.rs
+++ b/crates/damaskstile-targets/src/book/cold.rs
@@ -1,16 +1,16 @@
-//! `cold` keeps what cold targets get within what they bear.
+//! Call limits of cold targets, and which targets are cold.
 
 use damaskstile_core::prelude::*;
 
 use super::Book;
 use crate::cold_limit::ColdLimit;
 
-/// Time for which a target that has ended may be back without a word of it. Its entry lapses, or
-/// shows a newer incarnation, within it.
+/// Time for which a target that ended may have restarted without any report of it. Within this time
+/// its entry expires or shows a newer incarnation.
 const RETURN_UNSEEN: Duration = Duration::from_secs(4);
 
 impl Book {
-    /// Sets what cold targets of each service bear.
+    /// Sets the call limits of cold targets, by service.
     pub fn set_cold_limits(&mut self, limits: BTreeMap<ServiceId, ColdLimit>) {
         if self.cold_limits != limits {
             self.cold_limits = limits;
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Takes in that there is another instance, and how many it knows of.
+    /// Records another instance, and the number of instances that it knows of.
     pub fn meet(&mut self, instance: &str, instances: u64) {
         let is_new = self.fleet.meet(instance);
         if self.fleet.hear_count(instances) || is_new {
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Notes that nothing takes connections at a target. It may be back under the same name at any
-    /// moment, cold, before any word of that is heard.
+    /// Records that a target accepts no connections. It may restart under the same name at any
+    /// moment, cold, before any report of that arrives.
     pub fn note_ended(&mut self, now: Duration, identity: &TargetIdentity) {
         let Some(known) = self.targets.get_mut(&identity.target) else {
             return;
@@ -40,21 +40,22 @@
         known.chill(now + RETURN_UNSEEN + cold_time);
     }
 
-    /// Returns the time for which a target is taken to be cold.
+    /// Returns how much longer a target is treated as cold.
     #[must_use]
     pub fn cold_for(&self, now: Duration, target: &str) -> Duration {
         let known = self.targets.get(target);
         known.map_or(Duration::ZERO, |known| known.cold_for(now))
     }
 
-    /// Returns the number of targets that are cold.
+    /// Returns the number of cold targets.
     #[must_use]
     pub fn cold_targets(&self, now: Duration) -> usize {
         let known = self.targets.values();
         known.filter(|known| known.is_cold(now)).count()
     }
 
-    /// Takes the targets of a data centre for cold: they may have become so while they got nothing.
+    /// Treats the targets of a data centre as cold: they may have become so while they received
+    /// nothing.
     pub(super) fn chill_data_centre(&mut self, now: Duration, data_centre: &str) {
         for known in self.targets.values_mut() {
             if known.listed.data_centre != data_centre {
--- a/crates/damaskstile-targets/src/book/index.rs
+++ b/crates/damaskstile-targets/src/book/index.rs
@@ -1,31 +1,33 @@
-//! `index` keeps the targets of a service in the orders in which choices look at them.
+//! Index of a service's targets, in the orders in which selections go through them.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::stable_hash;
 
-/// Odd factor that takes the keys of an order into another, and the one that takes them back.
+/// Odd multiplier that scatters the keys of an order, and its inverse modulo 2^64.
 const SCATTER: u64 = 0x9E37_79B9_7F4A_7C15;
 const GATHER: u64 = 0xF1DE_83E1_9937_733D;
-/// Targets remembered for one part of prompts: those that keep it most likely.
+/// Targets remembered for one prompt part: the last ones, which are the most likely to cache it.
 const PART_TARGETS_MAX: usize = 16;
-/// Bits by which keys are turned for the order of the targets kept for long prompts.
+/// Bits by which keys are rotated for the reservation order, so that it differs from the ring
+/// order.
 const TURNED_BITS: u32 = 32;
 
-/// `ServiceIndex` keeps the targets of one service in the orders in which choices look at them, so
-/// that a choice looks at few of them, however many there are.
+/// Targets of one service in the orders in which selections go through them, so that a selection
+/// examines few of them, however many there are.
 ///
-/// Each order is one of keys that follow from a hash of the target's name. All instances share the
-/// first two; the third is the instance's own, so that a fleet of instances that know nothing of
-/// each other's calls does not send them all to the same target.
+/// Each order sorts keys that are derived from a hash of the target's name. All instances share the
+/// first two orders. The third differs between instances, so that instances that know nothing of
+/// each other's calls do not all send to the same target.
 #[derive(Debug)]
 pub(super) struct ServiceIndex {
     ring: BTreeMap<u64, TargetId>,
     kept_order: BTreeSet<u64>,
     own_order: BTreeMap<DataCentreId, BTreeSet<u64>>,
     own_seed: u64,
-    /// Targets of which this instance knows more than the list says, but for parts sent there.
+    /// Targets of which this instance knows more than the list says, not counting prompt parts sent
+    /// there.
     marked: BTreeSet<TargetId>,
-    /// Targets that shared parts of prompts were sent to last, by part, with when.
+    /// Targets that shared prompt parts were last sent to, by part, with the time.
     sent_parts: BTreeMap<u64, VecDeque<(Duration, TargetId)>>,
     pub(super) swept_at: Duration,
 }
@@ -66,19 +68,19 @@
         }
     }
 
-    /// Notes that this instance knows more of a target than the list says.
+    /// Records that this instance knows more of a target than the list says.
     pub(super) fn mark(&mut self, target: &str) {
         if !self.marked.contains(target) {
             self.marked.insert(target.to_owned());
         }
     }
 
-    /// Keeps the marks of those targets only of which that is still so.
+    /// Keeps only the marks for which the predicate holds.
     pub(super) fn sweep(&mut self, is_marked: impl Fn(&TargetId) -> bool) {
         self.marked.retain(is_marked);
     }
 
-    /// Notes that a part that prompts share was sent to a target.
+    /// Records that a shared prompt part was sent to a target.
     pub(super) fn note_part(&mut self, now: Duration, part: u64, target: &str) {
         let targets = self.sent_parts.entry(part).or_default();
         targets.retain(|(_, other)| other != target);
@@ -88,13 +90,13 @@
         }
     }
 
-    /// Forgets the parts that were sent last before a time.
+    /// Forgets the parts that were last sent before a time.
     pub(super) fn forget_parts(&mut self, before: Duration) {
         self.sent_parts
             .retain(|_, targets| targets.back().is_some_and(|(at, _)| *at >= before));
     }
 
-    /// Returns the targets that a part was sent to last.
+    /// Returns the targets that a part was last sent to.
     pub(super) fn sent_part(&self, part: u64) -> impl Iterator<Item = &TargetId> {
         let targets = self.sent_parts.get(&part).into_iter().flatten();
         targets.map(|(_, target)| target)
@@ -112,7 +114,8 @@
         self.ring.values()
     }
 
-    /// Returns all targets in the order that all instances share, from a subject's place on.
+    /// Returns all targets in the ring order, which all instances share, beginning at the ring
+    /// position of a shared prefix.
     pub(super) fn after_place_of(&self, subject: &str) -> impl Iterator<Item = &TargetId> {
         let place = stable_hash(&[subject]);
         let before = self.ring.range(..place);
@@ -120,14 +123,14 @@
         from.chain(before).map(|(_, target)| target)
     }
 
-    /// Returns all targets in the order in which they are kept for long prompts.
+    /// Returns all targets in the order in which they are reserved for long prompts.
     pub(super) fn in_kept_order(&self) -> impl Iterator<Item = &TargetId> {
         let keys = self.kept_order.iter();
         keys.filter_map(|key| self.ring.get(&key.rotate_right(TURNED_BITS)))
     }
 
-    /// Returns the targets up to a key of the order in which they are kept for long prompts, from this
-    /// instance's own place on.
+    /// Returns the targets up to a key in the reservation order, beginning at a position that
+    /// differs between instances.
     pub(super) fn kept_from_own_place(&self, below: u64) -> impl Iterator<Item = &TargetId> {
         let place = self.own_seed % below.max(1);
         let keys = self.kept_order.range(place..=below.max(place));
@@ -135,12 +138,11 @@
         keys.filter_map(|key| self.ring.get(&key.rotate_right(TURNED_BITS)))
     }
 
-    /// Returns a target's key in the order in which they are kept for long prompts.
+    /// Returns a target's key in the reservation order.
     pub(super) fn kept_key(&self, target: &str) -> u64 {
         self.key(target).rotate_left(TURNED_BITS)
     }
 
-    /// Returns the number of targets.
     pub(super) fn len(&self) -> usize {
         self.ring.len()
     }
@@ -156,12 +158,12 @@
         })
     }
 
-    /// Returns a target's place in this instance's own order.
+    /// Returns a target's position in this instance's own order.
     pub(super) fn own_place(&self, target: &str) -> u64 {
         self.own_key(self.key(target))
     }
 
-    /// Returns the key of a name: its hash, or the next one that no other name has.
+    /// Returns the key of a target: the hash of its name, or the next key that no other name has.
     fn key(&self, target: &str) -> u64 {
         let mut key = stable_hash(&["target", target]);
         while self.ring.get(&key).is_some_and(|other| other != target) {
--- a/crates/damaskstile-targets/src/book/kept.rs
+++ b/crates/damaskstile-targets/src/book/kept.rs
@@ -1,37 +1,37 @@
-//! `kept` are the targets of a service that are kept for long prompts.
+//! Targets of a service that are reserved for long prompts.
 
 use damaskstile_core::prelude::*;
 
 use super::index::ServiceIndex;
 
-/// Targets that are named one by one. Where more are kept a choice that looks at each of them would
-/// cost milliseconds.
+/// Most reserved targets that are listed one by one. With more of them, a selection that examines
+/// each would cost milliseconds.
 pub(super) const FEW: usize = 64;
 
-/// `Kept` are the targets of a service that are kept for long prompts, the same on every instance
-/// that sees the same load.
+/// Targets of a service that are reserved for long prompts; the same on every instance that sees
+/// the same load.
 #[derive(Debug)]
 pub(super) enum Kept<'a> {
-    /// These.
+    /// Targets listed one by one.
     Few(BTreeSet<&'a str>),
-    /// Those that come first in the order that all instances share, up to a key.
+    /// Targets up to a key in the reservation order, which all instances share.
     Many {
-        /// The order.
+        /// Index that holds the order.
         index: &'a ServiceIndex,
-        /// The key.
+        /// Highest reserved key.
         below: u64,
     },
 }
 
 impl<'a> Kept<'a> {
-    /// Keeps none.
     pub(super) fn none() -> Self {
         Self::Few(BTreeSet::new())
     }
 
-    /// Keeps about so many of all targets of a service.
+    /// Reserves about `count` targets of a service.
     pub(super) fn many(index: &'a ServiceIndex, count: usize) -> Self {
-        // The keys are hashes, so a part of them is a part of the targets.
+        // The keys are hashes, so a share of the key space holds about the same share of the
+        // targets.
         let all = u64::try_from(index.len().max(1)).unwrap_or(u64::MAX);
         let count = u64::try_from(count).unwrap_or(u64::MAX);
         let below = (u64::MAX / all).saturating_mul(count);
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Returns targets that are kept: all, or where they are many, from the instance's own place on.
+    /// Returns the reserved targets: in name order if they are listed one by one, otherwise
+    /// beginning at a position that differs between instances.
     pub(super) fn targets(&self) -> Box<dyn Iterator<Item = &'a str> + '_> {
         match self {
             Self::Few(targets) => Box::new(targets.iter().copied()),
--- a/crates/damaskstile-targets/src/book/limits.rs
+++ b/crates/damaskstile-targets/src/book/limits.rs
@@ -1,4 +1,4 @@
-//! `limits` remembers which targets name a limit of calls.
+//! Tracks the call limits that targets advertise.
 
 use damaskstile_core::prelude::*;
 
@@ -7,20 +7,20 @@
 use crate::limit_word::LimitWord;
 use crate::named_limit::NamedLimit;
 
-/// Time for which peers are told of a limit that was named, or of its end.
+/// Time for which an advertised limit, or its end, is reported to peers.
 const LIMIT_NEWS: Duration = Duration::from_secs(15);
-/// Limits that are told in one digest: some 40 bytes each.
+/// Limits reported in one digest, at some 40 bytes each.
 const LIMITS_TOLD_MAX: usize = 16;
-/// Age by which a peer's word must be newer to replace one that says the same. The time on the way
-/// is not known, so words that are passed on look newer than they are.
+/// Time by which a peer's report must be newer to replace one with the same limit. The transmission
+/// time is unknown, so relayed reports look newer than they are.
 const SAME_WORD_SLACK: Duration = Duration::from_millis(500);
 
 impl Book {
-    /// Takes in what an answer to a call says of its target's limit; returns the limit where that is
-    /// news.
+    /// Applies what the answer to a call says of its target's limit; returns the limit if it
+    /// changed.
     ///
-    /// A limit is over once a call that was sent after it was named is answered without one. An
-    /// answer to an earlier call may have been on its way for long.
+    /// A limit ends once a call that was sent after the limit was last advertised is answered
+    /// without one. The answer to an earlier call may have been delayed.
     pub fn heed_limit(
         &mut self,
         now: Duration,
@@ -47,7 +47,7 @@
         is_news.then_some(word)
     }
 
-    /// Takes in what a peer tells of a target's limit; returns whether it is news.
+    /// Applies a peer's report on a target's limit; returns whether the limit changed.
     pub fn hear_limit(
         &mut self,
         now: Duration,
@@ -70,8 +70,8 @@
         is_news
     }
 
-    /// Returns the limits to tell peers: those that were named lately, and those that ended, the
-    /// newest first.
+    /// Returns the limits to report to peers, newest first: those that were advertised recently,
+    /// and those that ended recently.
     #[must_use]
     pub fn limits_to_tell(&self, now: Duration) -> Vec<(TargetIdentity, LimitWord)> {
         let told = |known: &Known| {
@@ -91,7 +91,7 @@
         told
     }
 
-    /// Returns the number of targets that name a limit.
+    /// Returns the number of targets that advertise a limit.
     #[must_use]
     pub fn limited_targets(&self) -> usize {
         let known = self.limited.iter();
--- a/crates/damaskstile-targets/src/book/list.rs
+++ b/crates/damaskstile-targets/src/book/list.rs
@@ -1,4 +1,4 @@
-//! `list` keeps a book up to date with the list of targets and with what peers tell of it.
+//! Keeps the target table up to date with the target list and with peer reports on it.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::stable_hash;
@@ -10,15 +10,16 @@
 use crate::refused::Refused;
 use crate::target_counts::TargetCounts;
 
-/// Targets that lapsed around an outage and are told in one digest.
+/// Targets delisted around an outage that are reported in one digest.
 const LAPSED_TOLD_MAX: usize = 16;
-/// Fault of an entry that does not state its target's start where others do.
+/// Fault of an entry that does not state its target's start although others do.
 const FAULT_NO_START: &str = "the start is not stated";
 
 impl Book {
-    /// Takes in one entry of the list; returns whether its readiness changed.
+    /// Applies one entry of the target list. Returns whether that changed the target's incarnation
+    /// or readiness, made it cold, or put it into or out of use because of an invalid entry.
     ///
-    /// An entry of an incarnation older than the newest one known came late and is ignored. One
+    /// An entry of an incarnation older than the newest known one is late and is ignored. An entry
     /// that does not state the start of a target whose start is known is refused.
     pub fn list(&mut self, now: Duration, listed: Listed) -> bool {
         let is_news = self.take(now, listed);
@@ -49,7 +50,7 @@
             let is_chilled = known.update(now, listed);
             return self.note_chilled(is_chilled, &identity) || was_refused;
         }
-        // Its place in the orders may be another.
+        // Its position in the index may change.
         match self.remove_known(&listed.target) {
             Some(mut known) if known.listed.incarnation == listed.incarnation => {
                 let was_ready = known.listed.is_ready && known.missing_since.is_none();
@@ -59,7 +60,7 @@
                 self.note_chilled(is_chilled, &identity) || was_refused || was_ready != is_ready
             }
             _ => {
-                // A new incarnation holds nothing of what the one before it held.
+                // A new incarnation has none of its predecessor's cached prompts or running calls.
                 self.insert_known(now, Known::new(now, listed));
                 true
             }
@@ -73,10 +74,10 @@
         is_chilled
     }
 
-    /// Takes in an entry that names no target to use; returns whether that is news.
+    /// Applies an invalid entry; returns whether its fault is new.
     ///
-    /// What was listed under its name is out of use until the next sound entry. That is no drain:
-    /// another writer's entry must not take out a sound target for good.
+    /// The target listed under its name is out of use until the next valid entry. This is no drain:
+    /// an entry of another writer must not take a working target out of use for good.
     pub fn refuse(&mut self, entry: &Refused) -> bool {
         self.mark_refused(&entry.target, &entry.fault)
     }
@@ -92,7 +93,7 @@
         before.as_deref() != Some(fault)
     }
 
-    /// Returns what is wrong with the entry of a name, if it names no target to use.
+    /// Returns the fault of a target's entry if the entry is invalid.
     #[must_use]
     pub fn fault(&self, target: &str) -> Option<&str> {
         let refused = self.refused.get(target).map(String::as_str);
@@ -102,13 +103,14 @@
         })
     }
 
-    /// Takes in that the list no longer holds a target.
+    /// Applies the removal of a target from the list.
     ///
-    /// Around an outage of the list entries lapse although their targets live, and come back
-    /// soon; such a target stays in use for a short grace. At other times it is leaving.
+    /// Around an outage of the list, entries expire although their targets are alive, and reappear
+    /// soon; such a target stays in use for a short grace period. At other times it is treated as
+    /// leaving.
     pub fn unlist(&mut self, now: Duration, target: &str, is_around_outage: bool) {
         self.touched.insert(target.to_owned());
-        // What stood there last named no target, so there is none to wait for.
+        // The last entry under this name was invalid, so there is no target to wait for.
         let was_refused = self.refused.remove(target).is_some();
         if !is_around_outage || was_refused {
             let known = self.targets.get(target);
@@ -122,8 +124,8 @@
         self.look_at_starts();
     }
 
-    /// Takes in the whole list: targets that it does not name are unlisted. Returns the refused
-    /// entries that are news.
+    /// Applies the whole list; targets that it does not contain are unlisted. Returns the refused
+    /// entries whose fault is new.
     pub fn list_all(
         &mut self,
         now: Duration,
@@ -165,17 +167,17 @@
         news
     }
 
-    /// Takes in that an incarnation drains or has ended; returns whether that is news.
+    /// Records that an incarnation drains or has ended; returns whether that is new.
     pub fn leave(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
         !self.is_outdated(identity) && self.departures.leave(now, identity)
     }
 
-    /// Takes in that an incarnation vanished from the list; returns whether that is news.
+    /// Records that an incarnation was delisted; returns whether that is new.
     pub fn vanish(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
         !self.is_outdated(identity) && self.departures.vanish(now, identity)
     }
 
-    /// Returns the newest incarnation of a name, from the list or from whoever told that it left.
+    /// Returns the newest known incarnation of a target, from the list or from departures.
     #[must_use]
     pub fn newest(&self, target: &str) -> Option<TargetIncarnation> {
         let known = self.targets.get(target);
@@ -187,8 +189,8 @@
         identity.incarnation < self.newest(&identity.target)
     }
 
-    /// Finds out whether targets state their starts: at least as many as do not. One stray entry
-    /// must not decide that for all others.
+    /// Determines whether targets state their starts: at least half of them must do so. One stray
+    /// entry must not decide this for all others.
     fn look_at_starts(&mut self) {
         let stated = self.stated;
         self.is_start_stated = stated > 0 && stated * 2 >= self.targets.len();
@@ -198,14 +200,14 @@
         self.is_start_stated && known.listed.incarnation.is_none()
     }
 
-    /// Returns the incarnations that lately began to drain, to tell peers.
+    /// Returns the incarnations that recently began to drain, to report them to peers.
     #[must_use]
     pub fn draining(&self, now: Duration) -> Vec<TargetIdentity> {
         self.departures.told(now, true)
     }
 
-    /// Returns the incarnations that lately vanished from the list, to tell peers: those that
-    /// lapsed around an outage too, once they are no longer waited for.
+    /// Returns the recently delisted incarnations, to report them to peers. This includes those
+    /// that were delisted around an outage, once their grace period is over.
     #[must_use]
     pub fn vanished(&self, now: Duration) -> Vec<TargetIdentity> {
         let lapsed = self.lapsed.iter();
@@ -221,7 +223,7 @@
         vanished.chain(lapsed.take(LAPSED_TOLD_MAX)).collect()
     }
 
-    /// Counts the targets by what keeps them in or out of use.
+    /// Counts the targets by state.
     #[must_use]
     pub fn counts(&self) -> TargetCounts {
         let mut counts = TargetCounts::default();
@@ -243,14 +245,15 @@
         counts
     }
 
-    /// Returns what the list says of the targets that are there, to hand it on. One that the list
-    /// does not show now is left out: whoever takes it over could not tell that it is waited for.
+    /// Returns the entries to pass on to peers: those of targets that are listed, valid and not
+    /// leaving. A target in its grace period is left out, since a recipient could not tell that it
+    /// is.
     pub fn present(&self) -> impl Iterator<Item = &Listed> {
         let targets = self.targets.keys();
         targets.filter_map(|target| self.present_entry(target))
     }
 
-    /// Returns what the list says of a target, if it may be handed on as [`Self::present`] tells.
+    /// Returns the entry of a target if [`Self::present`] includes it.
     #[must_use]
     pub fn present_entry(&self, target: &str) -> Option<&Listed> {
         let known = self.targets.get(target)?;
@@ -260,13 +263,13 @@
         is_present.then_some(&known.listed)
     }
 
-    /// Returns the targets whose entries changed since this was last asked.
+    /// Returns the targets whose entries changed since the previous call.
     pub fn take_touched(&mut self) -> BTreeSet<TargetId> {
         std::mem::take(&mut self.touched)
     }
 
-    /// Returns a hash of the list as it may be handed on; `None` while targets are leaving, of which
-    /// each instance hears at another time.
+    /// Returns a hash of the list as it is passed on to peers; `None` while there are recent
+    /// departures, since each instance learns of them at another time.
     #[must_use]
     pub fn content_hash(&self, now: Duration) -> Option<u64> {
         if self.departures.is_in_flux(now) {
@@ -280,7 +283,7 @@
         Some(hashes.fold(0, |all, hash| all ^ hash))
     }
 
-    /// Tells whether the list names an incarnation, or named it until lately.
+    /// Tells whether the list contains an incarnation, or did until recently.
     ///
     /// ```
     /// use damaskstile_core::prelude::TargetIdentity;
@@ -294,7 +297,7 @@
         known.is_some_and(|known| known.listed.incarnation == identity.incarnation)
     }
 
-    /// Tells whether the list names a target now.
+    /// Tells whether the list contains a target now.
     ///
     /// ```
     /// use damaskstile_targets::{Book, BookOptions};
--- a/crates/damaskstile-targets/src/book/long_load.rs
+++ b/crates/damaskstile-targets/src/book/long_load.rs
@@ -1,12 +1,12 @@
-//! `long_load` measures how long targets are busy with reading long prompts.
+//! Measures how long targets are busy with the prefill of long prompts.
 
 use damaskstile_core::prelude::*;
 
-/// Time in which an old load loses two thirds of its weight: a few tens of long prompts at today's
-/// rates, and short against the changes of a day.
+/// Time constant of the decay, in which an old load loses two thirds of its weight. It spans a few
+/// tens of long prompts at usual rates, and is short against changes in the course of a day.
 const TIME_CONSTANT: Duration = Duration::from_secs(20);
 
-/// `LongLoad` measures how many targets one instance keeps busy with reading long prompts.
+/// Measures how many targets one instance keeps busy with the prefill of long prompts.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LongLoad {
     read_ms: f64,
@@ -19,7 +19,7 @@
         self.at = self.at.max(now);
     }
 
-    /// Returns the targets that are busy at a time.
+    /// Returns the average number of targets that are busy at a time.
     pub(super) fn busy_targets(&self, now: Duration) -> f64 {
         self.decayed(now) / TIME_CONSTANT.as_secs_f64() / 1_000.0
     }
--- a/crates/damaskstile-targets/src/book/paces.rs
+++ b/crates/damaskstile-targets/src/book/paces.rs
@@ -1,4 +1,5 @@
-//! `paces` keeps what targets that bear few calls get of all instances together within that.
+//! Keeps the calls of all instances together within the call limits of cold targets and of those
+//! that advertise one.
 
 use damaskstile_core::prelude::*;
 
@@ -7,13 +8,12 @@
 use crate::known::Known;
 use crate::sender_turn::SenderTurn;
 
-/// Time after a start in which an instance sends nothing to targets that bear few calls: what its
-/// predecessor sent within the same second counts too, and it knows few of the others yet.
+/// Time after its start in which an instance sends nothing to targets with a call limit. What its
+/// predecessor sent within the same second counts too, and it knows few other instances yet.
 const OWN_START: Duration = Duration::from_millis(1_100);
 
 impl Book {
-    /// Tells whether a call may go to a target now: it bears any number of them, or this instance
-    /// may send to it and has not sent all that it may.
+    /// Tells whether the call limits of a target, if any apply, let this instance send a call now.
     pub(super) fn has_place(&self, now: Duration, known: &Known) -> bool {
         self.paces(now, known).all(|pace| {
             let calls = pace.limit.calls_of_sender(self.fleet.instances());
@@ -23,8 +23,9 @@
         })
     }
 
-    /// Returns the time until some instance may send to a target of a service again, where all that
-    /// are in use have all the calls that they bear; `None` where one has not, or none is in use.
+    /// Returns the expected time until some instance may send to a target of a service again, if
+    /// all usable targets have reached their call limits; `None` if one has not, or if none is
+    /// usable.
     ///
     /// ```
     /// use std::time::Duration;
@@ -41,7 +42,8 @@
             }
             let wait = self.paces(now, known).map(|pace| {
                 let span = pace.limit.counted_span();
-                // What others have sent is not known here; each of them has a place within a span.
+                // What other instances sent is unknown here; each of them may send again within a
+                // span.
                 known.paced_place_in(now, span).unwrap_or(span)
             });
             shortest = wait.chain(shortest).min();
@@ -49,9 +51,9 @@
         shortest
     }
 
-    /// Takes the place of a call that is sent to an incarnation now; returns false where it may not
-    /// be sent: what came since it was chosen shows that the target leaves, is gone, wants a pause,
-    /// has been followed by another, or has all the calls that it bears.
+    /// Counts a call that is sent to an incarnation now against the target's call limits. Returns
+    /// false if it may not be sent: since it was chosen, the target has begun to leave, was
+    /// delisted, asked for a backoff, was replaced by another incarnation or reached a call limit.
     pub fn claim_send(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
         if !self.may_send(now, identity) {
             return false;
@@ -69,14 +71,15 @@
         true
     }
 
-    /// Tells whether a target bears only so many calls.
+    /// Tells whether a call limit applies to a target.
     pub(super) fn is_paced(&self, now: Duration, known: &Known) -> bool {
         self.paces(now, known).next().is_some()
     }
 
-    /// Returns what a target bears while it is cold, and what it names as its limit.
+    /// Returns the call limits that apply to a target: that of cold targets while it is cold, and
+    /// the one that it advertises.
     fn paces(&self, now: Duration, known: &Known) -> impl Iterator<Item = Pace> + use<> {
-        // Most targets are neither; each choice looks at all of them.
+        // Most targets have no limit, and each selection checks all of its candidates.
         let is_cold = known.is_cold(now);
         let cold = is_cold.then(|| self.cold_pace(known)).flatten();
         let named = known.limit.and_then(|word| {
@@ -97,8 +100,9 @@
             .is_none_or(|started_at| now.saturating_sub(started_at) >= OWN_START)
     }
 
-    /// Tells whether this instance is one of the few that may send to a target. It is found out where
-    /// a call might go there, and again once the view of the fleet has changed.
+    /// Tells whether this instance is among the few that may send to a target. This is determined
+    /// when a call might go there, and again once the fleet view, the limits or the turn have
+    /// changed.
     fn is_sender(&self, known: &Known, pace: Pace) -> bool {
         let senders = pace.limit.senders(self.fleet.instances());
         let turn = SenderTurn {
@@ -120,7 +124,7 @@
     }
 }
 
-/// A limit of a target, and whose turn it is to send.
+/// Call limit of a target, with the turn that decides which instances may send.
 #[derive(Debug, Clone, Copy)]
 struct Pace {
     limit: CallLimit,
--- a/crates/damaskstile-targets/src/book/pause.rs
+++ b/crates/damaskstile-targets/src/book/pause.rs
@@ -1,4 +1,4 @@
-//! `pause` keeps calls from targets that asked for none for a while.
+//! Backoffs: keeps calls away from targets that asked for none for a time.
 
 use damaskstile_core::prelude::*;
 
@@ -6,16 +6,16 @@
 use crate::choice::Choice;
 
 impl Book {
-    /// Takes in that the target of a call wants nothing from this instance for a time. It ends with
-    /// the target's incarnation.
+    /// Records that the target of a call accepts nothing from this instance for a time. The backoff
+    /// ends early if a new incarnation replaces the target's present one.
     pub fn pause(&mut self, now: Duration, choice: &Choice, time: Duration) {
         if let Some(known) = self.chosen(choice) {
             known.pause(now, time);
         }
     }
 
-    /// Returns the time until a target of a service wants work again; `None` where one does now, or
-    /// none is out of use for a pause alone.
+    /// Returns the time until the first target of a service accepts work again; `None` if one
+    /// accepts work now, or if none is in use.
     ///
     /// ```
     /// use std::time::Duration;
@@ -36,7 +36,7 @@
         shortest
     }
 
-    /// Returns the number of targets that want nothing from this instance now.
+    /// Returns the number of targets in backoff.
     #[must_use]
     pub fn paused_targets(&self, now: Duration) -> usize {
         let known = self.targets.values();
--- a/crates/damaskstile-targets/src/book/place.rs
+++ b/crates/damaskstile-targets/src/book/place.rs
@@ -1,4 +1,4 @@
-//! `place` tells which targets may get a call for where they stand.
+//! Restricts selection by location: evacuated data centres, and the regions that may run a call.
 
 use damaskstile_core::prelude::*;
 
@@ -8,7 +8,7 @@
 use crate::work::Work;
 
 impl Book {
-    /// Takes in all emptied data centres as of a version of the store; returns what that changed.
+    /// Applies the full set of evacuated data centres as of a store version; returns what changed.
     pub fn take_emptied(
         &mut self,
         now: Duration,
@@ -19,8 +19,7 @@
         self.note_emptied(now, news)
     }
 
-    /// Takes in which data centres were emptied or taken back up to a version of the store; returns
-    /// what that changed.
+    /// Applies evacuations and their ends up to a store version; returns what changed.
     pub fn take_emptied_changes(
         &mut self,
         now: Duration,
@@ -39,20 +38,20 @@
         news
     }
 
-    /// Returns the emptied data centres.
+    /// Returns the evacuated data centres.
     #[must_use]
     pub fn emptied(&self) -> &Emptied {
         &self.emptied
     }
 
-    /// Tells whether a target's data centre may get work. While it is not known which ones are
-    /// emptied, none may.
+    /// Tells whether a target's data centre may receive work. If data centres can be evacuated,
+    /// none may until it is known which ones are.
     pub(super) fn is_place_open(&self, known: &Known) -> bool {
         let is_known = !self.options.empties_data_centres || self.emptied.version().is_some();
         is_known && !self.emptied.covers(&known.listed.data_centre)
     }
 
-    /// Tells whether a target stands in a region that may run a call.
+    /// Tells whether a target is in a region that may run a call.
     pub(super) fn is_home(&self, known: &Known, work: &Work) -> bool {
         let Some(homes) = &work.homes else {
             return true;
@@ -61,7 +60,7 @@
         region.is_some_and(|region| homes.contains(region))
     }
 
-    /// Tells whether a target other than those tried may get a call now.
+    /// Tells whether a target other than those already tried may receive a call now.
     ///
     /// ```
     /// use std::time::Duration;
@@ -81,12 +80,13 @@
         usable.any(|known| self.may_get(now, known, work, tried))
     }
 
-    /// Tells whether any target may get a call now, and why none may.
+    /// Checks that some target may receive a call now.
     ///
     /// # Errors
     ///
-    /// Returns the reason: no region that may run it has a target in use, or no target is in use at
-    /// all, or those that are get as much as they bear.
+    /// Returns [`RefusalCode::NoTargetInRegion`] if usable targets are in regions that may not run
+    /// the call. Otherwise returns [`RefusalCode::NoTarget`]: no target of the service is usable,
+    /// or all that are usable have reached their call limits.
     pub fn has_target(&self, now: Duration, service: &str, work: &Work) -> Result<(), RefusalCode> {
         let mut reason = RefusalCode::NoTarget;
         for known in self.usable(now, service) {
--- a/crates/damaskstile-targets/src/book/speeds.rs
+++ b/crates/damaskstile-targets/src/book/speeds.rs
@@ -1,4 +1,4 @@
-//! `speeds` learns how fast targets read, and how much of it they do.
+//! Learns how fast targets prefill prompts, and measures the load of long ones.
 
 use damaskstile_core::prelude::*;
 
@@ -8,11 +8,12 @@
 use crate::reading_speed::ReadingSpeed;
 use crate::work::Work;
 
-/// Time for which a target may read other prompts for a first token still to tell how fast it reads.
+/// Longest expected prefill of other prompts ahead of a call for its first token to still be a
+/// sample of the prefill speed.
 const AHEAD_MAX_MS: f64 = 2.0;
 
 impl Book {
-    /// Takes in the time from the send of a call to its first token, to learn from it.
+    /// Learns from the time between the send of a call and its first token.
     pub fn first_token(&mut self, choice: &Choice, work: &Work, took: Duration) {
         let is_alone = choice.ahead_ms < AHEAD_MAX_MS && choice.fetch_from.is_none();
         let Some(known) = self.targets.get(&choice.target) else {
@@ -30,7 +31,7 @@
         speed.learn(uncached, cached, took.as_secs_f64() * 1_000.0);
     }
 
-    /// Returns how fast the targets of a service are known to read.
+    /// Returns the estimated prefill speed of a service's targets.
     #[must_use]
     pub fn speed(&self, service: &str) -> ReadingSpeed {
         let known = self.speeds.get(service).cloned();
--- a/crates/damaskstile-targets/src/book/weigh.rs
+++ b/crates/damaskstile-targets/src/book/weigh.rs
@@ -1,4 +1,4 @@
-//! `weigh` says what a call would cost at each target.
+//! Estimates what a call would cost at each target.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::stable_hash;
@@ -12,29 +12,29 @@
 use crate::reading_speed::ReadingSpeed;
 use crate::work::Work;
 
-/// Tokens that are worth fetching: a transfer takes a millisecond or two to begin, in which about so
-/// many are read.
+/// Smallest number of tokens worth fetching from another target: a transfer takes a millisecond or
+/// two to begin, in which about as many tokens are prefilled.
 const FETCH_MIN_TOKENS: f64 = 64.0;
-/// Share of failures from which on nothing is fetched from a target.
+/// Failure share from which on nothing is fetched from a target.
 const FETCH_FAILURES_MAX: f64 = 0.1;
-/// Part of the targets that are kept for long prompts at most.
+/// At most one in this many targets is reserved for long prompts.
 const LONG_PART_MAX: usize = 3;
-/// Targets that follow on a subject's place and are ranked for its home. More would spread subjects
-/// no better than chance does, and each is a hash for each call.
+/// Targets after the ring position of a shared prefix that are ranked as its affinity target. More
+/// would spread prefixes no better than chance does, and each costs a hash for each call.
 const HOME_WINDOW: usize = 64;
 
-/// `Outlook` is what the targets of a service have in common for one call.
+/// What the targets of a service have in common for one call.
 #[derive(Debug)]
 pub(super) struct Outlook<'a> {
     pub(super) work: &'a Work,
-    /// How fast the targets read.
+    /// Estimated prefill speed of the targets.
     speed: ReadingSpeed,
     is_long: bool,
-    /// Targets kept for long prompts.
+    /// Targets reserved for long prompts.
     pub(super) kept: Kept<'a>,
-    /// Target that the subject of the prompt hashes to.
+    /// Affinity target: the one that the shared prefix of the prompt hashes to.
     pub(super) home: Option<&'a str>,
-    /// Target that is likely to keep most of the prompt, and how much.
+    /// Target that is likely to cache most of the prompt, with the number of cached tokens.
     source: Option<(&'a Known, f64)>,
 }
 
@@ -62,14 +62,15 @@
         outlook
     }
 
-    /// Tells whether a prompt takes so long to read that it holds up what runs beside it.
+    /// Tells whether the prefill of a prompt takes long enough to stall calls that run beside it.
     pub(super) fn is_long(&self, speed: &ReadingSpeed, work: &Work) -> bool {
         self.options.long_ms > 0.0 && own_read_ms(speed, work) >= self.options.long_ms
     }
 
-    /// Returns the targets that are kept for long prompts, the same on every instance that sees
-    /// the same load: as many as read them a given part of their time, in the order of a hash. Where
-    /// that is less than half of one, a target would stand idle for a prompt now and then.
+    /// Returns the targets reserved for long prompts; the same on every instance that sees the same
+    /// load. There are as many as spend a given share of their time on the prefill of long prompts,
+    /// taken in hash order. If that is less than half a target, none is reserved: it would stand
+    /// idle for an occasional prompt.
     fn kept_for_long<'a>(
         &'a self,
         now: Duration,
@@ -97,9 +98,9 @@
         Kept::Few(usable.into_iter().take(count).collect())
     }
 
-    /// Returns the target that a prompt's subject hashes to, the same on every instance, so that
-    /// all send the subject where its parts are cached. Targets that are kept for long prompts are
-    /// no home; what they lack they fetch from there.
+    /// Returns the affinity target of a prompt: the one that its shared prefix hashes to. It is the
+    /// same on every instance, so that all send the prefix to where it is cached. Targets reserved
+    /// for long prompts are never affinity targets; they fetch what they lack from there.
     fn home<'a>(
         &'a self,
         now: Duration,
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Returns the target that is likely to keep most of a prompt: its home, or one that this
-    /// instance sent parts of it to.
+    /// Returns the target that is likely to cache most of a prompt: its affinity target, or one
+    /// that this instance sent parts of it to.
     fn source<'a>(
         &'a self,
         now: Duration,
@@ -157,7 +158,7 @@
         )
     }
 
-    /// Returns the tokens of a prompt that a target is likely to keep.
+    /// Returns the number of tokens of a prompt that a target is likely to cache.
     fn cached(&self, now: Duration, known: &Known, outlook: &Outlook<'_>) -> f64 {
         let seen = tokens(known.cached_tokens(now, outlook.work));
         if outlook.home != Some(known.listed.target.as_str()) {
@@ -211,7 +212,7 @@
     }
 }
 
-/// Returns the time to read the part of a prompt that no other call shares.
+/// Returns the prefill time of the part of a prompt that no other call shares.
 pub(super) fn own_read_ms(speed: &ReadingSpeed, work: &Work) -> f64 {
     let shared = work.shared_tokens();
     let own = work.prompt_tokens.saturating_sub(shared);
@@ -224,7 +225,8 @@
 }
 
 impl Outlook<'_> {
-    /// Tells whether a target is of those that the call's prompt, long or not, belongs to.
+    /// Tells whether a target is in the group meant for the call: reserved targets for long
+    /// prompts, all others for short ones.
     fn is_for(&self, target: &str) -> bool {
         self.kept.contains(target) == self.is_long
     }
--- a/crates/damaskstile-targets/src/book/weighed.rs
+++ b/crates/damaskstile-targets/src/book/weighed.rs
@@ -1,11 +1,11 @@
-//! `weighed` is what a call would cost at one target.
+//! Estimated cost of a call at one target.
 
 use std::net::SocketAddr;
 
 use crate::choice::Choice;
 use crate::known::Known;
 
-/// `Weighed` is what a call would cost at one target.
+/// Estimated cost of a call at one target.
 #[derive(Debug)]
 pub(super) struct Weighed<'a> {
     pub known: &'a Known,
@@ -36,8 +36,8 @@
     }
 }
 
-/// Returns the first of those that pass, in an order in which less comes first. To look whether one
-/// passes costs more than to find the first, so few are looked at.
+/// Returns the least element that passes. Checking an element costs more than finding the least
+/// one, so as few as possible are checked.
 pub(super) fn first_passing<T>(
     mut all: Vec<T>,
     is_less: impl Fn(&T, &T) -> bool,
--- a/crates/damaskstile-targets/src/book_options.rs
+++ b/crates/damaskstile-targets/src/book_options.rs
@@ -1,51 +1,55 @@
-//! `book_options` sets what the choice of a listed target goes by.
+//! Options of target selection.
 
 use damaskstile_core::prelude::*;
 
-/// `BookOptions` sets what the choice of a listed target goes by. Costs are in milliseconds that
-/// a call is likely to wait for its first token.
+/// Options of target selection. Costs are in milliseconds that a call is likely to wait for its
+/// first token.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BookOptions {
-    /// Prompt tokens that a target is taken to read in a millisecond before any was seen to.
+    /// Prefill speed, in prompt tokens per millisecond, assumed until one is learned.
     pub prefill_tokens_per_ms: f64,
-    /// Whether the speed is learned from the first tokens that come.
+    /// Whether the prefill speed is learned from the first tokens of calls.
     pub is_learning: bool,
-    /// Cost of one call that runs there already.
+    /// Cost of one call that already runs there.
     pub running_ms: f64,
-    /// Cost of a target at which every call failed lately.
+    /// Cost of a target at which every recent call failed.
     pub failure_ms: f64,
     /// Cost of a plain service's target in another data centre: a tie-break, because its answers
-    /// cross a link that is paid by the byte.
+    /// cross a link that is billed by the byte.
     pub distance_ms: f64,
-    /// Part of a prompt taken to be cached at the target that its session hashes to.
+    /// Share of a prompt's shared parts assumed to be cached at its affinity target.
     pub home_share: f64,
-    /// Cost of a token that one target fetches from another, as a part of reading it; 1 for never.
+    /// Cost of a token that one target fetches from another, as a share of its prefill; 1 turns
+    /// fetching off.
     ///
-    /// Days with faults, twelve targets: reading shared parts again costs 21 in 1,000 of what answers
-    /// are worth in place of 29. Moving memory takes a twentieth of the time of reading on fast
-    /// links, but at that cost calls leave their homes for little and all targets read the parts
-    /// (28 in 1,000); at 0.3 calls wait at their homes.
+    /// On days with faults and with twelve targets, repeated prefill of shared parts costs 21 in
+    /// 1,000 of the value of answers instead of 29. A transfer takes a twentieth of the prefill
+    /// time on fast links, but at that cost calls leave their affinity targets for little and all
+    /// targets prefill the shared parts (28 in 1,000); at 0.3 calls wait at their affinity targets.
     pub fetch_share: f64,
-    /// Time to read a prompt from which on it counts as long; 0 for none. All that runs at its
-    /// target pauses between the chunks that are read, and beyond 300 ms of reading the pauses are
+    /// Prefill time from which on a prompt counts as long; 0 if none does. All streams at its
+    /// target pause between the chunks of its prefill, and beyond 300 ms of prefill the pauses are
     /// longer than streams are promised.
     ///
-    /// Few targets kept for long prompts bring answers that come late from 57 to 30 in 1,000 on calm
-    /// days. From 250 ms on the long ones hold up each other more than they spare others.
+    /// A few targets reserved for long prompts reduce late answers from 57 to 30 in 1,000 on calm
+    /// days. With 250 ms, long prompts delay each other more than they spare others.
     pub long_ms: f64,
-    /// Time to read a prompt from which on peers are told of it. A datagram arrives within
-    /// milliseconds. Late answers on days with faults: 65 in 1,000 without, 59 with; from 40 ms on
-    /// no fewer.
+    /// Prefill time from which on a prompt is reported to peers. A datagram arrives within
+    /// milliseconds. On days with faults 65 answers in 1,000 are late without these reports and 59
+    /// with them; with 40 ms there are no fewer.
     pub tell_ms: f64,
-    /// Cost of a target kept for long prompts, for others, and the other way round: a busy minute's
-    /// wait, so that none is left idle while the rest have thirty calls more each.
+    /// Cost of a target reserved for long prompts, for other prompts, and of any other target for
+    /// long ones. It is about the wait in a busy minute, so that no target is left idle while the
+    /// others run thirty calls more each.
     pub apart_ms: f64,
-    /// Part of its time that a target kept for long prompts reads them; by it and by the load seen
-    /// follows how many are kept.
+    /// Share of its time that a reserved target spends on the prefill of long prompts. This and the
+    /// observed load determine how many targets are reserved.
     pub long_busy: f64,
-    /// Time for which a target stays in use after the list lost it around an outage of the list.
+    /// Grace period in which a target stays in use after it was delisted around an outage of the
+    /// list.
     pub lapse_grace: Duration,
-    /// Whether operators may empty data centres. Nothing is sent then before it is known which are.
+    /// Whether operators may evacuate data centres. If so, nothing is sent before it is known which
+    /// ones are evacuated.
     pub empties_data_centres: bool,
     /// Region of each data centre.
     pub regions: BTreeMap<DataCentreId, RegionId>,
--- a/crates/damaskstile-targets/src/call_limit.rs
+++ b/crates/damaskstile-targets/src/call_limit.rs
@@ -1,26 +1,27 @@
-//! `call_limit` says how a limit of calls is shared among instances.
+//! Shares a call limit among instances.
 
 use damaskstile_core::prelude::*;
 
-/// Part of a limit that is used: clocks of instances and the way to a target differ.
+/// Share of a limit that is used: the clocks of instances differ, and so does the time on the way
+/// to a target.
 const USED_PART: f64 = 0.8;
-/// Instances that may send to one target that bears few calls.
+/// Most instances that may send to one target with a call limit.
 const SENDERS_MAX: u64 = 18;
-/// Span in which calls are counted: a second, and what timers may be late.
+/// Span in which calls are counted: a second, and the lateness of timers.
 const COUNTED_SPAN: Duration = Duration::from_millis(1_020);
-/// Longest such span. A target that names a lower limit still gets a call now and then, without
-/// which nobody would learn that the limit is over.
+/// Longest counted span. A target that advertises a lower limit still gets an occasional call,
+/// without which no instance would learn that the limit has ended.
 const COUNTED_SPAN_MAX: Duration = Duration::from_secs(10);
 
-/// `CallLimit` is a limit of the calls that all instances together may send to one target.
+/// Limit of the calls that all instances together may send to one target.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct CallLimit {
-    /// Calls that the target may get within any second.
+    /// Calls that the target may receive within any second.
     pub calls_per_s: f64,
 }
 
 impl CallLimit {
-    /// Returns the instances that may send to the target.
+    /// Returns the number of instances that may send to the target.
     ///
     /// ```
     /// use damaskstile_targets::CallLimit;
@@ -33,7 +34,7 @@
         instances.min(self.used_calls()).clamp(1, SENDERS_MAX)
     }
 
-    /// Returns the calls that each of the senders may send within the counted span.
+    /// Returns the calls that each sender may send within the counted span.
     ///
     /// ```
     /// use damaskstile_targets::CallLimit;
@@ -47,8 +48,8 @@
         usize::try_from(calls.max(1)).unwrap_or(usize::MAX)
     }
 
-    /// Returns the span in which the calls of a sender are counted: longer than a second where the
-    /// target bears less than a call a second.
+    /// Returns the span in which a sender's calls are counted: longer than a second if the used
+    /// share of the limit is less than one call a second.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/damaskstile-targets/src/candidate.rs
+++ b/crates/damaskstile-targets/src/candidate.rs
@@ -1,33 +1,33 @@
-//! `candidate` holds what the choice of a target goes by.
+//! Target that may be selected by the registry.
 
 use damaskstile_core::prelude::*;
 
-/// Slowness past which a target is not told apart any more, as a power of two.
+/// Greatest slowness that is distinguished, as a power of two.
 const SLOWNESS_MAX: u32 = 6;
-/// Time without work in which a target's slowness is forgotten by half, so that it is tried again.
+/// Time without requests in which a target's slowness is halved, so that it is tried again.
 const FORGET_AFTER: Duration = Duration::from_secs(10);
 
-/// `Candidate` is a target that may get work, with what the choice goes by.
+/// Target that may receive work, with what selectors use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
     /// The target.
     pub target: TargetId,
     /// Requests of this instance that run there.
     pub own_requests: u64,
-    /// Requests of all instances likely to run or wait there.
+    /// Requests of all instances that are likely to run or wait there.
     pub load_requests: u64,
-    /// Requests that it runs at a time.
+    /// Requests that the target runs at a time.
     pub slots_requests: u64,
-    /// Average time of an answer; `None` before the first.
+    /// Average answer time; `None` before the first answer.
     pub answer_time: Option<Duration>,
-    /// Time since it last got work from this instance.
+    /// Time since this instance last sent it a request.
     pub idle_for: Duration,
 }
 
 impl Candidate {
-    /// Returns how much slower it is than is typical, as a power of two.
+    /// Returns how many times slower than typical the target is, as a power of two.
     ///
-    /// Small differences are noise. Told apart, they would draw all work to one target.
+    /// Small differences are noise. If they counted, they would draw all work to one target.
     pub(crate) fn slowness(&self, typical: Duration) -> u64 {
         let time = self.answer_time.unwrap_or(typical);
         let times = time.as_millis() / typical.as_millis().max(1);
--- a/crates/damaskstile-targets/src/choice.rs
+++ b/crates/damaskstile-targets/src/choice.rs
@@ -1,34 +1,35 @@
-//! `choice` is the target chosen for a call.
+//! Target selected for a call.
 
 use std::net::SocketAddr;
 
 use damaskstile_core::prelude::*;
 
-/// `Choice` is the target chosen for a call.
+/// Target selected for a call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
     /// The target.
     pub target: TargetId,
-    /// Its incarnation. What becomes of the call is told of this one only.
+    /// Its incarnation, the only one to which the outcome of the call is attributed.
     pub incarnation: Option<TargetIncarnation>,
     /// Its address.
     pub address: SocketAddr,
-    /// Expected wait for the first token, by which it was chosen.
+    /// Cost by which it was selected: the expected wait for the first token.
     pub cost_ms: f64,
-    /// Tokens of the prompt that are not expected to be cached there.
+    /// Prompt tokens that are expected to be neither cached there nor fetched.
     pub uncached_tokens: u64,
-    /// Address of the target that is likely to keep parts of the prompt that this one does not.
+    /// Address of the target that is likely to cache parts of the prompt that this one lacks;
+    /// `None` if nothing is to be fetched.
     pub fetch_from: Option<SocketAddr>,
-    /// Time to read those, and what the fetched ones take.
+    /// Time to prefill the uncached tokens and to fetch those that are cached elsewhere.
     pub read_ms: f64,
-    /// Time for which the target is likely to read other prompts before it.
+    /// Time for which the target is likely to prefill other prompts first.
     pub ahead_ms: f64,
     /// Calls that are likely to run there.
     pub running: f64,
 }
 
 impl Choice {
-    /// Returns which run of which target was chosen.
+    /// Returns the selected target with its incarnation.
     #[must_use]
     pub fn identity(&self) -> TargetIdentity {
         TargetIdentity::new(&self.target, self.incarnation)
--- a/crates/damaskstile-targets/src/cold_limit.rs
+++ b/crates/damaskstile-targets/src/cold_limit.rs
@@ -1,20 +1,20 @@
-//! `cold_limit` says how much work a cold target may get from all instances together.
+//! Call limit of cold targets.
 
 use damaskstile_core::prelude::*;
 
 use crate::call_limit::CallLimit;
 
-/// `ColdLimit` says how much work a cold target may get from all instances together.
+/// Limit of the calls that all instances together may send to a cold target.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ColdLimit {
     /// Time for which a target is cold after its start.
     pub cold_time: Duration,
-    /// Calls that it may get within any second; `None` for any number.
+    /// Calls that it may receive within any second; `None` for no limit.
     pub calls_per_s: Option<f64>,
 }
 
 impl ColdLimit {
-    /// Returns the limit of calls; `None` for any number.
+    /// Returns the call limit; `None` for no limit.
     #[must_use]
     pub fn calls(&self) -> Option<CallLimit> {
         self.calls_per_s
--- a/crates/damaskstile-targets/src/departures.rs
+++ b/crates/damaskstile-targets/src/departures.rs
@@ -1,44 +1,44 @@
-//! `departures` remembers which incarnations of targets are leaving or gone.
+//! Tracks the incarnations of targets that are leaving or gone.
 
 use damaskstile_core::prelude::*;
 
-/// Time for which peers are told that a target is leaving: longer than an isolation lasts.
+/// Time for which a departure is reported to peers: longer than an instance is isolated.
 pub(crate) const LEAVING_NEWS: Duration = Duration::from_secs(15);
 
-/// Incarnations that drain and are told in one digest: some 30 bytes each.
+/// Draining incarnations reported in one digest, at some 30 bytes each.
 const DRAINING_TOLD_MAX: usize = 32;
-/// The same of those that vanished from the list, which says so itself.
+/// Delisted incarnations reported in one digest; the list itself shows their absence too.
 const VANISHED_TOLD_MAX: usize = 16;
 
-/// How it was learnt that an incarnation is leaving.
+/// Recorded departure of an incarnation.
 #[derive(Debug, Clone, Copy)]
 struct Departure {
     incarnation: Option<TargetIncarnation>,
     at: Duration,
-    /// Whether the incarnation is known to drain. It never takes work again then; one that only
-    /// vanished from the list may come back to it.
+    /// Whether the incarnation is known to drain, after which it never takes work again. One that
+    /// was only delisted may be listed again.
     is_final: bool,
 }
 
-/// `Departures` remembers which incarnations of targets are leaving or gone, by any source.
+/// Incarnations of targets that are leaving or gone, from any source.
 ///
-/// Only the newest incarnation of each name is kept; the book passes on no word on an older one,
-/// which comes late and says nothing of it. Without the incarnation a target that starts again
-/// under its name would stay out of use for ever, and a late word on the one before it would take
-/// it out.
+/// Only the newest incarnation of each target is kept; the target table drops reports on older
+/// ones, which are late and do not concern it. Without the incarnation, a target that restarts
+/// under its name would stay out of use for ever, and a late report on its predecessor would take
+/// it out of use.
 #[derive(Debug, Default)]
 pub struct Departures {
     left: BTreeMap<TargetId, Departure>,
-    /// The same by the time of the departure.
+    /// Targets by the time of their departure.
     by_time: BTreeSet<(Duration, TargetId)>,
 }
 
 impl Departures {
-    /// Takes in that an incarnation drains or has ended; returns whether that is news.
+    /// Records that an incarnation drains or has ended; returns whether that is new.
     pub(crate) fn leave(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
         match self.left.get_mut(&identity.target) {
             Some(known) if known.incarnation == identity.incarnation => {
-                // The news is as old as it was at first.
+                // The departure keeps the time of the first report.
                 known.is_final = true;
                 false
             }
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes in that an incarnation vanished from the list; returns whether that is news.
+    /// Records that an incarnation was delisted; returns whether that is new.
     pub(crate) fn vanish(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
         let known = self.left.get(&identity.target);
         if known.is_some_and(|known| known.incarnation == identity.incarnation) {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Takes in that the list shows an incarnation as ready, which ends any departure but a drain
-    /// of this or a newer one.
+    /// Applies that the list shows an incarnation as ready. This cancels the departure of an older
+    /// incarnation, and that of the same incarnation if it was only delisted.
     pub(crate) fn listed_ready(&mut self, identity: &TargetIdentity) {
         let ends = self.left.get(&identity.target).is_some_and(|known| {
             let is_same = known.incarnation == identity.incarnation;
@@ -88,21 +88,21 @@
         }
     }
 
-    /// Tells whether the incarnation in the list is leaving or gone, or one that followed on it.
-    /// Departures of older ones end when it is listed.
+    /// Tells whether a target's listed incarnation, or one that followed it, is leaving or gone.
+    /// Departures of older ones are cancelled when it is listed.
     pub(crate) fn covers(&self, target: &str) -> bool {
         self.left.contains_key(target)
     }
 
-    /// Returns the newest incarnation of a name that left.
+    /// Returns the incarnation of a target that left last.
     pub(crate) fn newest(&self, target: &str) -> Option<TargetIncarnation> {
         self.left.get(target)?.incarnation
     }
 
-    /// Returns the incarnations that lately began to drain, or that lately vanished, the newest first
-    /// and no more than are told. A data centre that is lost takes a thousand targets with it; in each
-    /// digest of each instance they would fill all links. Whoever is in touch with the store, or
-    /// hears from one that is, has them from the list.
+    /// Returns the incarnations that recently began to drain or that were recently delisted, newest
+    /// first and up to the limit of a digest. The loss of a data centre takes a thousand targets
+    /// with it; in each digest of each instance they would fill all links. Instances that are in
+    /// contact with the store, or with an instance that is, learn of them from the list.
     pub(crate) fn told(&self, now: Duration, is_final: bool) -> Vec<TargetIdentity> {
         let told_max = if is_final {
             DRAINING_TOLD_MAX
@@ -119,7 +119,7 @@
             .collect()
     }
 
-    /// Tells whether any incarnation lately began to drain or vanished.
+    /// Tells whether any incarnation recently began to drain or was recently delisted.
     pub(crate) fn is_in_flux(&self, now: Duration) -> bool {
         let newest = self.by_time.last();
         newest.is_some_and(|(at, _)| now.saturating_sub(*at) < LEAVING_NEWS)
--- a/crates/damaskstile-targets/src/emptied.rs
+++ b/crates/damaskstile-targets/src/emptied.rs
@@ -1,12 +1,12 @@
-//! `emptied` remembers to which data centres' targets nothing may be sent.
+//! Tracks which data centres operators have evacuated.
 
 use damaskstile_core::prelude::*;
 
-/// Data centres that are remembered at most. Operators name a few; more is no operator's word.
+/// Most data centres that are remembered. Operators name a few; more cannot come from an operator.
 const EMPTIED_MAX: usize = 256;
 
-/// `Emptied` remembers to which data centres' targets nothing may be sent, as of a version of the
-/// store. An older word changes nothing, in whatever order words come.
+/// Evacuated data centres, to whose targets nothing may be sent, as of a version of the store. An
+/// older update changes nothing, in whatever order updates arrive.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Emptied {
     version: Option<Version>,
@@ -14,31 +14,31 @@
 }
 
 impl Emptied {
-    /// Returns the version; `None` before anything was heard.
+    /// Returns the version of the store; `None` before the first update.
     #[must_use]
     pub fn version(&self) -> Option<Version> {
         self.version
     }
 
-    /// Tells whether nothing may be sent to the targets of a data centre.
+    /// Tells whether a data centre is evacuated.
     #[must_use]
     pub fn covers(&self, data_centre: &str) -> bool {
         self.data_centres.contains_key(data_centre)
     }
 
-    /// Returns the data centres with the time at which this instance heard that they are emptied.
+    /// Returns the evacuated data centres, each with the time at which this instance learned of it.
     pub fn data_centres(&self) -> impl Iterator<Item = (&DataCentreId, Duration)> {
         self.data_centres.iter().map(|(name, since)| (name, *since))
     }
 
-    /// Returns the names of the emptied data centres.
+    /// Returns the names of the evacuated data centres.
     #[must_use]
     pub fn names(&self) -> Vec<DataCentreId> {
         self.data_centres.keys().cloned().collect()
     }
 
-    /// Takes in all emptied data centres as of a version. Returns those that are newly emptied and
-    /// those that are taken back; `None` where a version as new is known.
+    /// Applies the full set of evacuated data centres as of a version. Returns those that are newly
+    /// evacuated and those that are taken back; `None` if the known version is at least as new.
     pub(crate) fn take_all(
         &mut self,
         now: Duration,
@@ -63,8 +63,8 @@
         Some(news)
     }
 
-    /// Takes in changes up to a version: data centres with whether each is emptied. Returns as
-    /// [`Self::take_all`] does.
+    /// Applies changes up to a version: data centres, each with whether it is evacuated. Returns
+    /// the same as [`Self::take_all`].
     pub(crate) fn take_changes(
         &mut self,
         now: Duration,
@@ -83,17 +83,17 @@
     }
 }
 
-/// `EmptiedNews` is what a word on emptied data centres changed.
+/// What an update of the evacuated data centres changed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EmptiedNews {
-    /// Data centres to whose targets nothing may be sent from now on.
+    /// Newly evacuated data centres.
     pub emptied: Vec<DataCentreId>,
-    /// Data centres that may get work again.
+    /// Data centres that may receive work again.
     pub taken_back: Vec<DataCentreId>,
 }
 
 impl EmptiedNews {
-    /// Tells whether it changed nothing.
+    /// Tells whether the update changed nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.emptied.is_empty() && self.taken_back.is_empty()
--- a/crates/damaskstile-targets/src/fleet_view.rs
+++ b/crates/damaskstile-targets/src/fleet_view.rs
@@ -1,30 +1,30 @@
-//! `fleet_view` is what an instance knows of the others, to find out which of them are to do
-//! something that only few may do.
+//! An instance's view of the others, by which it determines whether it is among the few that are to
+//! do something.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::stable_hash;
 
-/// How much more often than its share of the fleet an instance may find itself among the few.
-/// Where it knows too few others, its rank among them would say nothing.
+/// Multiple of the share of instances to be chosen beyond which an instance's hash excludes it. If
+/// it knows too few others, its rank among them says nothing.
 const SHARE_FACTOR: f64 = 2.5;
 
-/// Of how many parts of the fleet all but one must be known for a rank to be taken as it is.
+/// If all but one in so many instances of the fleet are known, a rank among them is used as it is.
 const KNOWN_PARTS: u64 = 10;
 
-/// `FleetView` is what an instance knows of the others.
+/// An instance's view of the others.
 ///
-/// Instances that have fallen silent stay in it: were they left out, each side of a cut fleet would
-/// find the full number among its own.
+/// Instances that have fallen silent stay in it. Without them, each side of a partitioned fleet
+/// would find the full number among its own instances.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FleetView {
     own: InstanceId,
     others: BTreeSet<InstanceId>,
-    /// Most instances that anybody told of.
+    /// Largest number of instances that any instance reported.
     told: u64,
 }
 
 impl FleetView {
-    /// Makes the view of an instance that knows of nobody.
+    /// Creates the view of an instance that knows no others.
     #[must_use]
     pub fn new(own: &str) -> Self {
         Self {
@@ -33,12 +33,13 @@
         }
     }
 
-    /// Takes in that there is another instance; returns whether that is news.
+    /// Records another instance; returns whether it is new.
     pub fn meet(&mut self, other: &str) -> bool {
         other != self.own && !self.others.contains(other) && self.others.insert(other.to_owned())
     }
 
-    /// Takes in how many instances somebody knows of; returns whether that is news.
+    /// Records how many instances another one knows of; returns whether that is the largest number
+    /// so far.
     pub fn hear_count(&mut self, instances: u64) -> bool {
         let is_more = instances > self.told;
         self.told = self.told.max(instances);
@@ -51,7 +52,7 @@
         self.known().max(self.told)
     }
 
-    /// Tells whether this instance is among the few that a subject falls to by hash.
+    /// Tells whether this instance is among the `count` instances that a subject hashes to.
     ///
     /// ```
     /// use damaskstile_targets::FleetView;
@@ -70,16 +71,16 @@
             return true;
         }
         let own = rank(subject, &self.own);
-        // One hash rules out most, before those of all others are looked at.
+        // The hash of this instance rules out most cases before all others are hashed.
         if share(own) * as_f64(instances) >= as_f64(count) * SHARE_FACTOR {
             return false;
         }
         self.better(subject, own) < self.places(count)
     }
 
-    /// Tells whether this instance is among those that a subject falls to at a turn: at the first
-    /// one those of [`Self::is_among`], then as many others that follow on them by hash, and the
-    /// first ones again after the last.
+    /// Tells whether this instance is among those that a subject hashes to in a turn. The first
+    /// turn goes to the instances of [`Self::is_among`], each later one to as many that follow them
+    /// by hash, and after the last turn the first ones come again.
     ///
     /// ```
     /// use damaskstile_targets::FleetView;
@@ -107,9 +108,9 @@
         u64::try_from(better.count()).unwrap_or(u64::MAX)
     }
 
-    /// Returns the rank among the instances known up to which one is among the few. Where it knows
-    /// only a part of the fleet, others with other parts find the same of themselves, so that about
-    /// so many do by chance; half leaves room for that.
+    /// Returns how many of the lowest ranks among the known instances are chosen. If an instance
+    /// knows only a part of the fleet, others with other parts find the same of themselves, so that
+    /// the number chosen varies by chance; half as many ranks leave room for that.
     fn places(&self, count: u64) -> u64 {
         let (known, instances) = (self.known(), self.instances());
         if known * KNOWN_PARTS >= instances * (KNOWN_PARTS - 1) {
@@ -129,7 +130,7 @@
     stable_hash(&parts)
 }
 
-/// Returns where a hash lies between the least and the greatest one.
+/// Returns where a hash lies in the range of all hashes, from 0 to 1.
 fn share(hash: u64) -> f64 {
     as_f64(hash) / as_f64(u64::MAX)
 }
--- a/crates/damaskstile-targets/src/known.rs
+++ b/crates/damaskstile-targets/src/known.rs
@@ -1,4 +1,4 @@
-//! `known` is what an instance has seen of one listed target.
+//! State of one listed target, as known to an instance.
 
 use std::cell::Cell;
 
@@ -9,37 +9,38 @@
 use crate::sender_turn::SenderTurn;
 use crate::work::Work;
 
-/// Time after which a part of a prompt that was sent is no longer taken to be cached.
+/// Time after which a prompt part that was sent to a target is no longer assumed to be cached
+/// there.
 pub(crate) const PART_MEMORY: Duration = Duration::from_secs(10);
-/// Longest time that a target is taken to be busy with what peers told of: a few of the longest
-/// prompts. What is told wrongly costs the choice no more.
+/// Longest time for which a target is assumed busy because of peer reports: a few of the longest
+/// prompts. A wrong report adds no more than this to the cost.
 const READING_MAX: Duration = Duration::from_secs(3);
-/// Parts remembered for one target. A replica caches some hundred thousand tokens, which is at
-/// most a few hundred parts.
+/// Prompt parts remembered for one target. A replica caches some hundred thousand tokens, which is
+/// at most a few hundred parts.
 const PARTS_MAX: usize = 1024;
-/// Weight of the newest outcome in the share of failures.
+/// Weight of the newest outcome in the failure share.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Weight of a target that did not answer at all: two in a row take it out of the choice.
+/// Weight of a target that did not answer at all: two in a row take it out of the selection.
 const SILENCE_WEIGHT: f64 = 0.7;
-/// Time in which the share of failures falls to about a third without any call, so that a target
-/// that recovered is tried again.
+/// Time in which the failure share falls to about a third without any call, so that a target that
+/// recovered is tried again.
 const FAILURE_MEMORY: Duration = Duration::from_secs(3);
-/// Longest time for which a target is taken to be cold by one word.
+/// Longest cold time accepted from one list entry.
 const COLD_MAX: Duration = Duration::from_mins(1);
-/// Share of failures that makes no difference to a choice.
+/// Failure share that makes no difference to a selection.
 const NOTHING: f64 = 0.001;
-/// Calls likely to run that make none.
+/// Number of running calls that makes no difference to a selection.
 const NOTHING_RUNNING: f64 = 0.05;
-/// Time of reading that makes none.
+/// Prefill time that makes no difference to a selection.
 const NOTHING_MS: f64 = 0.001;
-/// Age at which a report of load counts half.
+/// Age at which a load report counts half.
 const REPORT_HALF_LIFE: Duration = Duration::from_millis(400);
 
-/// `Known` is what an instance has seen of one listed target.
+/// State of one listed target, as known to an instance.
 #[derive(Debug, Clone)]
 pub struct Known {
     pub(crate) listed: Listed,
-    /// When the list stopped showing it; kept while that may be an outage of the list.
+    /// When the target was delisted; it is kept while that may be due to an outage of the list.
     pub(crate) missing_since: Option<Duration>,
     own_running: u64,
     own_reading_ms: f64,
@@ -48,21 +49,22 @@
     reported_at: Duration,
     failure_share: f64,
     failure_at: Duration,
-    /// Until when the target wants no work.
+    /// End of the target's backoff.
     paused_until: Duration,
-    /// The limit of calls that the target names.
+    /// Call limit that the target advertises, or the end of one.
     pub(crate) limit: Option<LimitWord>,
-    /// Since when it says about that.
+    /// Since when the limit has been about the same.
     pub(crate) limit_since: Duration,
     parts: BTreeMap<u64, Duration>,
-    /// Time for which the target is still likely to read prompts that peers told of.
+    /// Remaining prefill time of prompts that peers reported, as of `others_reading_at`.
     others_reading: Duration,
     others_reading_at: Duration,
-    /// Until when it is taken to be cold.
+    /// End of the time for which the target is treated as cold.
     cold_until: Duration,
-    /// Whether this instance is one of the few that may send to it, with what that was found by.
+    /// Whether this instance is one of the few that may send to the target, with the state of which
+    /// that follows.
     pub(crate) sender: Cell<Option<(SenderTurn, bool)>>,
-    /// When this instance last sent to it while it bore only so many calls, oldest first.
+    /// Times of this instance's recent sends while a call limit applied, oldest first.
     paced_sends: VecDeque<Duration>,
 }
 
@@ -96,8 +98,7 @@
         }
     }
 
-    /// Takes in a newer entry of the same incarnation; returns whether it says of a warm target
-    /// that it is cold.
+    /// Applies a newer entry of the same incarnation; returns whether that made a warm target cold.
     pub(crate) fn update(&mut self, now: Duration, listed: Listed) -> bool {
         let was_cold = self.is_cold(now);
         if !listed.cold_for.is_zero() {
@@ -108,29 +109,29 @@
         !was_cold && self.is_cold(now)
     }
 
-    /// Notes until when it is cold. Of several words the one that ends last counts.
+    /// Extends the cold time. Of several ends the latest applies.
     pub(crate) fn chill(&mut self, until: Duration) {
         self.cold_until = self.cold_until.max(until);
     }
 
-    /// Tells whether it is taken to be cold.
+    /// Tells whether the target is treated as cold.
     pub(crate) fn is_cold(&self, now: Duration) -> bool {
         now < self.cold_until
     }
 
-    /// Returns the time for which it is taken to be cold.
+    /// Returns how much longer the target is treated as cold.
     pub(crate) fn cold_for(&self, now: Duration) -> Duration {
         self.cold_until.saturating_sub(now)
     }
 
-    /// Tells whether this instance has sent it fewer than so many calls within a span.
+    /// Tells whether this instance sent the target fewer than `calls` calls within the last `span`.
     pub(crate) fn has_paced_place(&self, now: Duration, calls: usize, span: Duration) -> bool {
         let recent = self.paced_sends.iter().rev();
         let recent = recent.take_while(|at| now.saturating_sub(**at) < span);
         recent.count() < calls
     }
 
-    /// Returns the time until the first of the calls within a span no longer counts; `None` where
+    /// Returns the time until the oldest of the calls within a span no longer counts; `None` if
     /// this instance sent none.
     pub(crate) fn paced_place_in(&self, now: Duration, span: Duration) -> Option<Duration> {
         let ends = self.paced_sends.iter().map(|at| *at + span);
@@ -138,7 +139,7 @@
         ends.min().map(|end| end.saturating_sub(now))
     }
 
-    /// Notes a call that is sent while it bears only so many within a span.
+    /// Records a call that is sent while a call limit applies, which counts calls within `span`.
     pub(crate) fn note_paced_send(&mut self, now: Duration, span: Duration) {
         while let Some(at) = self.paced_sends.front()
             && now.saturating_sub(*at) >= span
@@ -148,7 +149,7 @@
         self.paced_sends.push_back(now);
     }
 
-    /// Takes in the newest word of its limit; returns whether that is news.
+    /// Applies the newest state of the target's limit; returns whether the limit changed.
     pub(crate) fn take_limit(&mut self, now: Duration, word: LimitWord) -> bool {
         let is_news = !self.limit.is_some_and(|limit| word.is_like(&limit));
         if is_news {
@@ -158,7 +159,7 @@
         is_news
     }
 
-    /// Notes that work was sent whose prompt takes so long to read there.
+    /// Records that a call was sent whose prefill takes `read_ms` there.
     pub(crate) fn sent(&mut self, now: Duration, work: &Work, read_ms: f64) {
         self.own_running += 1;
         self.own_reading_ms += read_ms;
@@ -203,35 +204,35 @@
         self.failure_at = now.max(self.paused_until);
     }
 
-    /// Notes that the target wants no work for a time. Of several words the one that ends last counts.
+    /// Starts a backoff. Of several backoffs the one that ends last applies.
     ///
-    /// What it failed counts until then as if it were new: it gets work again by and by, and not all
-    /// at the moment at which its pause ends.
+    /// Until then the failure share does not decay, so that work returns gradually and not all at
+    /// the moment at which the backoff ends.
     pub(crate) fn pause(&mut self, now: Duration, time: Duration) {
         self.paused_until = self.paused_until.max(now.saturating_add(time));
         self.failure_at = self.failure_at.max(self.paused_until);
     }
 
-    /// Returns for how long the target wants no work.
+    /// Returns the remaining backoff.
     pub(crate) fn paused_for(&self, now: Duration) -> Duration {
         self.paused_until.saturating_sub(now)
     }
 
-    /// Returns the share of calls that failed lately, between 0 and 1.
+    /// Returns the share of recent calls that failed, between 0 and 1.
     pub(crate) fn failure_share(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.failure_at).as_secs_f64();
         self.failure_share * (-age / FAILURE_MEMORY.as_secs_f64()).exp()
     }
 
-    /// Notes that a peer sent a prompt that takes so long to read.
+    /// Records that a peer sent a prompt whose prefill takes so long.
     pub(crate) fn hear_reading(&mut self, now: Duration, time: Duration) {
         let sum = self.others_reading(now) + time.min(READING_MAX);
         self.others_reading = sum.min(READING_MAX);
         self.others_reading_at = now;
     }
 
-    /// Returns the time for which the target is still likely to read what peers told of. It passes
-    /// by itself, so a peer that dies or falls silent leaves nothing behind.
+    /// Returns the remaining prefill time of prompts that peers reported. It passes without further
+    /// reports, so a peer that ends or falls silent leaves nothing behind.
     pub(crate) fn others_reading(&self, now: Duration) -> Duration {
         let passed = now.saturating_sub(self.others_reading_at);
         self.others_reading.saturating_sub(passed)
@@ -241,7 +242,7 @@
         self.own_running
     }
 
-    /// Returns the time to read the own prompts that wait or are read there.
+    /// Returns the prefill time of this instance's prompts that wait or are prefilled there.
     pub(crate) fn own_reading_ms(&self) -> f64 {
         self.own_reading_ms
     }
@@ -254,8 +255,8 @@
         (self.others_running + self.others_waiting) as f64 * 0.5_f64.powf(halvings)
     }
 
-    /// Tells whether nothing that this instance knows of it, but for the parts it sent there, makes a
-    /// call cost more or less than the list says.
+    /// Tells whether, apart from prompt parts sent there, nothing that this instance knows of the
+    /// target makes a call cost more or less than the list entry does.
     pub(crate) fn is_as_listed(&self, now: Duration) -> bool {
         self.own_running == 0
             && self.own_reading_ms < NOTHING_MS
@@ -264,7 +265,7 @@
             && self.others_reading(now).is_zero()
     }
 
-    /// Returns the tokens at the beginning of a prompt that this instance has sent there lately.
+    /// Returns the tokens of the leading prompt parts that this instance sent there recently.
     pub(crate) fn cached_tokens(&self, now: Duration, work: &Work) -> u64 {
         work.parts
             .iter()
--- a/crates/damaskstile-targets/src/lib.rs
+++ b/crates/damaskstile-targets/src/lib.rs
@@ -1,4 +1,4 @@
-//! `damaskstile-targets` knows the targets and chooses among them.
+//! Tracks the targets of services and selects one for each call.
 
 pub mod book;
 pub mod book_options;
--- a/crates/damaskstile-targets/src/limit_word.rs
+++ b/crates/damaskstile-targets/src/limit_word.rs
@@ -1,34 +1,35 @@
-//! `limit_word` is the newest that an instance knows of the limit that a target names.
+//! Newest known state of the limit that a target advertises.
 
 use damaskstile_core::prelude::*;
 
 use crate::call_limit::CallLimit;
 
-/// Time without a new word after which other instances take over from those that may send: they
-/// may have ended. In a large fleet it takes seconds until all have heard of a word.
+/// Time without a new report after which other instances take over from the current senders, which
+/// may have ended. In a large fleet a report takes seconds to reach all instances.
 const TURN_MIN: Duration = Duration::from_secs(10);
-/// Part by which a limit must change to be news.
+/// Relative change from which a limit counts as changed.
 const NEWS_PART: f64 = 0.1;
 
-/// `LimitWord` is the newest that an instance knows of the limit that a target names.
+/// Newest known state of the limit that a target advertises.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitWord {
-    /// Calls a second of all instances together; `None` where the target names no limit any more.
+    /// Calls a second from all instances together; `None` if the target no longer advertises a
+    /// limit.
     pub calls_per_s: Option<f64>,
-    /// When an answer named it. Where none does any more, when the call was sent whose answer
-    /// named none.
+    /// When an answer advertised it. If the limit has ended: when the call was sent whose answer
+    /// carried none.
     pub at: Duration,
 }
 
 impl LimitWord {
-    /// Returns the limit; `None` where it is over.
+    /// Returns the limit; `None` if it has ended.
     #[must_use]
     pub fn limit(&self) -> Option<CallLimit> {
         self.calls_per_s
             .map(|calls_per_s| CallLimit { calls_per_s })
     }
 
-    /// Tells whether it says about the same as another word.
+    /// Tells whether both state about the same limit.
     #[must_use]
     pub fn is_like(&self, other: &Self) -> bool {
         match (self.calls_per_s, other.calls_per_s) {
@@ -38,9 +39,9 @@
         }
     }
 
-    /// Returns whose turn it is to send, in groups of as many instances as may send: the first for
-    /// as long as answers name the limit, then one after the other. A call that is answered, by
-    /// whomever, begins anew with the first.
+    /// Returns the number of the group of senders whose turn it is. The first group sends for as
+    /// long as answers advertise the limit, then one group follows another. Any answer that
+    /// advertises the limit, at whichever instance, returns the turn to the first group.
     #[must_use]
     pub fn turn(&self, now: Duration) -> u64 {
         let span = self
--- a/crates/damaskstile-targets/src/list_changes.rs
+++ b/crates/damaskstile-targets/src/list_changes.rs
@@ -1,27 +1,27 @@
-//! `list_changes` remembers at which versions of the list its entries changed.
+//! Remembers at which versions of the target list its entries changed.
 
 use damaskstile_core::prelude::*;
 
-/// Changes remembered. A fleet of thousands of targets replaces all of them now and then.
+/// Changes remembered. A fleet of thousands of targets occasionally replaces all of them.
 const CHANGES_MAX: usize = 8_192;
 
-/// `ListChanges` remembers at which versions of the list its entries changed, so that whoever has
-/// an older list can be given what differs.
+/// Versions of the target list at which its entries changed, so that a reader of an older version
+/// can be sent the difference.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ListChanges {
-    /// Version from which on all changes are known; `None` before a list was taken in.
+    /// Version since which all changes are known; `None` before a list was applied.
     complete_from: Option<Version>,
     changed_at: BTreeMap<TargetId, Version>,
 }
 
 impl ListChanges {
-    /// Notes that the whole list was taken in as of a version. What came and went before is not known.
+    /// Records that the whole list was applied as of a version. Earlier changes are unknown.
     pub fn restart(&mut self, version: Version) {
         self.complete_from = Some(version);
         self.changed_at.clear();
     }
 
-    /// Notes which entries changed up to a version of the list.
+    /// Records which entries changed up to a version of the list.
     pub fn note(&mut self, version: Version, targets: impl IntoIterator<Item = TargetId>) {
         for target in targets {
             let changed_at = self.changed_at.entry(target).or_default();
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Returns the entries that changed after a version; `None` where that is not known for all.
+    /// Returns the entries that changed after a version; `None` if not all changes since then are
+    /// known.
     ///
     /// ```
     /// use damaskstile_targets::ListChanges;
--- a/crates/damaskstile-targets/src/listed.rs
+++ b/crates/damaskstile-targets/src/listed.rs
@@ -1,32 +1,32 @@
-//! `listed` is a target as the platform's list has it.
+//! Entry of the platform's list of targets.
 
 use std::net::SocketAddr;
 
 use damaskstile_core::prelude::*;
 
-/// `Listed` is a target as the platform's list has it.
+/// Entry of the platform's list of targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listed {
     /// Name of the target.
     pub target: TargetId,
-    /// Its incarnation; `None` where the entry does not state the start.
+    /// Its incarnation; `None` if the entry does not state the start.
     pub incarnation: Option<TargetIncarnation>,
-    /// Service that it works for.
+    /// Service that it runs.
     pub service: ServiceId,
-    /// Address that takes calls.
+    /// Address that accepts calls.
     pub address: SocketAddr,
-    /// Data centre that it stands in.
+    /// Data centre that it is in.
     pub data_centre: String,
-    /// Calls that it works on at a time.
+    /// Calls that it runs at a time.
     pub slots_requests: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub is_ready: bool,
-    /// How much longer it is cold, as it said when it wrote the entry.
+    /// Remaining cold time, as of when the target wrote the entry.
     pub cold_for: Duration,
 }
 
 impl Listed {
-    /// Tells whether it says the same as another entry, but for the cold time, which passes.
+    /// Tells whether both entries are equal apart from the remaining cold time, which decreases.
     #[must_use]
     pub fn is_like(&self, other: &Self) -> bool {
         let cold_for = self.cold_for;
@@ -37,7 +37,7 @@
             }
     }
 
-    /// Returns which run of which target the entry is about.
+    /// Returns the target with its incarnation.
     #[must_use]
     pub fn identity(&self) -> TargetIdentity {
         TargetIdentity::new(&self.target, self.incarnation)
--- a/crates/damaskstile-targets/src/named_limit.rs
+++ b/crates/damaskstile-targets/src/named_limit.rs
@@ -1,14 +1,13 @@
-//! `named_limit` is what a target says in an answer of the calls that it takes.
+//! Call limit that a target advertises in an answer.
 
-/// `NamedLimit` is what a target says in an answer of the calls that it takes from all instances
-/// together.
+/// Call limit that a target advertises in an answer; it applies to all instances together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum NamedLimit {
-    /// It names no limit.
+    /// The answer carries no limit.
     #[default]
     Absent,
-    /// It names so many calls a second.
+    /// Limit in calls a second.
     CallsPerS(f64),
-    /// It names a limit that cannot be read.
+    /// The answer carries a limit that cannot be parsed.
     Unreadable,
 }
--- a/crates/damaskstile-targets/src/queue.rs
+++ b/crates/damaskstile-targets/src/queue.rs
@@ -1,15 +1,15 @@
-//! `queue` orders requests that wait for a target: by priority, then fairly between accounts.
+//! Orders requests that wait for a target: by priority, then fairly between client accounts.
 
 use damaskstile_core::prelude::*;
 
-/// `Queued` is a run that waits for a target.
+/// Run that waits for a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Queued {
     /// The run.
     pub run: RunId,
     /// Client account that pays.
     pub account: AccountId,
-    /// Service that is addressed.
+    /// Service that the run is for.
     pub service: ServiceId,
     /// Priority of the request.
     pub priority: Priority,
@@ -17,28 +17,28 @@
     pub until: Duration,
 }
 
-/// `Queue` holds the runs that wait for targets, each service's apart.
+/// Runs that wait for targets, in one queue for each service.
 #[derive(Debug, Default)]
 pub struct Queue {
     waiting: BTreeMap<ServiceId, VecDeque<Queued>>,
 }
 
 impl Queue {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a run, or tells that there is no room.
+    /// Adds a run.
     ///
-    /// A client account never takes more than half of the places while others wait, so that a
-    /// large one cannot starve a small one. A full queue gives a place of the lowest priority up
-    /// for a higher one; the run that lost its place is returned.
+    /// A client account never takes more than half of the places while others wait, so that a large
+    /// one cannot starve a small one. A full queue gives its newest place of the lowest priority up
+    /// for a higher one; the run that was displaced is returned.
     ///
     /// # Errors
     ///
-    /// Returns the run where there is no place for it.
+    /// Returns the run if there is no place for it.
     pub fn push(&mut self, queued: Queued, places: usize) -> Result<Option<Queued>, Queued> {
         let waiting = self.waiting.entry(queued.service.clone()).or_default();
         let of_account = waiting
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Takes the newest place of an account that fills most of the queue, for one that has few.
+    /// Displaces the newest run of the account that holds the most places, if it holds at least two
+    /// more than the account of the new run.
     fn displace_greedy(
         waiting: &mut VecDeque<Queued>,
         queued: Queued,
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Takes the next run of a service: the highest priority, then the account with the least
-    /// in flight, then the oldest.
+    /// Removes and returns the next run of a service: the highest priority, then the account with
+    /// the least in flight, then the oldest.
     pub fn next(&mut self, service: &str, in_flight: impl Fn(&AccountId) -> u64) -> Option<Queued> {
         let waiting = self.waiting.get_mut(service)?;
         let index = waiting
@@ -104,7 +105,7 @@
         waiting.remove(index)
     }
 
-    /// Puts a run back to the front of its service's queue.
+    /// Puts a run back at the front of its service's queue.
     pub fn put_back(&mut self, queued: Queued) {
         self.waiting
             .entry(queued.service.clone())
@@ -112,7 +113,7 @@
             .push_front(queued);
     }
 
-    /// Takes out the runs whose time is over.
+    /// Removes and returns the runs whose time has expired.
     pub fn next_expired(&mut self, now: Duration) -> Vec<Queued> {
         let mut expired = Vec::new();
         for waiting in self.waiting.values_mut() {
@@ -125,14 +126,14 @@
         expired
     }
 
-    /// Takes a run out.
+    /// Removes a run.
     pub fn remove(&mut self, run: &RunId) {
         for waiting in self.waiting.values_mut() {
             waiting.retain(|queued| &queued.run != run);
         }
     }
 
-    /// Returns the services that have runs waiting.
+    /// Returns the services with waiting runs.
     #[must_use]
     pub fn services(&self) -> Vec<ServiceId> {
         self.waiting
--- a/crates/damaskstile-targets/src/reading_speed.rs
+++ b/crates/damaskstile-targets/src/reading_speed.rs
@@ -1,58 +1,62 @@
-//! `reading_speed` learns how long targets of a service take to read a prompt.
+//! Learns how fast the targets of a service prefill prompts.
 
-/// Tokens in the unit of the first slope.
+/// Tokens in the unit of the linear term.
 const TOKENS_UNIT: f64 = 1e4;
-/// Pairs of tokens in the unit of the second slope: each token that is read looks at all before it.
+/// Pairs of tokens in the unit of the quadratic term: each token of the prefill attends to all
+/// before it.
 const PAIRS_UNIT: f64 = 1e8;
-/// Time of a first token without any prompt, before anything was seen: a few steps of an engine and
-/// the way there and back.
+/// Initial estimate of the time to the first token without any prompt: a few steps of an engine and
+/// the round trip.
 const START_MS: f64 = 20.0;
-/// How far the first estimates may be off: engines differ by several times.
+/// Initial variances of the estimates; engines differ by several times.
 const START_VARIANCES: [f64; 3] = [30.0 * 30.0, 300.0 * 300.0, 30.0 * 30.0];
-/// Longest time that any part may be estimated at for its unit, in milliseconds. What is learned
-/// stays of use whatever a fault shows: 1,000 tokens are read in 1 ms to half a second.
+/// Upper bounds of the estimates, in milliseconds for their units. They keep the estimates usable
+/// whatever faulty samples show: the prefill of 1,000 tokens takes 1 ms to half a second.
 const PART_MAX_MS: [f64; 3] = [500.0, 5_000.0, 1_000.0];
-/// Least time that 10,000 tokens take.
+/// Lower bound of the time for 10,000 tokens.
 const TOKENS_MIN_MS: f64 = 10.0;
-/// Error of one observation, as a part of the time and in milliseconds: other instances' calls.
+/// Standard error of one sample, as a share of the expected time and in milliseconds. It is due to
+/// the calls of other instances.
 const NOISE_PART: f64 = 0.2;
 const NOISE_MS: f64 = 10.0;
-/// Errors past which an observation counts as one of so many: most that are far too late waited for
-/// a prompt that nobody told of.
+/// Standard errors to which the error of a sample is clipped: most samples that are far too late
+/// waited for a prompt that no peer reported.
 const ERRORS_MAX: f64 = 2.0;
-/// Weight that older observations keep at each new one: some 500 count, which an instance sees
-/// within a minute.
+/// Weight that older samples keep at each new one: some 500 count, which an instance sees within a
+/// minute.
 const MEMORY: f64 = 0.998;
-/// The same once observations err to one side: the engines are others now, and what was seen of the
-/// former ones is soon forgotten.
+/// Weight that older samples keep while the newer ones deviate to one side. The engines have been
+/// replaced then, and samples of the former ones are soon forgotten.
 const SHORT_MEMORY: f64 = 0.95;
-/// Weight of the newest observation in the side that they err to, and the side from which on they
-/// do: half of them by as much as counts.
+/// Weight of the newest sample in the drift, and the drift from which on samples count as deviating
+/// to one side: half of them by the clipped error.
 const DRIFT_WEIGHT: f64 = 0.1;
 const DRIFT_LIMIT: f64 = 0.5;
 
-/// Longest prompt that is learned from: no target holds more.
+/// Longest prompt to learn from: no target holds more.
 const TOKENS_MAX: f64 = 1e6;
-/// Part of the first doubt that always stays, so that it can be learned anew.
+/// Share of the initial variance that always remains, so that an estimate can be learned anew.
 const VARIANCE_LEAST: f64 = 1e-4;
 
 type Vector = [f64; 3];
 
-/// `ReadingSpeed` learns how long targets of a service take to read a prompt: a start, a time for
-/// each token, and one for each pair of tokens, since what a token looks at grows with the prompt.
+/// Estimates how long the targets of a service take to prefill a prompt: a constant, a time for
+/// each token, and one for each pair of tokens, since what a token attends to grows with the
+/// prompt.
 ///
-/// It is a recursive least-squares fit that forgets, and in which one observation moves it by no
-/// more than two usual errors. Engines that are replaced by others are followed within a hundred calls.
+/// It is a recursive least-squares fit with forgetting, in which one sample moves the estimate by
+/// no more than two standard errors. Engines that are replaced by others are followed within a
+/// hundred calls.
 #[derive(Debug, Clone)]
 pub struct ReadingSpeed {
     parts_ms: Vector,
     covariance: [Vector; 3],
-    /// Side that late observations err to, from -1 for all too early to 1 for all too late.
+    /// Side to which recent samples deviate, from -1 for all too early to 1 for all too late.
     drift: f64,
 }
 
 impl ReadingSpeed {
-    /// Makes an estimate from what is assumed of engines that nobody has seen yet.
+    /// Creates an estimate from the speed assumed for engines that have not been observed.
     #[must_use]
     pub fn new(tokens_per_ms: f64) -> Self {
         let mut covariance = [[0.0; 3]; 3];
@@ -66,7 +70,7 @@
         }
     }
 
-    /// Returns the time to read tokens that come after others, in milliseconds.
+    /// Returns the prefill time of tokens that follow others, in milliseconds.
     ///
     /// ```
     /// use damaskstile_targets::ReadingSpeed;
@@ -79,13 +83,14 @@
         self.parts_ms[1] * tokens_part + self.parts_ms[2] * pairs_part
     }
 
-    /// Returns the time to the first token of such a prompt on an idle target.
+    /// Returns the time to the first token of such a prompt on an idle target, in milliseconds.
     #[must_use]
     pub fn first_token_ms(&self, tokens: f64, after_tokens: f64) -> f64 {
         self.parts_ms[0] + self.read_ms(tokens, after_tokens)
     }
 
-    /// Takes in the time to the first token of a call whose target was likely to read nothing else.
+    /// Learns from the time to the first token of a call whose target was likely to prefill nothing
+    /// else.
     pub fn learn(&mut self, tokens: f64, after_tokens: f64, took_ms: f64) {
         let seen = features(tokens, after_tokens);
         let expected_ms = self.first_token_ms(tokens, after_tokens);
@@ -114,8 +119,9 @@
         self.bound();
     }
 
-    /// Keeps the estimates within what an engine can be, and the doubt within what it began with:
-    /// while only short prompts come, nothing is learned of long ones, and doubt would grow.
+    /// Keeps the estimates within what an engine can do, and the variances within their initial
+    /// values. While only short prompts arrive, nothing is learned of long ones, and the variance
+    /// would grow.
     fn bound(&mut self) {
         for (part, most) in self.parts_ms.iter_mut().zip(PART_MAX_MS) {
             *part = part.clamp(0.0, most);
@@ -136,7 +142,7 @@
     }
 }
 
-/// Returns what a time is made of: a start, tokens, and pairs of tokens.
+/// Returns the terms that a time consists of: a constant, tokens, and pairs of tokens.
 fn features(tokens: f64, after_tokens: f64) -> Vector {
     let pairs = tokens * (after_tokens + tokens / 2.0);
     [1.0, tokens / TOKENS_UNIT, pairs / PAIRS_UNIT]
--- a/crates/damaskstile-targets/src/refused.rs
+++ b/crates/damaskstile-targets/src/refused.rs
@@ -1,8 +1,8 @@
-//! `refused` is an entry of the list that names no target to use.
+//! Invalid entry of the target list.
 
 use damaskstile_core::prelude::*;
 
-/// `Refused` is an entry of the list that names no target to use.
+/// Invalid entry of the target list, which names no target to use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refused {
     /// Name of the entry.
--- a/crates/damaskstile-targets/src/registry.rs
+++ b/crates/damaskstile-targets/src/registry.rs
@@ -1,4 +1,4 @@
-//! `registry` knows all targets: who leaves, who is asked, and who may get work.
+//! Registry of all targets: which of them leave, which to probe, and which may receive requests.
 
 use damaskstile_core::peer::TargetNote;
 use damaskstile_core::prelude::*;
@@ -9,26 +9,26 @@
 use crate::selector::Selector;
 use crate::target::{Evidence, Target};
 
-/// Notes that one gossip carries at most.
+/// Most notes on targets in one gossip message.
 const NOTES_MAX: usize = 8;
 
-/// `Choice` is the answer to the question for a target.
+/// Result of the selection of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Choice {
-    /// This target, at this address.
+    /// Target to send the request to.
     Target {
-        /// The target.
+        /// Name of the target.
         target: TargetId,
-        /// Its address.
+        /// Address of the target.
         address: String,
     },
-    /// Targets exist and are full, paused, or must be asked first.
+    /// Targets exist but are full, in backoff, or without fresh evidence that they stay.
     Wait,
-    /// No target of the service is known to stay.
+    /// All known targets of the service are leaving or were already tried, or none is known.
     NoTarget,
 }
 
-/// `Registry` knows all targets.
+/// All targets, as known to an instance.
 #[derive(Debug)]
 pub struct Registry {
     instance: InstanceId,
@@ -39,7 +39,7 @@
 }
 
 impl Registry {
-    /// Makes a registry that knows no target.
+    /// Creates a registry without targets.
     #[must_use]
     pub fn new(instance: &str, options: RegistryOptions, seed: u64) -> Self {
         let selector = options.selector.selector();
@@ -52,12 +52,13 @@
         }
     }
 
-    /// Sets the age of evidence past which a target is asked.
+    /// Sets the age past which evidence no longer allows new requests to a target.
     pub fn set_evidence_age(&mut self, age: Duration) {
         self.options.evidence_age = age;
     }
 
-    /// Takes in the platform's list, which lags. Returns targets that began or ceased to leave.
+    /// Applies the platform's list, which lags. Returns the targets that began or ceased to leave,
+    /// each with whether it leaves.
     pub fn set_targets(&mut self, targets: Vec<TargetInfo>) -> Vec<(TargetId, bool)> {
         let mut changed = Vec::new();
         let listed: BTreeSet<TargetId> = targets.iter().map(|info| info.target.clone()).collect();
@@ -69,7 +70,7 @@
                 .or_insert_with(|| Target::new(info.clone()));
             let was_leaving = target.is_leaving();
             if target.info.address != info.address {
-                // Another process has the name now; what was known of the old one is void.
+                // Another process has the name now; the state of the former one is void.
                 *target = Target::new(info.clone());
             }
             target.info = info;
@@ -77,7 +78,8 @@
                 changed.push((id, target.is_leaving()));
             }
         }
-        // A target that is not listed gets no new work; its open runs are still accounted for.
+        // A target that is not listed receives no new requests; its open ones are still accounted
+        // for.
         self.targets.retain(|id, target| {
             let is_kept = listed.contains(id) || target.own_requests > 0;
             if is_kept && !listed.contains(id) {
@@ -88,7 +90,8 @@
         changed
     }
 
-    /// Takes in a target's own report. Returns whether it began or ceased to leave.
+    /// Applies a target's own status; `None` counts as a failure. Returns whether the target leaves
+    /// if that changed.
     pub fn on_status(
         &mut self,
         now: Duration,
@@ -108,7 +111,7 @@
         is_changed.then(|| target.is_leaving())
     }
 
-    /// Takes in a peer's word on a target. Returns whether it began or ceased to leave.
+    /// Applies a peer's report on a target. Returns whether the target leaves if that changed.
     pub fn on_note(&mut self, now: Duration, note: &TargetNote) -> Option<bool> {
         let target = self.targets.get_mut(&note.target)?;
         let at = now.saturating_sub(Duration::from_millis(note.age_ms));
@@ -119,7 +122,7 @@
         is_changed.then(|| target.is_leaving())
     }
 
-    /// Returns what gossip tells of targets: those that leave first, then the newest news.
+    /// Returns the notes on targets for gossip: leaving targets first, then the newest evidence.
     #[must_use]
     pub fn notes(&self, now: Duration) -> Vec<TargetNote> {
         let mut known: Vec<(&TargetId, Evidence)> = self
@@ -141,7 +144,7 @@
             .collect()
     }
 
-    /// Chooses a target for one more request, leaving out those that were tried.
+    /// Selects a target for one more request, other than those already tried.
     pub fn choose(&mut self, now: Duration, service: &str, tried: &BTreeSet<TargetId>) -> Choice {
         let usable = self.usable(service, tried);
         if usable.is_empty() {
@@ -178,7 +181,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         if usable.len() > self.options.subset_targets {
-            // Each instance uses its own part of many targets, so that questions to targets do
+            // Each instance uses its own subset of many targets, so that the number of probes does
             // not grow with instances x targets.
             usable.sort_by_key(|id| stable_hash(&[&self.instance, id]));
             usable.truncate(self.options.subset_targets);
@@ -202,7 +205,7 @@
         candidate.load_requests * 100 >= candidate.slots_requests * self.options.full_percent
     }
 
-    /// Returns the targets to ask now, with their addresses.
+    /// Returns the targets to probe now, with their addresses.
     pub fn next_probes(
         &mut self,
         now: Duration,
@@ -214,7 +217,7 @@
                 asked.push(id);
             }
         }
-        // Leaving targets are asked too: they may come back under the same name.
+        // Leaving targets are probed too: they may return under the same name.
         asked.extend(
             self.targets
                 .iter()
@@ -238,7 +241,7 @@
             .collect()
     }
 
-    /// Notes that a request goes to a target.
+    /// Records that a request goes to a target.
     pub fn started(&mut self, now: Duration, target: &TargetId) {
         if let Some(target) = self.targets.get_mut(target) {
             target.used_at = now;
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Notes that a request has ended at a target, and how long it took if it was answered.
+    /// Records that a request has ended at a target, and how long it took if it was answered.
     pub fn ended(&mut self, target: &TargetId, took: Option<Duration>) {
         if let Some(target) = self.targets.get_mut(target) {
             target.own_requests = target.own_requests.saturating_sub(1);
@@ -256,14 +259,14 @@
         }
     }
 
-    /// Notes that a target failed, so that it is left alone for a while.
+    /// Records that a target failed, which begins a backoff.
     pub fn failed(&mut self, now: Duration, target: &TargetId) {
         if let Some(target) = self.targets.get_mut(target) {
             target.failed(now);
         }
     }
 
-    /// Tells whether a target may still get the work that was chosen for it.
+    /// Tells whether a target may still receive a request for which it was selected.
     #[must_use]
     pub fn may_send(&self, now: Duration, target: &TargetId) -> bool {
         self.targets.get(target).is_some_and(|target| {
@@ -279,7 +282,7 @@
             .map(|target| target.info.address.as_str())
     }
 
-    /// Returns the average time of an answer of a service's targets.
+    /// Returns the average answer time of a service's targets; a second if none has answered.
     #[must_use]
     pub fn answer_time(&self, service: &str) -> Duration {
         let times: Vec<Duration> = self
--- a/crates/damaskstile-targets/src/registry_options.rs
+++ b/crates/damaskstile-targets/src/registry_options.rs
@@ -1,23 +1,23 @@
-//! `registry_options` sets how targets are chosen.
+//! Options of the registry of targets.
 
 use damaskstile_core::prelude::*;
 
 use crate::selector::SelectorKind;
 
-/// `RegistryOptions` sets how targets are chosen.
+/// Options of the registry of targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegistryOptions {
-    /// How the target is chosen.
+    /// Strategy of selection.
     pub selector: SelectorKind,
-    /// Age of evidence past which a target is asked before it gets new work.
+    /// Age past which evidence no longer allows new requests to a target.
     pub evidence_age: Duration,
-    /// Time between two questions to a target in use.
+    /// Time between two probes of a target.
     pub probe_interval: Duration,
-    /// Time in which the others' part of a load report counts half.
+    /// Time in which the other instances' share of a load report counts half.
     pub load_half_life: Duration,
-    /// Targets of one service that this instance uses, at most.
+    /// Most targets of one service that this instance uses.
     pub subset_targets: usize,
-    /// Load at which a target gets no more, in hundredths of its slots.
+    /// Load at which a target receives no more, in hundredths of its slots.
     pub full_percent: u64,
 }
 
--- a/crates/damaskstile-targets/src/selector.rs
+++ b/crates/damaskstile-targets/src/selector.rs
@@ -1,29 +1,30 @@
-//! `selector` chooses a target among those that may get work.
+//! Strategies that select a target among candidates.
 
 use damaskstile_core::prelude::*;
 
 use crate::candidate::Candidate;
 
-/// `SelectorKind` names a selector in the settings and in measurements.
+/// Strategy of selection, as named in the settings and in measurements.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum SelectorKind {
-    /// Any target.
+    /// A random target.
     Random,
-    /// One after the other.
+    /// Each target in turn.
     RoundRobin,
-    /// The less loaded of two random ones.
+    /// The less loaded of two random targets.
     TwoChoices,
-    /// The one with the least own work for its speed; among equals, the one that rested longest.
+    /// The target with the least work of this instance for its speed; among equals, the one idle
+    /// longest.
     ///
-    /// It goes by what this instance has seen itself. Reports of load are the same for all
-    /// instances and late, so whoever goes by them goes where all others go.
+    /// It uses only what this instance has seen itself. Load reports are late and the same for all
+    /// instances, so instances that follow them all send to the same target.
     #[default]
     OwnWork,
 }
 
-/// `Selector` chooses a target.
+/// Selects a target.
 pub trait Selector: std::fmt::Debug + Send {
-    /// Returns the position of the chosen candidate; `None` where there is none.
+    /// Returns the position of the selected candidate; `None` if there is none.
     fn choose(&mut self, candidates: &[Candidate], random: &mut Random) -> Option<usize>;
 }
 
@@ -93,7 +94,7 @@
 }
 
 impl SelectorKind {
-    /// All selectors.
+    /// All strategies.
     pub const ALL: [Self; 4] = [
         Self::Random,
         Self::RoundRobin,
@@ -101,7 +102,7 @@
         Self::OwnWork,
     ];
 
-    /// Returns the selector's name.
+    /// Returns the name of the strategy.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Makes the selector of that kind.
+    /// Creates a selector of this strategy.
     ///
     /// ```
     /// use damaskstile_core::random::Random;
--- a/crates/damaskstile-targets/src/target.rs
+++ b/crates/damaskstile-targets/src/target.rs
@@ -1,24 +1,24 @@
-//! `target` holds what an instance knows of one target.
+//! State of one target in the registry.
 
 use damaskstile_core::prelude::*;
 
-/// Requests that a target is taken to run at a time until it has said so.
+/// Concurrent requests that a target is assumed to run until it reports its slots.
 const SLOTS_ASSUMED: u64 = 4;
-/// Time after a failure in which a target is left alone; it doubles with each failure.
+/// Backoff after the first failure; it doubles with each further failure, up to 32 times.
 const FAILURE_PAUSE: Duration = Duration::from_millis(250);
-/// Weight of the newest answer time in the average, as a divisor.
+/// Divisor of the moving average; the newest answer time has a weight of one part in so many.
 const AVERAGE_DIVISOR: u32 = 8;
 
-/// `Evidence` says whether a target leaves, and when that was true.
+/// Whether a target is leaving, and when that was true.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evidence {
-    /// Whether it is leaving.
+    /// Whether the target is leaving.
     pub is_leaving: bool,
-    /// When it was.
+    /// Time of the observation.
     pub at: Duration,
 }
 
-/// `Target` is what an instance knows of one target.
+/// State of one target, as known to an instance.
 #[derive(Debug, Clone)]
 pub struct Target {
     pub(crate) info: TargetInfo,
@@ -33,7 +33,7 @@
     paused_until: Duration,
     answer_time: Option<Duration>,
     pub(crate) probed_at: Option<Duration>,
-    /// When it last got work from this instance.
+    /// When this instance last sent it a request.
     pub(crate) used_at: Duration,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes in evidence if it is newer. Returns whether the target began or ceased to leave.
+    /// Applies evidence if it is newer. Returns whether the target began or ceased to leave.
     pub(crate) fn learn(&mut self, evidence: Evidence) -> bool {
         let is_newer = self.evidence.is_none_or(|known| evidence.at > known.at);
         if !is_newer {
@@ -73,12 +73,13 @@
         self.slots_requests = status.slots_requests.max(1);
     }
 
-    /// Tells whether the target leaves, by its own or a peer's newest word or by the list.
+    /// Tells whether the target is leaving, by the list or by the newest report of itself or of a
+    /// peer.
     pub(crate) fn is_leaving(&self) -> bool {
         self.info.is_leaving || self.evidence.is_some_and(|evidence| evidence.is_leaving)
     }
 
-    /// Tells whether the newest word that the target stays is young enough to send to it.
+    /// Tells whether the newest evidence is recent enough to send requests to the target.
     pub(crate) fn has_fresh_evidence(&self, now: Duration, age: Duration) -> bool {
         self.evidence
             .is_some_and(|evidence| now.saturating_sub(evidence.at) <= age)
@@ -103,8 +104,9 @@
 
     /// Returns the requests that are likely to run or wait there now.
     ///
-    /// The report tells of all instances' requests and grows old; the own count tells only of
-    /// this one's and is exact. So the others' part counts less the older the report is.
+    /// A report covers the requests of all instances and grows old; the own count covers only this
+    /// instance's and is exact. So the other instances' share is halved for each half-life of the
+    /// report's age.
     pub(crate) fn load_requests(&self, now: Duration, half_life: Duration) -> u64 {
         let others = self
             .reported_requests
--- a/crates/damaskstile-targets/src/target_counts.rs
+++ b/crates/damaskstile-targets/src/target_counts.rs
@@ -1,14 +1,14 @@
-//! `target_counts` counts the targets of the list by what keeps them in or out of use.
+//! Numbers of listed targets by state.
 
-/// `TargetCounts` counts the targets of the list by what keeps them in or out of use.
+/// Numbers of listed targets by state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TargetCounts {
-    /// Targets that may get work.
+    /// Targets that may receive work.
     pub ready: u64,
-    /// Targets that drain, have ended, or were told by peers to be gone.
+    /// Targets that drain, have ended or were reported by peers as delisted.
     pub leaving: u64,
-    /// Targets whose entries vanished around an outage of the list.
+    /// Targets whose entries expired around an outage of the target list.
     pub lapsed: u64,
-    /// Entries that name no target to use.
+    /// Invalid entries, which name no target to use.
     pub refused: u64,
 }
--- a/crates/damaskstile-targets/src/work.rs
+++ b/crates/damaskstile-targets/src/work.rs
@@ -1,34 +1,34 @@
-//! `work` is what a call asks of a target, as far as the choice goes by it.
+//! What a call requires of a target, as far as it matters to selection.
 
 use std::sync::Arc;
 
 use damaskstile_core::prelude::*;
 
-/// `Part` is a piece of a prompt that other calls may share.
+/// Piece of a prompt that other calls may share.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Part {
-    /// Name of the part.
+    /// Identifier of the part; equal parts have equal names.
     pub name: u64,
-    /// Its length.
+    /// Length of the part.
     pub tokens: u64,
 }
 
-/// `Work` is what a call asks of a target, as far as the choice goes by it.
+/// What a call requires of a target, as far as it matters to selection.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Work {
     /// Length of the whole prompt; 0 for plain services.
     pub prompt_tokens: u64,
-    /// Most tokens that are generated.
+    /// Most tokens that may be generated.
     pub output_tokens: u64,
-    /// Parts of the prompt in their order.
+    /// Parts of the prompt, in order.
     pub parts: Vec<Part>,
-    /// Regions that may run it; `None` for all.
+    /// Home regions, which may run the call; `None` for all regions.
     pub homes: Option<Arc<BTreeSet<RegionId>>>,
 }
 
 impl Work {
-    /// Returns the parts that other calls are likely to share: all but the last, which is the
-    /// call's own, unless it is the only one.
+    /// Returns the parts that other calls are likely to share: all but the last, which only this
+    /// call has, unless it is the only part.
     ///
     /// ```
     /// use damaskstile_targets::{Part, Work};
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the length of those parts.
+    /// Returns the total length of the shared parts.
     ///
     /// ```
     /// assert_eq!(damaskstile_targets::Work::default().shared_tokens(), 0);
--- a/crates/damaskstile-targets/tests/book.rs
+++ b/crates/damaskstile-targets/tests/book.rs
@@ -1,12 +1,12 @@
-//! Which target a call gets: by what is cached, by what waits there, by who fails and who leaves.
+//! Which target a call gets: by cached prompt parts, waiting prompts, failures and departures.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::{Book, BookOptions, Listed, Part, Work};
 
 const SERVICE: &str = "model";
-/// Prompts of a calm minute at today's sizes: a shared beginning, a subject, an own part.
+/// Prompts of a calm minute at usual sizes: a shared beginning, a shared prefix, an own part.
 const CALLS: u64 = 2_000;
-/// Subjects that calls are about.
+/// Shared prefixes, one for each subject of calls.
 const SUBJECTS: u64 = 104;
 const SUBJECT_TOKENS: u64 = 3_800;
 const BEGINNING_TOKENS: u64 = 2_500;
@@ -26,7 +26,7 @@
     }
 }
 
-/// Names a target that does not state its start.
+/// Returns the identity of a target that does not state its start.
 fn unstated(name: &str) -> TargetIdentity {
     TargetIdentity::new(name, None)
 }
@@ -59,11 +59,12 @@
 
 #[test]
 fn instances_that_do_not_talk_send_a_subject_to_the_same_target() {
-    // Symptom: shared parts of prompts are read again at every target, and first tokens come late
-    // on heavy days. Sequence: calls about one subject come to several instances, and each sends
-    // them elsewhere. Cause: the hash was taken of the last part, which is the call's own.
+    // Guards against shared prompt parts that are prefilled again at every target, so that first
+    // tokens come late on days with high load. Calls about one subject come to several instances,
+    // which would send them to different targets if the hash were that of the last part, which only
+    // the call itself has.
 
-    // Arrange: the sizes are those of house-style revisions, 104 subjects before nine targets.
+    // Arrange: the sizes are those of house-style revisions, 104 subjects and nine targets.
     let mut books = [book(TARGETS), book(TARGETS), book(TARGETS)];
     let mut random = Random::new(3);
     let mut homes = std::collections::BTreeMap::<u64, std::collections::BTreeSet<String>>::new();
@@ -92,11 +93,11 @@
 
 #[test]
 fn a_subject_that_everybody_asks_for_is_spread() {
-    // Arrange: one subject gets calls faster than one target reads their own parts.
+    // Arrange: one shared prefix gets calls faster than one target prefills their own parts.
     let mut book = book(TARGETS);
     let mut used = std::collections::BTreeSet::new();
 
-    // Act: nothing is prefilled meanwhile.
+    // Act: no prefill ends meanwhile.
     for call in 0..40 {
         let work = prompt(7, call);
         let choice = book.choose(at(call), SERVICE, &work, &[]).unwrap();
@@ -134,8 +135,8 @@
 
 #[test]
 fn a_draining_target_never_gets_work_again() {
-    // Symptom: a target that leaves gets work. Sequence: a peer says that it drains; then a late
-    // entry of the list says that it is ready. Cause: the last word was taken for the newest.
+    // Guards against a leaving target that receives work. A peer reports that it drains, and then a
+    // late entry of the list shows it as ready. The last report to arrive is not the newest.
 
     // Arrange
     let mut book = book(1);
@@ -151,9 +152,9 @@
 
 #[test]
 fn entries_that_lapse_around_an_outage_stay_in_use_for_a_moment() {
-    // Symptom: after an outage of the store every call is refused for lack of targets. Sequence:
-    // the entries lapse while the store is away, the list comes back empty, and the targets write
-    // themselves in again within two seconds. Cause: a missing entry was taken for a stop.
+    // Guards against an outage of the store after which every call is refused for lack of targets.
+    // The entries expire during the outage, the list comes back empty, and the targets write their
+    // entries again within two seconds. A missing entry must not be treated as a stop.
 
     // Arrange
     let mut book = book(1);
@@ -182,10 +183,10 @@
 
 #[test]
 fn a_list_that_is_handed_on_names_only_targets_that_are_there() {
-    // Symptom: a target gets calls four seconds after it left. Sequence: its entry vanishes shortly
-    // after an outage; one instance keeps it in use for a grace, another knows already that it is
-    // gone. The other then takes the first one's list over, and finds it there. Cause: the list
-    // that was handed on held what the first instance only waited for.
+    // Guards against a target that receives calls four seconds after it left. Its entry is removed
+    // shortly after an outage; one instance keeps it in use for a grace period, another knows
+    // already that it is gone and then pulls the first one's list. That list must not contain
+    // targets in their grace period.
 
     // Arrange
     let mut waiting = book(2);
@@ -205,8 +206,8 @@
 
 #[test]
 fn a_target_that_did_not_come_back_after_an_outage_is_told_as_gone() {
-    // Symptom: instances that have their list from others call targets that ended during an outage
-    // of the list. Cause: those others stopped using them and told nobody.
+    // Guards against instances that have their list from others and call targets that ended during
+    // an outage of the list, because those others stopped using them and reported it to no one.
 
     // Arrange
     let mut book = book(2);
--- a/crates/damaskstile-targets/tests/choice_cost.rs
+++ b/crates/damaskstile-targets/tests/choice_cost.rs
@@ -1,4 +1,4 @@
-//! What a choice costs as the list grows, and where calls go that nothing tells apart.
+//! Cost of a selection as the list grows, and how calls spread over targets that cost the same.
 
 use std::time::Instant;
 
@@ -8,18 +8,18 @@
 const MODEL: &str = "model";
 const PORTAL: &str = "portal";
 const DATA_CENTRES: [&str; 5] = ["c0", "c1", "c2", "c3", "c4"];
-/// Targets of a fleet of today, and of one that is twice as large as any.
+/// Targets of a usual fleet, and of one that is twice as large as any.
 const FEW: usize = 500;
 const MANY: usize = 20_000;
 /// Calls of one instance of a large fleet, one a second.
 const CALLS: u64 = 60;
-/// Calls of an instance that gets forty a second, the time between two, and those open at once.
+/// Calls of an instance that receives forty a second, the time between two, and those open at once.
 const BUSY_CALLS: u64 = 400;
 const BUSY_GAP: Duration = Duration::from_millis(25);
 const OPEN_CALLS: usize = 30;
-/// Tokens beyond those of other prompts in a long one.
+/// Tokens of a long prompt beyond those of other prompts.
 const LONG_TOKENS: u64 = 25_000;
-/// How much more a choice may cost among many targets than among few.
+/// How many times more candidates may be examined among many targets than among few.
 const GROWTH_MAX: f64 = 1.5;
 
 fn listed(service: &str, index: usize) -> Listed {
@@ -46,7 +46,7 @@
     book
 }
 
-/// A prompt with a beginning that many share, a subject and an own part.
+/// Makes a prompt with a beginning that many share, a shared prefix of its subject and an own part.
 fn prompt(subject: u64, call: u64) -> Work {
     let part = |name, tokens| Part { name, tokens };
     Work {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Returns how many targets the choices of a minute have looked at.
+/// Returns how many candidates the selections of a minute have examined.
 fn looks_of_a_minute(targets: usize) -> u64 {
     let mut book = book("i", targets, targets);
     let mut random = Random::new(7);
@@ -85,8 +85,8 @@
 
 #[test]
 fn a_choice_looks_at_as_many_targets_in_a_large_list_as_in_a_small_one() {
-    // Guards against: choices that look at all targets several times, which take an instance with an
-    // eighth of a core tens of milliseconds each.
+    // Guards against selections that examine all targets several times, which take tens of
+    // milliseconds each on an instance with an eighth of a core.
 
     // Act
     let (few, many) = (looks_of_a_minute(FEW), looks_of_a_minute(MANY));
@@ -97,8 +97,8 @@
     assert!(growth < GROWTH_MAX, "{few}, {many}");
 }
 
-/// Returns how many targets the choices of a busy instance of a large fleet have looked at, one call in
-/// twenty a long one.
+/// Returns how many candidates the selections of a busy instance of a large fleet have examined,
+/// with one long prompt in twenty calls.
 fn looks_beside_long_prompts(targets: usize) -> u64 {
     let mut book = book("i", targets, 0);
     book.set_instances(1_000);
@@ -125,8 +125,8 @@
 
 #[test]
 fn long_prompts_at_a_busy_instance_make_no_choice_dearer_in_a_large_list() {
-    // Guards against: an instance that takes its own load for that of each of a thousand, keeps a
-    // third of ten thousand targets for long prompts, and weighs all of these for each call.
+    // Guards against an instance that assumes its own load for each of a thousand, reserves a third
+    // of ten thousand targets for long prompts, and weighs all of these for each call.
 
     // Act
     let (few, many) = (
@@ -142,13 +142,13 @@
 
 #[test]
 fn an_entry_costs_as_much_in_a_large_list_as_in_a_small_one() {
-    // Guards against: a look at the whole list for each entry that changes, so that a list of ten
-    // thousand entries takes seconds to come in.
+    // Guards against a pass over the whole list for each entry that changes, with which a list of
+    // ten thousand entries takes seconds to load.
 
     // Arrange
     let mut books = [book("i", FEW, 0), book("i", MANY, 0)];
 
-    // Act: best of several, since other processes take the processor now and then.
+    // Act: the best of several rounds, since other processes use the processor at times.
     let took = books.each_mut().map(|book| {
         let times = (0..7_u64).map(|round| {
             let began_at = Instant::now();
@@ -168,16 +168,16 @@
         times.min().unwrap()
     });
 
-    // Assert: deeper trees cost some; a look at everything would cost forty times as much.
+    // Assert: deeper trees cost some; a pass over everything would cost forty times as much.
     assert!(took[1] < took[0] * 8, "{took:?}");
 }
 
 #[test]
 fn instances_that_know_nothing_of_each_other_spread_their_calls() {
-    // Guards against: a whole fleet that sends to the first target by name, since each instance sees
+    // Guards against a whole fleet that sends to the first target by name, since each instance sees
     // a call a second and all targets cost it the same.
 
-    // Arrange: the plain targets of one data centre, and instances with a call each.
+    // Arrange: the plain targets of one data centre, and instances with one call each.
     const INSTANCES: usize = 200;
     const PORTALS: usize = 205;
     let mut calls: BTreeMap<TargetId, usize> = BTreeMap::new();
@@ -189,14 +189,14 @@
         *calls.entry(choice.unwrap().target).or_default() += 1;
     }
 
-    // Assert: some five each; chance alone gives one of them fourteen once in a thousand times.
+    // Assert: some five each; by chance alone one of them has fourteen once in a thousand times.
     let busiest = calls.values().max().copied().unwrap();
     assert!(calls.len() >= 35 && busiest <= 14, "{calls:?}");
 }
 
 #[test]
 fn an_idle_instance_goes_on_with_the_target_that_it_has_a_connection_to() {
-    // Guards against: a new connection for each call where all targets are idle.
+    // Guards against a new connection for each call where all targets are idle.
 
     // Arrange
     let mut book = book("i", 0, 205);
@@ -219,9 +219,9 @@
 
 #[test]
 fn a_choice_is_no_worse_than_one_among_all_targets() {
-    // Guards against: a target that costs less and is not among the few that are weighed.
+    // Guards against a cheaper target that is not among the few that are weighed.
 
-    // Arrange: a list so short that all of it has been used lately stands for a look at everything.
+    // Arrange: in a list so short that all of it was used recently, all targets are weighed.
     let mut random = Random::new(11);
     for seed in 0..200 {
         let mut book = book(&format!("i{seed}"), 40, 0);
@@ -244,7 +244,7 @@
             tried.push(choice.target);
         }
 
-        // Assert: one after the other, all are there, and none that comes later costs less.
+        // Assert: all targets are selected in turn, and none of the later ones costs less.
         assert_eq!(tried.len(), 40);
         assert!(costs.is_sorted(), "{costs:?}");
     }
@@ -252,10 +252,10 @@
 
 #[test]
 fn a_busy_instance_chooses_as_cheaply_as_an_idle_one() {
-    // Guards against: an instance that gets ten times the calls of its neighbours and pays ten times
-    // as much for each, so that its processor is full and its answers wait for seconds.
+    // Guards against an instance that receives ten times the calls of its neighbours and spends ten
+    // times as much on each, so that its processor is saturated and its answers wait for seconds.
 
-    // Arrange: seventy calls a second for ten seconds, each about another subject.
+    // Arrange: seventy calls a second for ten seconds, each with another shared prefix.
     let mut book = book("i", 10_000, 0);
     let mut calls = 0;
     let mut call = |book: &mut Book, now: Duration| {
@@ -278,6 +278,6 @@
     // Act
     let busy = (1..14).map(|round| time(&mut book, round * 700)).min();
 
-    // Assert: 700 targets that it remembers something of are weighed, and few are looked at closer.
+    // Assert: the 700 targets with remembered state are weighed, and few are examined further.
     assert!(busy.unwrap() < idle * 20, "{busy:?}, {idle:?}");
 }
--- a/crates/damaskstile-targets/tests/cold_cost.rs
+++ b/crates/damaskstile-targets/tests/cold_cost.rs
@@ -1,4 +1,4 @@
-//! What it costs to know to which cold targets an instance may send.
+//! Cost of determining which cold targets an instance may send to.
 
 use std::time::Instant;
 
@@ -8,12 +8,12 @@
 /// Instances and targets of the largest sweep.
 const INSTANCES: u64 = 300;
 const TARGETS: u64 = 3_000;
-/// Time within which a fleet that starts may get to know itself, in an unoptimised build.
+/// Time within which a starting fleet may meet, in an unoptimised build.
 const LIMIT: Duration = Duration::from_secs(2);
 
 #[test]
 fn a_fleet_that_meets_while_all_targets_are_cold_takes_little_time() {
-    // Guards against: a look at every pair of targets and instances for each instance that is met.
+    // Guards against a check of every pair of targets and instances for each instance that is met.
 
     // Arrange
     let mut book = Book::new("north", BookOptions::default()).of_instance("i", Duration::ZERO);
--- a/crates/damaskstile-targets/tests/cold_fleet.rs
+++ b/crates/damaskstile-targets/tests/cold_fleet.rs
@@ -1,14 +1,15 @@
-//! What cold targets get from whole simulated fleets, which share no clock and disagree on members.
+//! Calls that simulated fleets send to cold targets. The instances share no clock and disagree on
+//! the members of the fleet.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::{Book, BookOptions, ColdLimit, Listed, Work};
 
 const SERVICE: &str = "model";
-/// Calls that a cold target may get within a second: half more than twelve, and five.
+/// Calls that a cold target may receive within a second: half more than twelve, and five.
 const ALLOWED: usize = 23;
-/// The same, as a limit states it.
+/// The same in the unit of a limit.
 const ALLOWED_PER_S: f64 = 23.0;
-/// Sizes of fleets, the largest that of two years from now.
+/// Sizes of fleets, up to the largest expected within two years.
 const SIZES: [usize; 5] = [3, 9, 90, 295, 390];
 /// Time between two steps of a simulation.
 const STEP_MS: u64 = 20;
@@ -36,7 +37,7 @@
     format!("i{index}")
 }
 
-/// Makes the book of an instance that knows some others.
+/// Makes the table of an instance that knows some others.
 fn book(own: usize, others: impl Iterator<Item = usize>, told: usize) -> Book {
     let mut book =
         Book::new("north", BookOptions::default()).of_instance(&name(own), Duration::ZERO);
@@ -51,8 +52,8 @@
     book
 }
 
-/// Has all instances call all the time for three seconds, the cold target first where they may.
-/// Returns the most calls that it got within a second, and all that it got.
+/// Lets all instances call all the time for three seconds, and select the cold target where they
+/// may. Returns the most calls that it received within a second, and all that it received.
 fn most_in_a_second(books: &mut [Book], from_ms: u64, seed: u64) -> (usize, usize) {
     let mut random = Random::new(seed);
     let mut sent: Vec<u64> = Vec::new();
@@ -64,7 +65,7 @@
             let Some(choice) = choice.flatten() else {
                 continue;
             };
-            // Its connection takes a while, in which others may be sent.
+            // Its connection takes a while, in which other calls may be sent.
             let later = at(ms + random.below(60));
             if book.claim_send(later, &choice.identity()) {
                 sent.push(u64::try_from(later.as_millis()).unwrap());
@@ -89,7 +90,7 @@
 
 #[test]
 fn a_new_target_that_is_best_for_all_gets_what_it_bears_at_each_size() {
-    // Guards against: all instances of a large fleet that find the same empty target best.
+    // Guards against all instances of a large fleet that find the same idle target best.
     for size in SIZES {
         for seed in 0..4 {
             // Arrange
@@ -108,9 +109,10 @@
 
 #[test]
 fn instances_that_know_half_of_the_others_stay_within_the_bound() {
-    // Guards against: instances that take themselves for among the few since they know few others.
+    // Guards against instances that take themselves to be among the few because they know few
+    // others.
     for size in SIZES {
-        // Arrange: each knows another part of the fleet, and how many there are.
+        // Arrange: each knows another part of the fleet, and how many instances there are.
         let mut books: Vec<Book> = (0..size)
             .map(|own| {
                 let known = (0..size).filter(move |other| (own * 7 + other * 3) % 5 < 3);
@@ -129,9 +131,9 @@
 
 #[test]
 fn a_fleet_that_was_killed_and_starts_at_once_sends_nothing_before_it_knows_itself() {
-    // Guards against: processes that know neither each other nor what their predecessors sent.
+    // Guards against processes that know neither each other nor what their predecessors sent.
     for size in SIZES {
-        // Arrange: each has heard from one peer that knows how many there are.
+        // Arrange: each has heard from one peer, which knows how many instances there are.
         let mut books: Vec<Book> = (0..size)
             .map(|own| {
                 let mut book =
@@ -157,13 +159,13 @@
 
 #[test]
 fn both_sides_of_a_cut_fleet_stay_within_the_bound_together() {
-    // Guards against: sides that each find the full number of senders among their own.
+    // Guards against sides that each find the full number of senders among their own instances.
 
-    // Arrange: they met before the cut.
+    // Arrange: they met before the partition.
     let mut books: Vec<Book> = (0..90).map(|own| book(own, 0..90, 90)).collect();
     list_cold(&mut books, 20_000);
 
-    // Act: nobody hears of the other side any more; nothing changes what each knows.
+    // Act: instances hear nothing of the other side; what each knows does not change.
     let (most, _) = most_in_a_second(&mut books, 20_000, 11);
 
     // Assert
@@ -201,7 +203,7 @@
 
 #[test]
 fn a_target_that_ended_is_taken_for_cold_until_it_is_listed_or_gone() {
-    // Guards against: a target that is back under its name before any word of it.
+    // Guards against a target that is back under its name before any report of it.
 
     // Arrange
     let mut book = book(0, 0..1, 1);
@@ -216,7 +218,7 @@
 
 #[test]
 fn an_instance_that_has_just_started_sends_nothing_to_a_cold_target() {
-    // Guards against: what a process and its successor send within the same second.
+    // Guards against what a process and its successor send together within the same second.
 
     // Arrange
     let started_at = at(10_000);
@@ -240,7 +242,7 @@
 
 #[test]
 fn calls_that_wait_for_connections_at_the_same_time_take_one_place_each() {
-    // Guards against: calls that were chosen while there was room, and are sent together.
+    // Guards against calls that were selected while the limit had room, and are sent together.
 
     // Arrange: one of eighteen senders, with one call a second.
     let mut book = book(0, 0..18, 18);
--- a/crates/damaskstile-targets/tests/emptied.rs
+++ b/crates/damaskstile-targets/tests/emptied.rs
@@ -1,4 +1,4 @@
-//! Data centres that operators empty, and regions that calls must stay in.
+//! Data centres that operators evacuate, and home regions of calls.
 
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Makes a book with a target in each of two data centres, which stand in regions of their own.
+/// Makes a table with a target in each of two data centres, which are in different regions.
 fn book() -> Book {
     let regions = [("north", "upper"), ("south", "lower")];
     let regions = regions.map(|(place, region)| (place.to_owned(), region.to_owned()));
@@ -59,7 +59,8 @@
 
 #[test]
 fn nothing_is_sent_before_it_is_known_what_is_emptied() {
-    // Guards against: an instance that starts and sends where it must not before it hears of it.
+    // Guards against an instance that starts and sends to an evacuated data centre before it learns
+    // of the evacuation.
 
     // Arrange
     let mut book = book();
@@ -76,7 +77,7 @@
 
 #[test]
 fn an_older_word_neither_revives_an_entry_nor_takes_it_back() {
-    // Guards against: digests of instances that lag behind.
+    // Guards against digests of instances that lag.
 
     // Arrange
     let mut book = book();
@@ -97,8 +98,8 @@
 
 #[test]
 fn calls_that_wait_and_parts_to_fetch_are_bound_too() {
-    // Guards against: a call whose connection was asked for before the entry came, and a fetch of
-    // cached parts out of an emptied data centre.
+    // Guards against a call that was waiting for its connection when the data centre was evacuated,
+    // and against a fetch of cached parts from an evacuated data centre.
 
     // Arrange
     let mut book = book();
@@ -129,7 +130,7 @@
 
 #[test]
 fn targets_of_a_data_centre_that_is_taken_back_are_cold() {
-    // Guards against: a whole data centre that returns cold and looks empty to all.
+    // Guards against a whole data centre that returns cold and looks idle to all instances.
 
     // Arrange
     let mut book = book();
--- a/crates/damaskstile-targets/tests/limited_fleet.rs
+++ b/crates/damaskstile-targets/tests/limited_fleet.rs
@@ -1,19 +1,19 @@
-//! What targets that name a limit get from whole simulated fleets, which share no clock and hear of
-//! each other late.
+//! Calls that simulated fleets send to targets that advertise a limit. The instances share no clock
+//! and learn of each other's reports late.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::{Book, BookOptions, LimitWord, Listed, NamedLimit, Work};
 
 const SERVICE: &str = "model";
-/// Sizes of fleets, the largest that of two years from now.
+/// Sizes of fleets, up to the largest expected within two years.
 const SIZES: [usize; 5] = [3, 9, 90, 295, 390];
-/// Limits that a target names, in calls a second.
+/// Limits that a target advertises, in calls a second.
 const LIMITS: [f64; 7] = [0.2, 0.4, 0.5, 1.5, 6.0, 12.0, 40.0];
 /// Time between two steps of a simulation.
 const STEP_MS: u64 = 20;
 /// Calls that an instance begins in one step at most, in a thousand.
 const BURST_PER_MILLE: u64 = 100;
-/// Time after the first answer in which the instances are told of the limit.
+/// Time after the first answer in which the limit reaches all instances.
 const TOLD_MS: u64 = 8_000;
 /// Span in which calls are counted.
 const COUNTED_MS: u64 = 4_000;
@@ -39,17 +39,17 @@
     TargetIdentity::new("t", Some(1))
 }
 
-/// A simulated fleet before one target that is best for all of its calls.
+/// A simulated fleet with one target that is the best for all of its calls.
 struct Fleet {
     books: Vec<Book>,
     /// Instances that have ended.
     ended: BTreeSet<usize>,
     random: Random,
-    /// When the target got calls.
+    /// When the target received calls.
     sent_ms: Vec<u64>,
-    /// The limit that it names.
+    /// The limit that it advertises.
     named: NamedLimit,
-    /// Whether instances hear nothing of each other.
+    /// Whether instances receive no reports of each other.
     is_deaf: bool,
 }
 
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Has all instances call all the time, answers come after a while, and each tell three others
-    /// once a second what it knows of the limit.
+    /// Lets all instances call all the time. Answers arrive after a while, and each instance
+    /// reports to three others once a second what it knows of the limit.
     fn play(&mut self, from_ms: u64, until_ms: u64) {
         let mut answers: Vec<(u64, usize, u64, NamedLimit)> = Vec::new();
         for ms in (from_ms..until_ms).step_by(usize::try_from(STEP_MS).unwrap()) {
@@ -116,7 +116,7 @@
         for _ in 0..3 {
             let to = self.random.index(self.books.len());
             for (target, word) in &told {
-                // The way takes a while that the receiver does not know of.
+                // The receiver does not know the time of transmission.
                 let word = LimitWord {
                     at: word.at + at(5),
                     ..*word
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Returns the most calls that the target got within the counted span, from a time on.
+    /// Returns the most calls that the target received within the counted span, from a time on.
     fn most(&self, from_ms: u64) -> usize {
         let sent: Vec<u64> = self
             .sent_ms
@@ -146,7 +146,7 @@
     }
 }
 
-/// Returns the calls that fall into the counted span at most where they come at just the limit.
+/// Returns the most calls that fall into the counted span if they come exactly at the limit.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // a few calls
 fn left_for_span(calls_per_s: f64) -> usize {
     (calls_per_s * 4.0).ceil() as usize
@@ -154,7 +154,7 @@
 
 #[test]
 fn a_target_gets_no_more_than_it_names_at_each_size_and_not_much_less() {
-    // Guards against: instances that each keep to the limit by themselves.
+    // Guards against instances that each keep to the limit independently.
     for size in SIZES {
         for calls_per_s in LIMITS {
             // Arrange
@@ -179,7 +179,7 @@
 
 #[test]
 fn a_limit_that_is_lowered_holds_as_it_is_named_last() {
-    // Guards against: instances that keep to a limit that a peer told of before.
+    // Guards against instances that keep to a limit that a peer reported earlier.
     for size in SIZES {
         // Arrange
         let mut fleet = Fleet::new(size, 9);
@@ -198,9 +198,10 @@
 
 #[test]
 fn instances_that_hear_nothing_of_each_other_keep_to_a_limit_that_each_was_told() {
-    // Guards against: senders that are found by what is heard, and not by who there is.
+    // Guards against senders that are determined by the reports received, not by the known
+    // instances.
     for size in SIZES {
-        // Arrange: each is told by an answer to a call of its own.
+        // Arrange: each learns of the limit by an answer to a call of its own.
         let mut fleet = Fleet::new(size, 13);
         for book in &mut fleet.books {
             book.heed_limit(
@@ -240,7 +241,7 @@
 
 #[test]
 fn a_limit_is_over_everywhere_soon_after_the_target_names_none() {
-    // Guards against: words of the limit that go round among instances after its end.
+    // Guards against reports of the limit that circulate among instances after its end.
     for size in SIZES {
         // Arrange
         let mut fleet = Fleet::new(size, 5);
@@ -259,9 +260,10 @@
 
 #[test]
 fn others_take_over_where_those_that_may_send_have_ended() {
-    // Guards against: a target that nobody calls any more, so that the end of its limit is not seen.
+    // Guards against a target that no instance calls any more, so that the end of its limit is not
+    // seen.
     for size in [9, 90] {
-        // Arrange: whoever sent lately has ended.
+        // Arrange: all instances that may send have ended.
         let mut fleet = Fleet::new(size, 7);
         fleet.named = NamedLimit::CallsPerS(1.5);
         fleet.play(2_000, 12_000);
@@ -333,7 +335,7 @@
 
 #[test]
 fn callers_are_told_when_there_is_a_place_again() {
-    // Arrange: a call in 1.275 s.
+    // Arrange: a limit that allows one call in 1.275 s.
     let mut fleet = Fleet::new(1, 1);
     let book = &mut fleet.books[0];
     book.heed_limit(
--- a/crates/damaskstile-targets/tests/long_prompts.rs
+++ b/crates/damaskstile-targets/tests/long_prompts.rs
@@ -1,7 +1,7 @@
-//! Long prompts beside everything else: where they go, who is told, what is fetched.
+//! Long prompts among other calls: where they go, which peers learn of them, and what is fetched.
 //!
-//! The load is that of twelve engines that read some 60 tokens in a millisecond: prompts of 20,000
-//! tokens and more, about one a second in the fleet, beside short questions.
+//! The load is that of twelve engines that prefill some 60 tokens in a millisecond: prompts of
+//! 20,000 tokens and more, about one a second in the fleet, beside short questions.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -43,7 +43,7 @@
     books
 }
 
-/// Makes a prompt of a shared subject and an own part, which no other call has.
+/// Makes a prompt of a shared prefix and an own part, which no other call has.
 fn prompt(subject: u64, shared_tokens: u64, own_tokens: u64) -> Work {
     static CALLS: AtomicU64 = AtomicU64::new(1_000_000);
     let own = CALLS.fetch_add(1, Ordering::Relaxed);
@@ -68,14 +68,14 @@
     Duration::from_millis(ms)
 }
 
-/// Gives a call to its target; nothing of it ends.
+/// Sends a call to its target, where it stays open.
 fn send(book: &mut Book, ms: u64, work: &Work) -> Choice {
     let choice = book.choose(at(ms), SERVICE, work, &[]).unwrap();
     book.sent(at(ms), &choice, work);
     choice
 }
 
-/// Gives a call to its target, which reads and answers it at once.
+/// Sends a call to its target, which answers it at once.
 fn serve(book: &mut Book, ms: u64, work: &Work) -> Choice {
     let choice = send(book, ms, work);
     book.prefilled(&choice);
@@ -85,11 +85,11 @@
 
 #[test]
 fn what_the_home_of_a_subject_keeps_is_fetched_by_others() {
-    // Symptom: a fortieth of what prompts are worth goes into reading shared parts again. Sequence:
-    // the target that a subject belongs to is busy, and its next call goes elsewhere. Cause: the
-    // target read all parts anew, although the first one keeps them.
+    // Guards against a fortieth of the value of prompts that goes into repeated prefill of shared
+    // parts. The affinity target of a prefix is busy and its next call goes elsewhere; that target
+    // must fetch the parts from the affinity target instead of prefilling them again.
 
-    // Arrange: the home reads a prompt of 25,000 tokens that is not its own subject's.
+    // Arrange: the affinity target prefills a prompt of 25,000 tokens with another prefix.
     let mut book = book(TARGETS);
     let work = prompt(7, 5_000, 1_000);
     let home = serve(&mut book, 0, &work);
@@ -124,9 +124,9 @@
 
 #[test]
 fn peers_that_hear_of_a_long_prompt_go_elsewhere_until_it_is_read() {
-    // Symptom: first tokens of short calls come half a second late. Sequence: one instance sends a
-    // long prompt, and another a short call to the same target. Cause: each instance knew only of
-    // what it sent itself.
+    // Guards against first tokens of short calls that come half a second late. One instance sends a
+    // long prompt, and another a short call to the same target, of which it knows only what it sent
+    // itself.
 
     // Arrange
     let mut books = fleet();
@@ -164,13 +164,13 @@
 
 #[test]
 fn what_is_told_of_another_incarnation_or_wrongly_costs_seconds_at_most() {
-    // Arrange: one target, which is always chosen in the end.
+    // Arrange: one target, which is always selected in the end.
     let mut book = Book::new("north", BookOptions::default());
     book.list(Duration::ZERO, listed(0, Some(5)));
     let work = short(3);
     let usual = book.choose(at(0), SERVICE, &work, &[]).unwrap();
 
-    // Act: of an incarnation that has ended; a time of years; the same again and again.
+    // Act: report an incarnation that has ended; report a time of years, again and again.
     let ended = TargetIdentity::new("t0", Some(4));
     book.hear_reading(at(0), &ended, at(5_000));
     let unmoved = book.choose(at(1), SERVICE, &work, &[]).unwrap();
@@ -186,8 +186,8 @@
     assert!((later.cost_ms - usual.cost_ms).abs() < 1.0);
 }
 
-/// Plays a minute: a long prompt a second and forty short calls, each at an instance by chance.
-/// Returns how many calls of each kind each target got in the last half.
+/// Simulates a minute: a long prompt a second and forty short calls, each at a random instance.
+/// Returns how many calls of each kind each target received in the last half.
 fn play_a_minute(books: &mut [Book]) -> (BTreeMap<TargetId, u64>, BTreeMap<TargetId, u64>) {
     let mut random = Random::new(5);
     let (mut of_long, mut of_short) = (BTreeMap::new(), BTreeMap::new());
@@ -212,9 +212,9 @@
 
 #[test]
 fn long_prompts_share_few_targets_and_short_calls_leave_them() {
-    // Symptom: one answer in fifteen comes late, since its stream pauses beyond what its route
-    // promises. Sequence: a prompt of 25,000 tokens is read in chunks between the tokens of seven
-    // streams at its target. Cause: such prompts went to all targets alike.
+    // Guards against one answer in fifteen that comes late because its stream pauses longer than
+    // its route promises. A prompt of 25,000 tokens is prefilled in chunks between the tokens of
+    // seven streams at its target, if such prompts go to all targets alike.
 
     // Arrange
     let mut books = fleet();
@@ -222,7 +222,7 @@
     // Act
     let (of_long, of_short) = play_a_minute(&mut books);
 
-    // Assert: the instances agree without a word, from what each sees of the load.
+    // Assert: the instances agree without any message, from the load that each sees.
     let is_for_long = |target: &TargetId| of_long.contains_key(target);
     assert!(of_long.len() <= 4, "{of_long:?}");
     let beside: u64 = of_short
@@ -260,7 +260,7 @@
     let (of_long, _) = play_a_minute(&mut books);
     let mut used = BTreeSet::new();
 
-    // Act: a burst in which nothing ends.
+    // Act: a burst in which no call ends.
     for call in 0..800 {
         used.insert(send(&mut books[0], 60_000, &short(call)).target);
     }
@@ -291,9 +291,9 @@
 
 #[test]
 fn a_long_prompt_now_and_then_keeps_no_target_idle() {
-    // Symptom: answers come later with targets kept for long prompts than without. Sequence: one
-    // long prompt a minute comes to a fleet of nine targets. Cause: the number of targets was
-    // rounded up, so one of nine stood idle for it.
+    // Guards against answers that come later with reserved targets than without. With one long
+    // prompt a minute in a fleet of nine targets, rounding the number of reserved targets up leaves
+    // one of nine idle.
 
     // Arrange
     let mut books = fleet();
@@ -311,9 +311,9 @@
 
 #[test]
 fn long_prompts_of_one_service_keep_no_target_of_another() {
-    // Symptom: calls of a plain service wait while one of its four targets has nothing to do.
-    // Sequence: a model's service gets long prompts. Cause: the load was counted for all services
-    // together, so targets of each were kept.
+    // Guards against calls of a plain service that wait while one of its four targets is idle. If
+    // the load of long prompts were counted for all services together, targets of each service
+    // would be reserved.
 
     // Arrange
     let mut books = fleet();
--- a/crates/damaskstile-targets/tests/lost_data_centre.rs
+++ b/crates/damaskstile-targets/tests/lost_data_centre.rs
@@ -1,11 +1,11 @@
-//! Words on targets that leave, where a thousand leave at once.
+//! Reports on leaving targets, where a thousand leave at once.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::{Book, BookOptions, Listed};
 
 /// Targets of a data centre of the largest deployment.
 const TARGETS: usize = 1_000;
-/// Words of each kind that a digest may hold.
+/// Reports of each kind that a digest may hold.
 const TOLD_MAX: usize = 32;
 
 fn at(ms: u64) -> Duration {
@@ -27,7 +27,8 @@
 
 #[test]
 fn a_data_centre_that_is_lost_does_not_fill_digests() {
-    // Guards against: digests of tens of kilobytes, from each instance to ten others, twice a second.
+    // Guards against digests of tens of kilobytes, from each instance to ten others, twice a
+    // second.
 
     // Arrange
     let mut book = Book::new("north", BookOptions::default());
@@ -45,7 +46,7 @@
         }
     }
 
-    // Assert: the newest words are told.
+    // Assert: the newest departures are reported.
     let now = at(1_100);
     let (vanished, draining) = (book.vanished(now), book.draining(now));
     assert!(vanished.len() <= TOLD_MAX && draining.len() <= TOLD_MAX);
--- a/crates/damaskstile-targets/tests/pauses.rs
+++ b/crates/damaskstile-targets/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! Targets that want no work for a while.
+//! Targets in backoff.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     choice.map(|choice| choice.target)
 }
 
-/// Returns the choice of a target.
+/// Returns the choice of a given target.
 fn choice_of(book: &Book, target: &str) -> Choice {
     let others: Vec<String> = ["a", "b"].map(str::to_owned).into();
     let others: Vec<String> = others.into_iter().filter(|other| other != target).collect();
@@ -108,14 +108,15 @@
     let before = name(choose(&book, at(1_000)));
     book.pause(at(1_100), &choice, Duration::from_hours(1));
 
-    // Assert: a word of the incarnation before that comes late changes nothing.
+    // Assert: a late backoff of the previous incarnation changes nothing.
     assert_eq!(before, Some("a".to_owned()));
     assert_eq!(name(choose(&book, at(1_200))), Some("a".to_owned()));
 }
 
 #[test]
 fn work_comes_back_by_and_by_after_a_pause() {
-    // Arrange: it turned a call away and wanted a long pause; the other one is a little busier.
+    // Arrange: a target turned a call away and asked for a long backoff; the other one has more
+    // load.
     let mut book = book(&["a", "b"]);
     let (a, b) = (choice_of(&book, "a"), choice_of(&book, "b"));
     book.pause(at(0), &a, at(30_000));
--- a/crates/damaskstile-targets/tests/reading_speed.rs
+++ b/crates/damaskstile-targets/tests/reading_speed.rs
@@ -1,12 +1,13 @@
-//! How fast targets read is learned from what is seen, follows a change, and is not led astray.
+//! The prefill speed of targets is learned from samples, follows changes and resists faulty
+//! samples.
 
 use damaskstile_core::random::Random;
 use damaskstile_targets::ReadingSpeed;
 
-/// Start of an estimate that fits none of the engines below.
+/// Initial estimate, which fits none of the engines below.
 const START_TOKENS_PER_MS: f64 = 50.0;
 
-/// `Engine` reads prompts as its figures say.
+/// Engine that prefills prompts at a given speed.
 #[derive(Debug, Clone, Copy)]
 struct Engine {
     start_ms: f64,
@@ -39,7 +40,7 @@
     (tokens(), tokens() / 3.0)
 }
 
-/// Lets an estimate see calls at an engine; so many in a hundred came seconds late.
+/// Lets an estimate learn from calls at an engine, of which `late` in a hundred came seconds late.
 fn see(speed: &mut ReadingSpeed, random: &mut Random, engine: Engine, calls: u64, late: u64) {
     for _ in 0..calls {
         let (tokens, after) = draw(random);
@@ -51,7 +52,7 @@
     }
 }
 
-/// Returns how far the estimates of a short and a long prompt are off, as a part of the truth.
+/// Returns the relative errors of the estimates of a short and a long prompt.
 fn errors(speed: &ReadingSpeed, engine: Engine) -> [f64; 2] {
     [(800.0, 200.0), (25_000.0, 5_000.0)].map(|(tokens, after)| {
         let truth = engine.first_token_ms(tokens, after);
@@ -75,9 +76,9 @@
 
 #[test]
 fn a_release_with_other_engines_is_followed() {
-    // Symptom: after a release first tokens are expected in a quarter of the time that they take,
-    // and calls pile up behind long prompts. Sequence: the targets are replaced one by one by others
-    // that read at a quarter of the speed. Cause: the figures of the former engines were built in.
+    // Guards against first tokens that are expected in a quarter of the time that they take after a
+    // release, so that calls pile up behind long prompts. The targets are replaced one by one by
+    // others that prefill at a quarter of the speed.
 
     // Arrange
     let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
@@ -112,7 +113,8 @@
     let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
     let absurd = [0.0, 1e12, f64::INFINITY, f64::NAN, -1e9];
 
-    // Act: an instance that froze, garbled answers, a prompt of millions of tokens.
+    // Act: samples of an instance that froze, of garbled answers, and of a prompt of millions of
+    // tokens.
     for took_ms in absurd.into_iter().cycle().take(10_000) {
         speed.learn(500.0, 0.0, took_ms);
         speed.learn(1e7, 1e7, took_ms);
@@ -123,7 +125,7 @@
     assert!((1.0..=1_000.0).contains(&short_ms), "{short_ms}");
     assert!(speed.read_ms(20_000.0, 0.0) > short_ms);
 
-    // And it comes right again.
+    // The estimate recovers.
     let mut random = Random::new(4);
     see(&mut speed, &mut random, FAST, 2_000, 0);
     let errors = errors(&speed, FAST);
--- a/crates/damaskstile-targets/tests/registry.rs
+++ b/crates/damaskstile-targets/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Tests of the registry and the queue: who may get work, and in which order.
+//! Tests of the registry and the queue: which targets may receive requests, and in which order.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A registry with one target that has just said that it stays.
+/// Makes a registry with one target that has just reported that it stays.
 fn registry() -> Registry {
     let mut registry = Registry::new("one", RegistryOptions::default(), 1);
     registry.set_targets(vec![info("t", false)]);
@@ -62,7 +62,7 @@
 
 #[test]
 fn any_word_that_a_target_leaves_is_enough() {
-    // By its own word.
+    // By its own report.
     let mut by_itself = registry();
     by_itself.on_status(
         NOW + Duration::from_secs(1),
@@ -82,7 +82,7 @@
         Choice::NoTarget
     );
 
-    // By a peer's newer word.
+    // By a peer's newer report.
     let mut by_peer = registry();
     let note = TargetNote {
         target: "t".to_owned(),
--- a/crates/damaskstile-targets/tests/restarts.rs
+++ b/crates/damaskstile-targets/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their names: no word on one incarnation is taken for another's.
+//! Targets that restart under their names: no report on one incarnation applies to another.
 
 mod support;
 
@@ -11,7 +11,7 @@
 const CASES: u64 = 3_000;
 /// Steps of a case.
 const STEPS: u64 = 120;
-/// Names that targets start again under.
+/// Names that targets restart under.
 const NAMES: [&str; 3] = ["t0", "t1", "t2"];
 /// Longest delay of a message.
 const DELAY_MS_MAX: u64 = 1_500;
@@ -24,7 +24,7 @@
     Book::new("north", BookOptions::default())
 }
 
-/// Chooses among one name only.
+/// Selects a target among one name only.
 fn choose(book: &Book, now: Duration, name: &str, work: &Work) -> Option<Choice> {
     let others = NAMES.iter().filter(|other| **other != name);
     let others: Vec<TargetId> = others.map(|other| (*other).to_owned()).collect();
@@ -33,9 +33,9 @@
 
 #[test]
 fn a_late_word_on_the_incarnation_before_takes_nothing_out() {
-    // Symptom: a target that started again gets no work. Sequence: its predecessor drains, it
-    // starts again and is listed; then a digest that tells of the drain arrives late. Cause: the
-    // digest named the target and not its incarnation.
+    // Guards against a target that receives no work after a restart. Its predecessor drains, it
+    // restarts and is listed, and then a digest that reports the drain arrives late. It must name
+    // the incarnation as well as the target.
 
     // Arrange
     let mut book = book();
@@ -55,9 +55,9 @@
 
 #[test]
 fn a_new_incarnation_is_taken_to_hold_nothing() {
-    // Symptom: after a target has started again, sessions go to it for parts that it no longer
-    // caches, and it is charged with calls that ended with its predecessor. Cause: what was known
-    // of the predecessor was kept under the name.
+    // Guards against state of a predecessor that is kept under the name. Sessions would go to the
+    // target for parts that it no longer caches, and it would be charged with calls that ended with
+    // its predecessor.
 
     // Arrange
     let mut book = book();
@@ -95,9 +95,9 @@
 
 #[test]
 fn a_refused_entry_is_no_drain() {
-    // Symptom: calls go to a target whose entry names none, or a sound target never gets work
-    // again. Sequence: another writer overwrites the entry; the target's next heartbeat puts it
-    // right. Cause: the entry was skipped, or taken for a drain.
+    // Guards against calls to a target whose entry is invalid, and against a working target that
+    // never receives work again. Another writer overwrites the entry, and the target's next
+    // heartbeat corrects it. An invalid entry must neither be skipped nor be treated as a drain.
 
     // Arrange
     let mut book = book();
@@ -169,25 +169,25 @@
 /// An entry of the list, or none.
 type Entry = Option<Result<Listed, Refused>>;
 
-/// What is on its way to an instance.
+/// Message in transit to an instance.
 #[derive(Debug, Clone)]
 enum Message {
-    /// The watch shows an entry, or that it is gone, perhaps around an outage.
+    /// The watch shows an entry, or its removal, perhaps around an outage.
     Change(TargetId, Entry, bool),
     /// A list that was pulled from a peer, with its version.
     Pulled(u64, Vec<Result<Listed, Refused>>),
-    /// A digest: what drains and what vanished.
+    /// A digest: draining and delisted incarnations.
     Digest(Vec<TargetIdentity>, Vec<TargetIdentity>),
 }
 
-/// An instance, beside the plain model of what it must know.
+/// An instance, with a model of what it must know.
 #[derive(Debug)]
 struct Instance {
     book: Book,
     model: Model,
     version: u64,
     calls: Vec<Choice>,
-    /// Incarnations that were charged with something.
+    /// Incarnations that something was recorded against.
     charged: BTreeSet<TargetIdentity>,
 }
 
@@ -234,8 +234,8 @@
         }
     }
 
-    /// Checks that a name is in use just where the model says so, and that an incarnation of which
-    /// nothing was learnt costs nothing.
+    /// Checks that a name is in use exactly where the model says so, and that an incarnation
+    /// without any recorded outcome costs nothing.
     fn check(&self, now: Duration) -> Result<(), String> {
         for name in NAMES {
             let choice = choose(&self.book, now, name, &Work::default());
@@ -254,7 +254,7 @@
         Ok(())
     }
 
-    /// Sends a call, or has one end that may have been sent long ago.
+    /// Sends a call, or ends one that may have been sent long ago.
     fn call(&mut self, now: Duration, random: &mut Random) {
         let work = Work::default();
         let name = NAMES[random.index(NAMES.len())];
@@ -277,19 +277,20 @@
     }
 }
 
-/// Targets, their list, an instance that watches it and one that has it from the first.
+/// Simulation of targets, their list, an instance that watches the list and one that has it from
+/// the first.
 #[derive(Debug)]
 struct World {
     random: Random,
     now: Duration,
-    /// The newest incarnation of each name and whether it drains; `None` before the first.
+    /// The newest incarnation of each name and whether it drains; no entry before the first.
     alive: BTreeMap<TargetId, (u64, bool)>,
-    /// All incarnations that there were.
+    /// All incarnations so far.
     all: Vec<TargetIdentity>,
     watcher: Instance,
     follower: Instance,
     version: u64,
-    /// Changes arrive in order, all else as it comes.
+    /// Changes arrive in order, all other messages in any order.
     changes: VecDeque<(Duration, Message)>,
     messages: Vec<(Duration, bool, Message)>,
 }
@@ -335,7 +336,7 @@
         }
     }
 
-    /// A write of any incarnation that there was takes effect late.
+    /// A write of any incarnation so far takes effect late.
     fn late_write(&mut self) {
         if self.all.is_empty() {
             return;
@@ -350,14 +351,14 @@
         let is_ready = self.random.below(2) == 0;
         let entry = match self.random.below(2) {
             0 => Err(refused(name)),
-            // Where all others state their starts.
+            // All other entries state their starts.
             _ if self.all.iter().any(|one| one.target == name) => Ok(listed(name, None, is_ready)),
             _ => return,
         };
         self.store(name, Some(entry));
     }
 
-    /// Sends a digest of one instance to the other, perhaps twice, perhaps never.
+    /// Sends a digest of one instance to the other, up to twice.
     fn digest(&mut self, is_to_follower: bool) {
         let from = if is_to_follower {
             &self.watcher
@@ -404,7 +405,7 @@
         }
     }
 
-    /// Lets time pass and delivers what is due.
+    /// Advances the time and delivers what is due.
     fn pass(&mut self, ms: u64) {
         self.now += at(ms);
         while let Some((due, change)) = self.changes.pop_front() {
@@ -432,8 +433,8 @@
             .and_then(|()| self.follower.check(self.now))
     }
 
-    /// Lets all heartbeats, lists and messages arrive, and checks that each target that lives and
-    /// does not drain is in use at both instances.
+    /// Lets all heartbeats, lists and messages arrive, and checks that each target that is alive
+    /// and does not drain is in use at both instances.
     fn check_recovery(&mut self) -> Result<(), String> {
         for name in NAMES {
             self.heartbeat(name);
@@ -475,9 +476,9 @@
 
 #[test]
 fn only_sound_incarnations_are_used_and_all_of_them_are() {
-    // Symptom: calls go to a target that drains, or a sound one is left out for good. Sequence:
-    // restarts, drains, late writes, digests, lists and entries of other writers in any order.
-    // Cause: what was said of one incarnation is taken for true of another.
+    // Guards against calls to a draining target, and against a working one that is left out for
+    // good, because a report on one incarnation was applied to another. Restarts, drains, late
+    // writes, digests, lists and entries of other writers come in any order.
     for seed in 0..CASES {
         if let Err(error) = run(seed) {
             panic!("seed {seed}: {error}");
--- a/crates/damaskstile-targets/tests/support/mod.rs
+++ b/crates/damaskstile-targets/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What a book must know of targets that start again: a plain model beside it.
+//! Model of what a target table must know of targets that restart.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::{BookOptions, Listed, Refused};
@@ -20,7 +20,7 @@
     }
 }
 
-/// Makes a broken entry.
+/// Makes an invalid entry.
 pub fn refused(target: &str) -> Refused {
     Refused {
         target: target.to_owned(),
@@ -34,7 +34,8 @@
     missing_since: Option<Duration>,
 }
 
-/// `Model` keeps all that one instance has heard, in sets, and says what follows from it.
+/// Keeps everything that one instance has received, in sets, and derives from it which targets are
+/// usable.
 #[derive(Debug, Default)]
 pub struct Model {
     newest: BTreeMap<TargetId, Option<TargetIncarnation>>,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The list shows an entry no longer.
+    /// The list no longer shows an entry.
     pub fn hide(&mut self, now: Duration, target: &str, is_around_outage: bool) {
         let was_refused = self.refused.remove(target);
         if !is_around_outage || was_refused {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// The whole list came.
+    /// The whole list was received.
     pub fn show_all(&mut self, now: Duration, all: &[Result<Listed, Refused>]) {
         let names: Vec<TargetId> = self.shown.keys().chain(&self.refused).cloned().collect();
         let is_named = |name: &TargetId| {
@@ -112,24 +113,24 @@
         }
     }
 
-    /// Somebody says that an incarnation drains.
+    /// An incarnation is reported to drain.
     pub fn leave(&mut self, identity: &TargetIdentity) {
         self.hear(identity);
         self.drained.insert(identity.clone());
     }
 
-    /// A peer says that an incarnation is no longer listed.
+    /// A peer reports that an incarnation is no longer listed.
     pub fn vanish(&mut self, identity: &TargetIdentity) {
         self.hear(identity);
         self.vanished.insert(identity.clone());
     }
 
-    /// Tells whether anybody said that an incarnation drains.
+    /// Tells whether an incarnation was reported to drain.
     pub fn has_drained(&self, identity: &TargetIdentity) -> bool {
         self.drained.contains(identity)
     }
 
-    /// Returns the incarnation of a name that must be in use; `None` where none may be.
+    /// Returns the incarnation of a name that must be in use; `None` if none may be.
     pub fn usable(&self, now: Duration, target: &str) -> Option<TargetIdentity> {
         let shown = self.shown.get(target)?;
         let identity = shown.listed.identity();
