--- a/crates/damaskstile-targets/src/call_limit.rs
+++ b/crates/damaskstile-targets/src/call_limit.rs
@@ -4,7 +4,7 @@
 
 /// Share of a limit that is used: the clocks of instances differ, and so does the time on the way
 /// to a target.
-const USED_PART: f64 = 0.8;
+const USED_SHARE: f64 = 0.8;
 /// Most instances that may send to one target with a call limit.
 const SENDERS_MAX: u64 = 18;
 /// Span in which calls are counted: a second, and the lateness of timers.
@@ -58,13 +58,13 @@
     /// ```
     #[must_use]
     pub fn counted_span(&self) -> Duration {
-        let used_part = (self.calls_per_s * USED_PART).clamp(0.0, 1.0);
-        Duration::try_from_secs_f64(COUNTED_SPAN.as_secs_f64() / used_part)
+        let used_share = (self.calls_per_s * USED_SHARE).clamp(0.0, 1.0);
+        Duration::try_from_secs_f64(COUNTED_SPAN.as_secs_f64() / used_share)
             .map_or(COUNTED_SPAN_MAX, |span| span.min(COUNTED_SPAN_MAX))
     }
 
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // negative becomes 0
     fn used_calls(self) -> u64 {
-        (self.calls_per_s * USED_PART) as u64
+        (self.calls_per_s * USED_SHARE) as u64
     }
 }
--- a/crates/damaskstile-targets/src/choice.rs
+++ b/crates/damaskstile-targets/src/choice.rs
@@ -21,7 +21,7 @@
     /// `None` if nothing is to be fetched.
     pub fetch_from: Option<SocketAddr>,
     /// Time to prefill the uncached tokens and to fetch those that are cached elsewhere.
-    pub read_ms: f64,
+    pub prefill_ms: f64,
     /// Time for which the target is likely to prefill other prompts first.
     pub ahead_ms: f64,
     /// Calls that are likely to run there.
--- a/crates/damaskstile-targets/src/departures.rs
+++ b/crates/damaskstile-targets/src/departures.rs
@@ -3,12 +3,12 @@
 use damaskstile_core::prelude::*;
 
 /// Time for which a departure is reported to peers: longer than an instance is isolated.
-pub(crate) const LEAVING_NEWS: Duration = Duration::from_secs(15);
+pub(crate) const DEPARTURE_REPORT_SPAN: Duration = Duration::from_secs(15);
 
 /// Draining incarnations reported in one digest, at some 30 bytes each.
-const DRAINING_TOLD_MAX: usize = 32;
+const DRAINING_REPORTS_MAX: usize = 32;
 /// Delisted incarnations reported in one digest; the list itself shows their absence too.
-const VANISHED_TOLD_MAX: usize = 16;
+const DELISTED_REPORTS_MAX: usize = 16;
 
 /// Recorded departure of an incarnation.
 #[derive(Debug, Clone, Copy)]
@@ -50,7 +50,7 @@
     }
 
     /// Records that an incarnation was delisted; returns whether that is new.
-    pub(crate) fn vanish(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
+    pub(crate) fn delist(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
         let known = self.left.get(&identity.target);
         if known.is_some_and(|known| known.incarnation == identity.incarnation) {
             return false;
@@ -103,18 +103,18 @@
     /// first and up to the limit of a digest. The loss of a data centre takes a thousand targets
     /// with it; in each digest of each instance they would fill all links. Instances that are in
     /// contact with the store, or with an instance that is, learn of them from the list.
-    pub(crate) fn told(&self, now: Duration, is_final: bool) -> Vec<TargetIdentity> {
-        let told_max = if is_final {
-            DRAINING_TOLD_MAX
+    pub(crate) fn to_report(&self, now: Duration, is_final: bool) -> Vec<TargetIdentity> {
+        let reports_max = if is_final {
+            DRAINING_REPORTS_MAX
         } else {
-            VANISHED_TOLD_MAX
+            DELISTED_REPORTS_MAX
         };
         let lately = self.by_time.iter().rev();
         lately
-            .take_while(|(at, _)| now.saturating_sub(*at) < LEAVING_NEWS)
+            .take_while(|(at, _)| now.saturating_sub(*at) < DEPARTURE_REPORT_SPAN)
             .filter_map(|(_, target)| Some((target, self.left.get(target)?)))
             .filter(|(_, known)| known.is_final == is_final)
-            .take(told_max)
+            .take(reports_max)
             .map(|(target, known)| TargetIdentity::new(target, known.incarnation))
             .collect()
     }
@@ -122,6 +122,6 @@
     /// Tells whether any incarnation recently began to drain or was recently delisted.
     pub(crate) fn is_in_flux(&self, now: Duration) -> bool {
         let newest = self.by_time.last();
-        newest.is_some_and(|(at, _)| now.saturating_sub(*at) < LEAVING_NEWS)
+        newest.is_some_and(|(at, _)| now.saturating_sub(*at) < DEPARTURE_REPORT_SPAN)
     }
 }
--- a/crates/damaskstile-targets/src/emptied.rs
+++ b/crates/damaskstile-targets/src/evacuations.rs
@@ -3,17 +3,17 @@
 use damaskstile_core::prelude::*;
 
 /// Most data centres that are remembered. Operators name a few; more cannot come from an operator.
-const EMPTIED_MAX: usize = 256;
+const EVACUATED_MAX: usize = 256;
 
 /// Evacuated data centres, to whose targets nothing may be sent, as of a version of the store. An
 /// older update changes nothing, in whatever order updates arrive.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Emptied {
+pub struct Evacuations {
     version: Option<Version>,
     data_centres: BTreeMap<DataCentreId, Duration>,
 }
 
-impl Emptied {
+impl Evacuations {
     /// Returns the version of the store; `None` before the first update.
     #[must_use]
     pub fn version(&self) -> Option<Version> {
@@ -39,7 +39,7 @@
 
     /// Applies the full set of evacuated data centres as of a version. Returns those that are newly
     /// evacuated and those that are taken back; `None` if the known version is at least as new.
-    pub(crate) fn take_all(
+    pub(crate) fn apply_all(
         &mut self,
         now: Duration,
         version: Version,
@@ -56,7 +56,7 @@
         };
         self.data_centres.retain(|name, _| all.contains(name));
         for name in &news.emptied {
-            if self.data_centres.len() < EMPTIED_MAX {
+            if self.data_centres.len() < EVACUATED_MAX {
                 self.data_centres.insert(name.clone(), now);
             }
         }
@@ -64,8 +64,8 @@
     }
 
     /// Applies changes up to a version: data centres, each with whether it is evacuated. Returns
-    /// the same as [`Self::take_all`].
-    pub(crate) fn take_changes(
+    /// the same as [`Self::apply_all`].
+    pub(crate) fn apply_changes(
         &mut self,
         now: Duration,
         version: Version,
@@ -79,7 +79,7 @@
                 all.remove(name);
             }
         }
-        self.take_all(now, version, &all)
+        self.apply_all(now, version, &all)
     }
 }
 
--- a/crates/damaskstile-targets/src/fleet_view.rs
+++ b/crates/damaskstile-targets/src/fleet_view.rs
@@ -20,7 +20,7 @@
     own: InstanceId,
     others: BTreeSet<InstanceId>,
     /// Largest number of instances that any instance reported.
-    told: u64,
+    reported_instances: u64,
 }
 
 impl FleetView {
@@ -40,16 +40,16 @@
 
     /// Records how many instances another one knows of; returns whether that is the largest number
     /// so far.
-    pub fn hear_count(&mut self, instances: u64) -> bool {
-        let is_more = instances > self.told;
-        self.told = self.told.max(instances);
+    pub fn record_count(&mut self, instances: u64) -> bool {
+        let is_more = instances > self.reported_instances;
+        self.reported_instances = self.reported_instances.max(instances);
         is_more
     }
 
     /// Returns the number of instances.
     #[must_use]
     pub fn instances(&self) -> u64 {
-        self.known().max(self.told)
+        self.known().max(self.reported_instances)
     }
 
     /// Tells whether this instance is among the `count` instances that a subject hashes to.
--- a/crates/damaskstile-targets/src/limit_word.rs
+++ b/crates/damaskstile-targets/src/limit_report.rs
@@ -8,7 +8,7 @@
 /// may have ended. In a large fleet a report takes seconds to reach all instances.
 const TURN_MIN: Duration = Duration::from_secs(10);
 /// Relative change from which a limit counts as changed.
-const NEWS_PART: f64 = 0.1;
+const CHANGE_SHARE: f64 = 0.1;
 
 /// Newest known state of the limit that a target advertises.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -33,7 +33,7 @@
     #[must_use]
     pub fn is_like(&self, other: &Self) -> bool {
         match (self.calls_per_s, other.calls_per_s) {
-            (Some(one), Some(other)) => (one - other).abs() <= one.max(other) * NEWS_PART,
+            (Some(one), Some(other)) => (one - other).abs() <= one.max(other) * CHANGE_SHARE,
             (None, None) => true,
             _ => false,
         }
--- a/crates/damaskstile-targets/src/reading_speed.rs
+++ b/crates/damaskstile-targets/src/prefill_speed.rs
@@ -17,7 +17,7 @@
 const TOKENS_MIN_MS: f64 = 10.0;
 /// Standard error of one sample, as a share of the expected time and in milliseconds. It is due to
 /// the calls of other instances.
-const NOISE_PART: f64 = 0.2;
+const NOISE_SHARE: f64 = 0.2;
 const NOISE_MS: f64 = 10.0;
 /// Standard errors to which the error of a sample is clipped: most samples that are far too late
 /// waited for a prompt that no peer reported.
@@ -48,14 +48,14 @@
 /// no more than two standard errors. Engines that are replaced by others are followed within a
 /// hundred calls.
 #[derive(Debug, Clone)]
-pub struct ReadingSpeed {
+pub struct PrefillSpeed {
     parts_ms: Vector,
     covariance: [Vector; 3],
     /// Side to which recent samples deviate, from -1 for all too early to 1 for all too late.
     drift: f64,
 }
 
-impl ReadingSpeed {
+impl PrefillSpeed {
     /// Creates an estimate from the speed assumed for engines that have not been observed.
     #[must_use]
     pub fn new(tokens_per_ms: f64) -> Self {
@@ -73,12 +73,12 @@
     /// Returns the prefill time of tokens that follow others, in milliseconds.
     ///
     /// ```
-    /// use damaskstile_targets::ReadingSpeed;
-    /// let speed = ReadingSpeed::new(50.0);
-    /// assert_eq!(speed.read_ms(1_000.0, 0.0), 20.0);
+    /// use damaskstile_targets::PrefillSpeed;
+    /// let speed = PrefillSpeed::new(50.0);
+    /// assert_eq!(speed.prefill_ms(1_000.0, 0.0), 20.0);
     /// ```
     #[must_use]
-    pub fn read_ms(&self, tokens: f64, after_tokens: f64) -> f64 {
+    pub fn prefill_ms(&self, tokens: f64, after_tokens: f64) -> f64 {
         let [_, tokens_part, pairs_part] = features(tokens, after_tokens);
         self.parts_ms[1] * tokens_part + self.parts_ms[2] * pairs_part
     }
@@ -86,7 +86,7 @@
     /// Returns the time to the first token of such a prompt on an idle target, in milliseconds.
     #[must_use]
     pub fn first_token_ms(&self, tokens: f64, after_tokens: f64) -> f64 {
-        self.parts_ms[0] + self.read_ms(tokens, after_tokens)
+        self.parts_ms[0] + self.prefill_ms(tokens, after_tokens)
     }
 
     /// Learns from the time to the first token of a call whose target was likely to prefill nothing
@@ -94,7 +94,7 @@
     pub fn learn(&mut self, tokens: f64, after_tokens: f64, took_ms: f64) {
         let seen = features(tokens, after_tokens);
         let expected_ms = self.first_token_ms(tokens, after_tokens);
-        let noise_ms = NOISE_MS + NOISE_PART * expected_ms;
+        let noise_ms = NOISE_MS + NOISE_SHARE * expected_ms;
         let limit_ms = ERRORS_MAX * noise_ms;
         let error_ms = (took_ms - expected_ms).clamp(-limit_ms, limit_ms);
         if !error_ms.is_finite() || tokens + after_tokens > TOKENS_MAX {
--- a/crates/damaskstile-targets/src/registry.rs
+++ b/crates/damaskstile-targets/src/registry.rs
@@ -154,7 +154,7 @@
             .iter()
             .filter_map(|id| self.targets.get(id))
             .filter(|target| target.has_fresh_evidence(now, self.options.evidence_age))
-            .filter(|target| !target.is_paused(now))
+            .filter(|target| !target.is_in_backoff(now))
             .map(|target| self.candidate(now, target))
             .filter(|candidate| !self.is_full(candidate))
             .collect();
--- a/crates/damaskstile-targets/src/target.rs
+++ b/crates/damaskstile-targets/src/target.rs
@@ -5,7 +5,7 @@
 /// Concurrent requests that a target is assumed to run until it reports its slots.
 const SLOTS_ASSUMED: u64 = 4;
 /// Backoff after the first failure; it doubles with each further failure, up to 32 times.
-const FAILURE_PAUSE: Duration = Duration::from_millis(250);
+const FAILURE_BACKOFF: Duration = Duration::from_millis(250);
 /// Divisor of the moving average; the newest answer time has a weight of one part in so many.
 const AVERAGE_DIVISOR: u32 = 8;
 
@@ -30,7 +30,7 @@
     own_requests_at_report: u64,
     slots_requests: u64,
     failures: u32,
-    paused_until: Duration,
+    backoff_until: Duration,
     answer_time: Option<Duration>,
     pub(crate) probed_at: Option<Duration>,
     /// When this instance last sent it a request.
@@ -48,7 +48,7 @@
             own_requests_at_report: 0,
             slots_requests: SLOTS_ASSUMED,
             failures: 0,
-            paused_until: Duration::ZERO,
+            backoff_until: Duration::ZERO,
             answer_time: None,
             probed_at: None,
             used_at: Duration::ZERO,
@@ -85,14 +85,14 @@
             .is_some_and(|evidence| now.saturating_sub(evidence.at) <= age)
     }
 
-    pub(crate) fn is_paused(&self, now: Duration) -> bool {
-        now < self.paused_until
+    pub(crate) fn is_in_backoff(&self, now: Duration) -> bool {
+        now < self.backoff_until
     }
 
     pub(crate) fn failed(&mut self, now: Duration) {
-        let pause = FAILURE_PAUSE.saturating_mul(1 << self.failures.min(5));
+        let backoff = FAILURE_BACKOFF.saturating_mul(1 << self.failures.min(5));
         self.failures = self.failures.saturating_add(1);
-        self.paused_until = now + pause;
+        self.backoff_until = now + backoff;
     }
 
     pub(crate) fn answered(&mut self, took: Duration) {
--- a/crates/damaskstile-targets/src/known.rs
+++ b/crates/damaskstile-targets/src/target_state.rs
@@ -4,7 +4,7 @@
 
 use damaskstile_core::prelude::*;
 
-use crate::limit_word::LimitWord;
+use crate::limit_report::LimitWord;
 use crate::listed::Listed;
 use crate::sender_turn::SenderTurn;
 use crate::work::Work;
@@ -14,7 +14,7 @@
 pub(crate) const PART_MEMORY: Duration = Duration::from_secs(10);
 /// Longest time for which a target is assumed busy because of peer reports: a few of the longest
 /// prompts. A wrong report adds no more than this to the cost.
-const READING_MAX: Duration = Duration::from_secs(3);
+const REPORTED_PREFILL_MAX: Duration = Duration::from_secs(3);
 /// Prompt parts remembered for one target. A replica caches some hundred thousand tokens, which is
 /// at most a few hundred parts.
 const PARTS_MAX: usize = 1024;
@@ -28,47 +28,47 @@
 /// Longest cold time accepted from one list entry.
 const COLD_MAX: Duration = Duration::from_mins(1);
 /// Failure share that makes no difference to a selection.
-const NOTHING: f64 = 0.001;
+const NEGLIGIBLE_FAILURE_SHARE: f64 = 0.001;
 /// Number of running calls that makes no difference to a selection.
-const NOTHING_RUNNING: f64 = 0.05;
+const NEGLIGIBLE_RUNNING: f64 = 0.05;
 /// Prefill time that makes no difference to a selection.
-const NOTHING_MS: f64 = 0.001;
+const NEGLIGIBLE_PREFILL_MS: f64 = 0.001;
 /// Age at which a load report counts half.
 const REPORT_HALF_LIFE: Duration = Duration::from_millis(400);
 
 /// State of one listed target, as known to an instance.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct TargetState {
     pub(crate) listed: Listed,
     /// When the target was delisted; it is kept while that may be due to an outage of the list.
     pub(crate) missing_since: Option<Duration>,
     own_running: u64,
-    own_reading_ms: f64,
+    own_prefill_ms: f64,
     others_running: u64,
     others_waiting: u64,
     reported_at: Duration,
     failure_share: f64,
     failure_at: Duration,
     /// End of the target's backoff.
-    paused_until: Duration,
+    backoff_until: Duration,
     /// Call limit that the target advertises, or the end of one.
     pub(crate) limit: Option<LimitWord>,
     /// Since when the limit has been about the same.
     pub(crate) limit_since: Duration,
     parts: BTreeMap<u64, Duration>,
-    /// Remaining prefill time of prompts that peers reported, as of `others_reading_at`.
-    others_reading: Duration,
-    others_reading_at: Duration,
+    /// Remaining prefill time of prompts that peers reported, as of `reported_prefill_at`.
+    reported_prefill: Duration,
+    reported_prefill_at: Duration,
     /// End of the time for which the target is treated as cold.
     cold_until: Duration,
     /// Whether this instance is one of the few that may send to the target, with the state of which
     /// that follows.
     pub(crate) sender: Cell<Option<(SenderTurn, bool)>>,
     /// Times of this instance's recent sends while a call limit applied, oldest first.
-    paced_sends: VecDeque<Duration>,
+    limited_sends: VecDeque<Duration>,
 }
 
-impl Known {
+impl TargetState {
     pub(crate) fn new(now: Duration, listed: Listed) -> Self {
         let cold_for = listed.cold_for.min(COLD_MAX);
         let cold_until = if cold_for.is_zero() {
@@ -80,21 +80,21 @@
             listed,
             missing_since: None,
             own_running: 0,
-            own_reading_ms: 0.0,
+            own_prefill_ms: 0.0,
             others_running: 0,
             others_waiting: 0,
             reported_at: Duration::ZERO,
             failure_share: 0.0,
             failure_at: Duration::ZERO,
-            paused_until: Duration::ZERO,
+            backoff_until: Duration::ZERO,
             limit: None,
             limit_since: Duration::ZERO,
             parts: BTreeMap::new(),
-            others_reading: Duration::ZERO,
-            others_reading_at: Duration::ZERO,
+            reported_prefill: Duration::ZERO,
+            reported_prefill_at: Duration::ZERO,
             cold_until,
             sender: Cell::new(None),
-            paced_sends: VecDeque::new(),
+            limited_sends: VecDeque::new(),
         }
     }
 
@@ -102,7 +102,7 @@
     pub(crate) fn update(&mut self, now: Duration, listed: Listed) -> bool {
         let was_cold = self.is_cold(now);
         if !listed.cold_for.is_zero() {
-            self.chill(now + listed.cold_for.min(COLD_MAX));
+            self.extend_cold_time(now + listed.cold_for.min(COLD_MAX));
         }
         self.missing_since = None;
         self.listed = listed;
@@ -110,7 +110,7 @@
     }
 
     /// Extends the cold time. Of several ends the latest applies.
-    pub(crate) fn chill(&mut self, until: Duration) {
+    pub(crate) fn extend_cold_time(&mut self, until: Duration) {
         self.cold_until = self.cold_until.max(until);
     }
 
@@ -125,44 +125,44 @@
     }
 
     /// Tells whether this instance sent the target fewer than `calls` calls within the last `span`.
-    pub(crate) fn has_paced_place(&self, now: Duration, calls: usize, span: Duration) -> bool {
-        let recent = self.paced_sends.iter().rev();
+    pub(crate) fn has_limited_room(&self, now: Duration, calls: usize, span: Duration) -> bool {
+        let recent = self.limited_sends.iter().rev();
         let recent = recent.take_while(|at| now.saturating_sub(**at) < span);
         recent.count() < calls
     }
 
     /// Returns the time until the oldest of the calls within a span no longer counts; `None` if
     /// this instance sent none.
-    pub(crate) fn paced_place_in(&self, now: Duration, span: Duration) -> Option<Duration> {
-        let ends = self.paced_sends.iter().map(|at| *at + span);
+    pub(crate) fn limited_room_in(&self, now: Duration, span: Duration) -> Option<Duration> {
+        let ends = self.limited_sends.iter().map(|at| *at + span);
         let ends = ends.filter(|end| *end > now);
         ends.min().map(|end| end.saturating_sub(now))
     }
 
     /// Records a call that is sent while a call limit applies, which counts calls within `span`.
-    pub(crate) fn note_paced_send(&mut self, now: Duration, span: Duration) {
-        while let Some(at) = self.paced_sends.front()
+    pub(crate) fn record_limited_send(&mut self, now: Duration, span: Duration) {
+        while let Some(at) = self.limited_sends.front()
             && now.saturating_sub(*at) >= span
         {
-            self.paced_sends.pop_front();
+            self.limited_sends.pop_front();
         }
-        self.paced_sends.push_back(now);
+        self.limited_sends.push_back(now);
     }
 
     /// Applies the newest state of the target's limit; returns whether the limit changed.
-    pub(crate) fn take_limit(&mut self, now: Duration, word: LimitWord) -> bool {
-        let is_news = !self.limit.is_some_and(|limit| word.is_like(&limit));
-        if is_news {
+    pub(crate) fn apply_limit(&mut self, now: Duration, report: LimitWord) -> bool {
+        let is_new = !self.limit.is_some_and(|limit| report.is_like(&limit));
+        if is_new {
             self.limit_since = now;
         }
-        self.limit = Some(word);
-        is_news
+        self.limit = Some(report);
+        is_new
     }
 
-    /// Records that a call was sent whose prefill takes `read_ms` there.
-    pub(crate) fn sent(&mut self, now: Duration, work: &Work, read_ms: f64) {
+    /// Records that a call was sent whose prefill takes `prefill_ms` there.
+    pub(crate) fn sent(&mut self, now: Duration, work: &Work, prefill_ms: f64) {
         self.own_running += 1;
-        self.own_reading_ms += read_ms;
+        self.own_prefill_ms += prefill_ms;
         for part in &work.parts {
             self.parts.insert(part.name, now);
         }
@@ -172,8 +172,8 @@
         }
     }
 
-    pub(crate) fn prefilled(&mut self, read_ms: f64) {
-        self.own_reading_ms = (self.own_reading_ms - read_ms).max(0.0);
+    pub(crate) fn prefilled(&mut self, prefill_ms: f64) {
+        self.own_prefill_ms = (self.own_prefill_ms - prefill_ms).max(0.0);
     }
 
     pub(crate) fn ended(&mut self) {
@@ -201,21 +201,21 @@
     fn note_outcome(&mut self, now: Duration, outcome: f64, weight: f64) {
         let share = self.failure_share(now);
         self.failure_share = share + (outcome - share) * weight;
-        self.failure_at = now.max(self.paused_until);
+        self.failure_at = now.max(self.backoff_until);
     }
 
     /// Starts a backoff. Of several backoffs the one that ends last applies.
     ///
     /// Until then the failure share does not decay, so that work returns gradually and not all at
     /// the moment at which the backoff ends.
-    pub(crate) fn pause(&mut self, now: Duration, time: Duration) {
-        self.paused_until = self.paused_until.max(now.saturating_add(time));
-        self.failure_at = self.failure_at.max(self.paused_until);
+    pub(crate) fn start_backoff(&mut self, now: Duration, time: Duration) {
+        self.backoff_until = self.backoff_until.max(now.saturating_add(time));
+        self.failure_at = self.failure_at.max(self.backoff_until);
     }
 
     /// Returns the remaining backoff.
-    pub(crate) fn paused_for(&self, now: Duration) -> Duration {
-        self.paused_until.saturating_sub(now)
+    pub(crate) fn backoff_left(&self, now: Duration) -> Duration {
+        self.backoff_until.saturating_sub(now)
     }
 
     /// Returns the share of recent calls that failed, between 0 and 1.
@@ -225,17 +225,17 @@
     }
 
     /// Records that a peer sent a prompt whose prefill takes so long.
-    pub(crate) fn hear_reading(&mut self, now: Duration, time: Duration) {
-        let sum = self.others_reading(now) + time.min(READING_MAX);
-        self.others_reading = sum.min(READING_MAX);
-        self.others_reading_at = now;
+    pub(crate) fn add_reported_prefill(&mut self, now: Duration, time: Duration) {
+        let sum = self.reported_prefill(now) + time.min(REPORTED_PREFILL_MAX);
+        self.reported_prefill = sum.min(REPORTED_PREFILL_MAX);
+        self.reported_prefill_at = now;
     }
 
     /// Returns the remaining prefill time of prompts that peers reported. It passes without further
     /// reports, so a peer that ends or falls silent leaves nothing behind.
-    pub(crate) fn others_reading(&self, now: Duration) -> Duration {
-        let passed = now.saturating_sub(self.others_reading_at);
-        self.others_reading.saturating_sub(passed)
+    pub(crate) fn reported_prefill(&self, now: Duration) -> Duration {
+        let passed = now.saturating_sub(self.reported_prefill_at);
+        self.reported_prefill.saturating_sub(passed)
     }
 
     pub(crate) fn own_running(&self) -> u64 {
@@ -243,8 +243,8 @@
     }
 
     /// Returns the prefill time of this instance's prompts that wait or are prefilled there.
-    pub(crate) fn own_reading_ms(&self) -> f64 {
-        self.own_reading_ms
+    pub(crate) fn own_prefill_ms(&self) -> f64 {
+        self.own_prefill_ms
     }
 
     /// Returns the calls of other instances that are likely to run or wait there now.
@@ -259,10 +259,10 @@
     /// target makes a call cost more or less than the list entry does.
     pub(crate) fn is_as_listed(&self, now: Duration) -> bool {
         self.own_running == 0
-            && self.own_reading_ms < NOTHING_MS
-            && self.others(now) < NOTHING_RUNNING
-            && self.failure_share(now) < NOTHING
-            && self.others_reading(now).is_zero()
+            && self.own_prefill_ms < NEGLIGIBLE_PREFILL_MS
+            && self.others(now) < NEGLIGIBLE_RUNNING
+            && self.failure_share(now) < NEGLIGIBLE_FAILURE_SHARE
+            && self.reported_prefill(now).is_zero()
     }
 
     /// Returns the tokens of the leading prompt parts that this instance sent there recently.
--- a/crates/damaskstile-targets/src/book.rs
+++ b/crates/damaskstile-targets/src/target_table.rs
@@ -1,18 +1,18 @@
 //! Table of the listed targets, from which one is selected for each call.
 
+mod advertised_limits;
+mod backoff;
+mod call_limits;
 mod candidates;
 mod cold;
+mod cost;
+mod cost_estimate;
 mod index;
-mod kept;
-mod limits;
 mod list;
+mod location;
 mod long_load;
-mod paces;
-mod pause;
-mod place;
-mod speeds;
-mod weigh;
-mod weighed;
+mod prefill_speeds;
+mod reserved_targets;
 
 use std::cell::Cell;
 use std::cmp::Ordering;
@@ -20,24 +20,24 @@
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::stable_hash;
 
-use crate::book_options::BookOptions;
 use crate::choice::Choice;
 use crate::cold_limit::ColdLimit;
 use crate::departures::Departures;
-use crate::emptied::Emptied;
+use crate::evacuations::Evacuations;
 use crate::fleet_view::FleetView;
-use crate::known::Known;
-use crate::reading_speed::ReadingSpeed;
+use crate::prefill_speed::PrefillSpeed;
+use crate::target_state::TargetState;
+use crate::target_table_options::BookOptions;
 use crate::work::Work;
+use cost_estimate::{CostEstimate, least_passing};
 use index::ServiceIndex;
 use long_load::LongLoad;
-use weighed::{Weighed, first_passing};
 
 /// Fleet size up to which the reporting threshold for prompts applies as it is. Each report goes to
 /// all instances, so the rate at which one instance receives them grows with the fleet: 64
 /// instances send each other some twenty a second. In a larger fleet the threshold grows in
 /// proportion, and only longer prompts are reported, which are rarer.
-const TOLD_INSTANCES: f64 = 64.0;
+const REPORTING_INSTANCES: f64 = 64.0;
 
 /// Table of the listed targets, from which one is selected for each call.
 ///
@@ -49,7 +49,7 @@
 pub struct Book {
     options: BookOptions,
     data_centre: String,
-    targets: BTreeMap<TargetId, Known>,
+    targets: BTreeMap<TargetId, TargetState>,
     /// Targets by service, in the orders in which selections go through them.
     indexes: BTreeMap<ServiceId, ServiceIndex>,
     /// Seed of this instance's own order of targets.
@@ -61,7 +61,7 @@
     /// Targets that have advertised a limit.
     limited: BTreeSet<TargetId>,
     /// Number of candidates that selections have examined.
-    looks: Cell<u64>,
+    candidates_examined: Cell<u64>,
     departures: Departures,
     /// Names whose entries are invalid, with the fault.
     refused: BTreeMap<TargetId, String>,
@@ -72,9 +72,9 @@
     /// Load of long prompts that this instance sent, by service.
     long_loads: BTreeMap<ServiceId, LongLoad>,
     /// Estimated prefill speed of targets, by service.
-    speeds: BTreeMap<ServiceId, ReadingSpeed>,
+    speeds: BTreeMap<ServiceId, PrefillSpeed>,
     /// Evacuated data centres, whose targets receive nothing.
-    emptied: Emptied,
+    evacuations: Evacuations,
     /// Call limits of cold targets, by service.
     cold_limits: BTreeMap<ServiceId, ColdLimit>,
     /// Other instances, by which each determines to which targets with a call limit it may send.
@@ -100,14 +100,14 @@
             stated: 0,
             lapsed: BTreeSet::new(),
             limited: BTreeSet::new(),
-            looks: Cell::new(0),
+            candidates_examined: Cell::new(0),
             departures: Departures::default(),
             refused: BTreeMap::new(),
             is_start_stated: false,
             instances: 1,
             long_loads: BTreeMap::new(),
             speeds: BTreeMap::new(),
-            emptied: Emptied::default(),
+            evacuations: Evacuations::default(),
             cold_limits: BTreeMap::new(),
             fleet: FleetView::default(),
             fleet_state: 0,
@@ -129,11 +129,11 @@
     ///
     /// ```
     /// use damaskstile_targets::{Book, BookOptions};
-    /// assert_eq!(Book::new("north", BookOptions::default()).looks(), 0);
+    /// assert_eq!(Book::new("north", BookOptions::default()).candidates_examined(), 0);
     /// ```
     #[must_use]
-    pub fn looks(&self) -> u64 {
-        self.looks.get()
+    pub fn candidates_examined(&self) -> u64 {
+        self.candidates_examined.get()
     }
 
     /// Returns the number of targets of a service that may receive work.
@@ -148,8 +148,8 @@
     /// ```
     /// use std::time::Duration;
     /// use damaskstile_targets::{Book, BookOptions, Work};
-    /// let book = Book::new("north", BookOptions::default());
-    /// assert_eq!(book.choose(Duration::ZERO, "s", &Work::default(), &[]), None);
+    /// let table = Book::new("north", BookOptions::default());
+    /// assert_eq!(table.choose(Duration::ZERO, "s", &Work::default(), &[]), None);
     /// ```
     #[must_use]
     pub fn choose(
@@ -160,19 +160,22 @@
         tried: &[TargetId],
     ) -> Option<Choice> {
         let index = self.indexes.get(service)?;
-        let outlook = self.outlook(now, index, service, work);
-        let candidates = self.candidates(now, index, &outlook, tried).into_iter();
-        let weighed = candidates.map(|known| self.weigh(now, known, &outlook));
-        let place = |weighed: &Weighed<'_>| index.own_place(&weighed.known.listed.target);
-        let is_less =
-            |one: &Weighed<'_>, other: &Weighed<'_>| match one.cost_ms.total_cmp(&other.cost_ms) {
-                Ordering::Less => true,
-                Ordering::Greater => false,
-                Ordering::Equal => place(one) < place(other),
-            };
-        let may_get = |weighed: &Weighed<'_>| self.may_get(now, weighed.known, work, tried);
-        let first = first_passing(weighed.collect(), is_less, may_get)?;
-        Some(first.choice())
+        let context = self.call_context(now, index, service, work);
+        let candidates = self.candidates(now, index, &context, tried).into_iter();
+        let estimates = candidates.map(|state| self.estimate_cost(now, state, &context));
+        let position =
+            |estimate: &CostEstimate<'_>| index.own_position(&estimate.state.listed.target);
+        let is_less = |one: &CostEstimate<'_>, other: &CostEstimate<'_>| match one
+            .cost_ms
+            .total_cmp(&other.cost_ms)
+        {
+            Ordering::Less => true,
+            Ordering::Greater => false,
+            Ordering::Equal => position(one) < position(other),
+        };
+        let may_get = |estimate: &CostEstimate<'_>| self.may_get(now, estimate.state, work, tried);
+        let least = least_passing(estimates.collect(), is_less, may_get)?;
+        Some(least.choice())
     }
 
     /// Tells whether an incarnation may still receive a call for which it was selected: since then
@@ -183,21 +186,21 @@
     /// use std::time::Duration;
     /// use damaskstile_core::prelude::TargetIdentity;
     /// use damaskstile_targets::{Book, BookOptions};
-    /// let book = Book::new("north", BookOptions::default());
-    /// assert!(!book.may_send(Duration::ZERO, &TargetIdentity::new("unknown", None)));
+    /// let table = Book::new("north", BookOptions::default());
+    /// assert!(!table.may_send(Duration::ZERO, &TargetIdentity::new("unknown", None)));
     /// ```
     #[must_use]
     pub fn may_send(&self, now: Duration, identity: &TargetIdentity) -> bool {
-        self.targets.get(&identity.target).is_some_and(|known| {
-            known.listed.incarnation == identity.incarnation
-                && self.is_usable(now, known)
-                && self.has_place(now, known)
+        self.targets.get(&identity.target).is_some_and(|state| {
+            state.listed.incarnation == identity.incarnation
+                && self.is_usable(now, state)
+                && self.has_room(now, state)
         })
     }
 
     /// Returns the state of the incarnation that a call was sent to; `None` if another one has
     /// replaced it, which the call does not concern.
-    fn chosen(&mut self, choice: &Choice) -> Option<&mut Known> {
+    fn chosen(&mut self, choice: &Choice) -> Option<&mut TargetState> {
         self.of_incarnation(&choice.target, choice.incarnation)
     }
 
@@ -205,13 +208,13 @@
         &mut self,
         target: &str,
         incarnation: Option<TargetIncarnation>,
-    ) -> Option<&mut Known> {
-        let known = self.targets.get_mut(target);
-        let known = known.filter(|known| known.listed.incarnation == incarnation)?;
-        if let Some(index) = self.indexes.get_mut(&known.listed.service) {
+    ) -> Option<&mut TargetState> {
+        let state = self.targets.get_mut(target);
+        let state = state.filter(|state| state.listed.incarnation == incarnation)?;
+        if let Some(index) = self.indexes.get_mut(&state.listed.service) {
             index.mark(target);
         }
-        Some(known)
+        Some(state)
     }
 
     /// Sets the number of instances, by which each estimates the load of all from its own.
@@ -224,8 +227,8 @@
         self.note_long(now, choice, work);
         self.sweep(now, &choice.target);
         self.note_parts(now, &choice.target, work);
-        if let Some(known) = self.chosen(choice) {
-            known.sent(now, work, choice.read_ms);
+        if let Some(state) = self.chosen(choice) {
+            state.sent(now, work, choice.prefill_ms);
         }
     }
 
@@ -233,97 +236,109 @@
     /// reported to peers.
     #[must_use]
     pub fn reading_to_tell(&self, choice: &Choice) -> Option<Duration> {
-        let parts = f64::from(u32::try_from(self.instances).unwrap_or(u32::MAX)) / TOLD_INSTANCES;
-        let is_worth = choice.read_ms >= self.options.tell_ms * parts.max(1.0);
-        is_worth.then(|| Duration::from_secs_f64(choice.read_ms / 1_000.0))
+        let parts =
+            f64::from(u32::try_from(self.instances).unwrap_or(u32::MAX)) / REPORTING_INSTANCES;
+        let is_worth = choice.prefill_ms >= self.options.tell_ms * parts.max(1.0);
+        is_worth.then(|| Duration::from_secs_f64(choice.prefill_ms / 1_000.0))
     }
 
     /// Applies a peer's report that it sent a prompt to a target, where the prefill takes so long.
     pub fn hear_reading(&mut self, now: Duration, identity: &TargetIdentity, time: Duration) {
         self.sweep(now, &identity.target);
-        if let Some(known) = self.of_incarnation(&identity.target, identity.incarnation) {
-            known.hear_reading(now, time);
+        if let Some(state) = self.of_incarnation(&identity.target, identity.incarnation) {
+            state.add_reported_prefill(now, time);
         }
     }
 
     /// Records that the first token arrived, or that the call ended before it.
     pub fn prefilled(&mut self, choice: &Choice) {
-        if let Some(known) = self.chosen(choice) {
-            known.prefilled(choice.read_ms);
+        if let Some(state) = self.chosen(choice) {
+            state.prefilled(choice.prefill_ms);
         }
     }
 
     /// Records that a call ended, whatever its outcome.
     pub fn ended(&mut self, choice: &Choice) {
-        if let Some(known) = self.chosen(choice) {
-            known.ended();
+        if let Some(state) = self.chosen(choice) {
+            state.ended();
         }
     }
 
     /// Applies a load report that a target sent with the answer to a call.
     pub fn report(&mut self, now: Duration, choice: &Choice, running: u64, waiting: u64) {
-        if let Some(known) = self.chosen(choice) {
-            known.report(now, running, waiting);
+        if let Some(state) = self.chosen(choice) {
+            state.report(now, running, waiting);
         }
     }
 
     /// Records that a call succeeded at its target.
     pub fn succeeded(&mut self, now: Duration, choice: &Choice) {
-        if let Some(known) = self.chosen(choice) {
-            known.succeeded(now);
+        if let Some(state) = self.chosen(choice) {
+            state.succeeded(now);
         }
     }
 
     /// Records that a call failed at its target.
     pub fn failed(&mut self, now: Duration, choice: &Choice) {
-        if let Some(known) = self.chosen(choice) {
-            known.failed(now);
+        if let Some(state) = self.chosen(choice) {
+            state.failed(now);
         }
     }
 
     /// Records that a target did not answer at all.
     pub fn silent(&mut self, now: Duration, choice: &Choice) {
-        if let Some(known) = self.chosen(choice) {
-            known.silent(now);
+        if let Some(state) = self.chosen(choice) {
+            state.silent(now);
         }
     }
 
-    fn usable<'a>(&'a self, now: Duration, service: &'a str) -> impl Iterator<Item = &'a Known> {
+    fn usable<'a>(
+        &'a self,
+        now: Duration,
+        service: &'a str,
+    ) -> impl Iterator<Item = &'a TargetState> {
         self.in_use(now, service)
-            .filter(move |known| known.paused_for(now).is_zero())
+            .filter(move |state| state.backoff_left(now).is_zero())
     }
 
     /// Returns the targets of a service that may receive work, now or after a backoff.
-    fn in_use<'a>(&'a self, now: Duration, service: &'a str) -> impl Iterator<Item = &'a Known> {
+    fn in_use<'a>(
+        &'a self,
+        now: Duration,
+        service: &'a str,
+    ) -> impl Iterator<Item = &'a TargetState> {
         let index = self.indexes.get(service).into_iter();
-        self.known_of(index.flat_map(ServiceIndex::all))
-            .filter(move |known| self.is_in_use(now, known))
+        self.states_of(index.flat_map(ServiceIndex::all))
+            .filter(move |state| self.is_in_use(now, state))
     }
 
-    fn known_of<'a>(
+    fn states_of<'a>(
         &'a self,
         targets: impl Iterator<Item = &'a TargetId>,
-    ) -> impl Iterator<Item = &'a Known> {
-        let known = targets.filter_map(|target| self.targets.get(target));
-        known.inspect(|_| self.looks.set(self.looks.get() + 1))
+    ) -> impl Iterator<Item = &'a TargetState> {
+        let states = targets.filter_map(|target| self.targets.get(target));
+        states.inspect(|_| {
+            self.candidates_examined
+                .set(self.candidates_examined.get() + 1);
+        })
     }
 
-    fn is_usable(&self, now: Duration, known: &Known) -> bool {
-        self.is_in_use(now, known) && known.paused_for(now).is_zero()
+    fn is_usable(&self, now: Duration, state: &TargetState) -> bool {
+        self.is_in_use(now, state) && state.backoff_left(now).is_zero()
     }
 
-    fn is_in_use(&self, now: Duration, known: &Known) -> bool {
-        let is_listed = known
+    fn is_in_use(&self, now: Duration, state: &TargetState) -> bool {
+        let is_listed = state
             .missing_since
             .is_none_or(|since| now.saturating_sub(since) < self.options.lapse_grace);
-        known.listed.is_ready
+        state.listed.is_ready
             && is_listed
-            && self.is_sound(known)
-            && self.is_place_open(known)
-            && !self.departures.covers(&known.listed.target)
+            && self.is_sound(state)
+            && self.is_data_centre_open(state)
+            && !self.departures.covers(&state.listed.target)
     }
 
-    fn is_sound(&self, known: &Known) -> bool {
-        !self.refused.contains_key(&known.listed.target) && !self.is_start_missing(known)
+    fn is_sound(&self, state: &TargetState) -> bool {
+        !self.refused.contains_key(&state.listed.target) && !self.is_start_missing(state)
     }
 }
--- a/crates/damaskstile-targets/src/book/limits.rs
+++ b/crates/damaskstile-targets/src/target_table/advertised_limits.rs
@@ -3,17 +3,17 @@
 use damaskstile_core::prelude::*;
 
 use super::Book;
-use crate::known::Known;
-use crate::limit_word::LimitWord;
-use crate::named_limit::NamedLimit;
+use crate::advertised_limit::NamedLimit;
+use crate::limit_report::LimitWord;
+use crate::target_state::TargetState;
 
 /// Time for which an advertised limit, or its end, is reported to peers.
-const LIMIT_NEWS: Duration = Duration::from_secs(15);
+const LIMIT_REPORT_SPAN: Duration = Duration::from_secs(15);
 /// Limits reported in one digest, at some 40 bytes each.
-const LIMITS_TOLD_MAX: usize = 16;
+const LIMIT_REPORTS_MAX: usize = 16;
 /// Time by which a peer's report must be newer to replace one with the same limit. The transmission
 /// time is unknown, so relayed reports look newer than they are.
-const SAME_WORD_SLACK: Duration = Duration::from_millis(500);
+const EQUAL_REPORT_SLACK: Duration = Duration::from_millis(500);
 
 impl Book {
     /// Applies what the answer to a call says of its target's limit; returns the limit if it
@@ -28,13 +28,13 @@
         sent_at: Duration,
         named: NamedLimit,
     ) -> Option<LimitWord> {
-        let known = self.of_incarnation(&identity.target, identity.incarnation)?;
-        let word = match named {
+        let state = self.of_incarnation(&identity.target, identity.incarnation)?;
+        let report = match named {
             NamedLimit::CallsPerS(calls_per_s) => LimitWord {
                 calls_per_s: Some(calls_per_s),
                 at: now,
             },
-            NamedLimit::Absent if known.limit.is_some_and(|limit| sent_at > limit.at) => {
+            NamedLimit::Absent if state.limit.is_some_and(|limit| sent_at > limit.at) => {
                 LimitWord {
                     calls_per_s: None,
                     at: sent_at,
@@ -42,9 +42,9 @@
             }
             NamedLimit::Absent | NamedLimit::Unreadable => return None,
         };
-        let is_news = known.take_limit(now, word);
+        let is_new = state.apply_limit(now, report);
         self.limited.insert(identity.target.clone());
-        is_news.then_some(word)
+        is_new.then_some(report)
     }
 
     /// Applies a peer's report on a target's limit; returns whether the limit changed.
@@ -52,51 +52,51 @@
         &mut self,
         now: Duration,
         identity: &TargetIdentity,
-        word: LimitWord,
+        report: LimitWord,
     ) -> bool {
-        let Some(known) = self.of_incarnation(&identity.target, identity.incarnation) else {
+        let Some(state) = self.of_incarnation(&identity.target, identity.incarnation) else {
             return false;
         };
-        let is_newer = match known.limit {
-            Some(limit) if word.is_like(&limit) => word.at > limit.at + SAME_WORD_SLACK,
-            Some(limit) => word.at > limit.at,
-            None => word.calls_per_s.is_some(),
+        let is_newer = match state.limit {
+            Some(limit) if report.is_like(&limit) => report.at > limit.at + EQUAL_REPORT_SLACK,
+            Some(limit) => report.at > limit.at,
+            None => report.calls_per_s.is_some(),
         };
         if !is_newer {
             return false;
         }
-        let is_news = known.take_limit(now, word);
+        let is_new = state.apply_limit(now, report);
         self.limited.insert(identity.target.clone());
-        is_news
+        is_new
     }
 
     /// Returns the limits to report to peers, newest first: those that were advertised recently,
     /// and those that ended recently.
     #[must_use]
     pub fn limits_to_tell(&self, now: Duration) -> Vec<(TargetIdentity, LimitWord)> {
-        let told = |known: &Known| {
-            let word = known.limit?;
-            let since = match word.calls_per_s {
-                Some(_) => word.at,
-                None => known.limit_since,
+        let to_report = |state: &TargetState| {
+            let report = state.limit?;
+            let since = match report.calls_per_s {
+                Some(_) => report.at,
+                None => state.limit_since,
             };
-            let is_news = now.saturating_sub(since) < LIMIT_NEWS;
-            is_news.then(|| (known.listed.identity(), word))
+            let is_recent = now.saturating_sub(since) < LIMIT_REPORT_SPAN;
+            is_recent.then(|| (state.listed.identity(), report))
         };
         let limited = self.limited.iter();
         let limited = limited.filter_map(|target| self.targets.get(target));
-        let mut told: Vec<_> = limited.filter_map(told).collect();
-        told.sort_by_key(|(_, word)| std::cmp::Reverse(word.at));
-        told.truncate(LIMITS_TOLD_MAX);
-        told
+        let mut reports: Vec<_> = limited.filter_map(to_report).collect();
+        reports.sort_by_key(|(_, report)| std::cmp::Reverse(report.at));
+        reports.truncate(LIMIT_REPORTS_MAX);
+        reports
     }
 
     /// Returns the number of targets that advertise a limit.
     #[must_use]
     pub fn limited_targets(&self) -> usize {
-        let known = self.limited.iter();
-        let known = known.filter_map(|target| self.targets.get(target));
-        let limits = known.filter_map(|known| known.limit?.calls_per_s);
+        let states = self.limited.iter();
+        let states = states.filter_map(|target| self.targets.get(target));
+        let limits = states.filter_map(|state| state.limit?.calls_per_s);
         limits.count()
     }
 }
--- a/crates/damaskstile-targets/src/book/pause.rs
+++ b/crates/damaskstile-targets/src/target_table/backoff.rs
@@ -9,8 +9,8 @@
     /// Records that the target of a call accepts nothing from this instance for a time. The backoff
     /// ends early if a new incarnation replaces the target's present one.
     pub fn pause(&mut self, now: Duration, choice: &Choice, time: Duration) {
-        if let Some(known) = self.chosen(choice) {
-            known.pause(now, time);
+        if let Some(state) = self.chosen(choice) {
+            state.start_backoff(now, time);
         }
     }
 
@@ -20,14 +20,14 @@
     /// ```
     /// use std::time::Duration;
     /// use damaskstile_targets::{Book, BookOptions};
-    /// let book = Book::new("north", BookOptions::default());
-    /// assert_eq!(book.paused_for(Duration::ZERO, "s"), None);
+    /// let table = Book::new("north", BookOptions::default());
+    /// assert_eq!(table.paused_for(Duration::ZERO, "s"), None);
     /// ```
     #[must_use]
     pub fn paused_for(&self, now: Duration, service: &str) -> Option<Duration> {
         let mut shortest = None;
-        for known in self.in_use(now, service) {
-            let left = known.paused_for(now);
+        for state in self.in_use(now, service) {
+            let left = state.backoff_left(now);
             if left.is_zero() {
                 return None;
             }
@@ -39,9 +39,9 @@
     /// Returns the number of targets in backoff.
     #[must_use]
     pub fn paused_targets(&self, now: Duration) -> usize {
-        let known = self.targets.values();
-        known
-            .filter(|known| !known.paused_for(now).is_zero())
+        let states = self.targets.values();
+        states
+            .filter(|state| !state.backoff_left(now).is_zero())
             .count()
     }
 }
--- a/crates/damaskstile-targets/src/book/candidates.rs
+++ b/crates/damaskstile-targets/src/target_table/candidates.rs
@@ -3,15 +3,15 @@
 use damaskstile_core::prelude::*;
 
 use super::Book;
+use super::cost::CallContext;
 use super::index::ServiceIndex;
-use super::kept::FEW;
-use super::weigh::Outlook;
-use crate::known::{Known, PART_MEMORY};
+use super::reserved_targets::LISTED_MAX;
+use crate::target_state::{PART_MEMORY, TargetState};
 use crate::work::Work;
 
 /// Reserved targets that are weighed for one call, besides those of which this instance knows more
 /// than the list says.
-const KEPT_WEIGHED: usize = FEW;
+const RESERVED_WEIGHED_MAX: usize = LISTED_MAX;
 /// Time between two sweeps, which drop the marks of targets of which no more is known than the list
 /// says.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
@@ -27,25 +27,26 @@
         &'a self,
         now: Duration,
         index: &'a ServiceIndex,
-        outlook: &Outlook<'a>,
+        context: &CallContext<'a>,
         tried: &[TargetId],
-    ) -> Vec<&'a Known> {
-        let may_get = |known: &&Known| self.may_get(now, known, outlook.work, tried);
-        let is_kept = |known: &&Known| outlook.kept.contains(known.listed.target.as_str());
-        let home = outlook.home.into_iter();
-        let home = home.filter_map(|target| self.targets.get(target));
-        let marked = self.known_of(index.marked());
-        let with_parts = self.known_of(with_parts(index, outlook.work));
-        let of_kept = outlook.kept.targets().take(KEPT_WEIGHED);
-        let of_kept = of_kept.filter_map(|target| self.targets.get(target));
-        let mut candidates: Vec<&Known> = home
+    ) -> Vec<&'a TargetState> {
+        let may_get = |state: &&TargetState| self.may_get(now, state, context.work, tried);
+        let is_reserved =
+            |state: &&TargetState| context.reserved.contains(state.listed.target.as_str());
+        let affinity_target = context.affinity_target.into_iter();
+        let affinity_target = affinity_target.filter_map(|target| self.targets.get(target));
+        let marked = self.states_of(index.marked());
+        let with_parts = self.states_of(with_parts(index, context.work));
+        let of_reserved = context.reserved.targets().take(RESERVED_WEIGHED_MAX);
+        let of_reserved = of_reserved.filter_map(|target| self.targets.get(target));
+        let mut candidates: Vec<&TargetState> = affinity_target
             .chain(marked)
             .chain(with_parts)
-            .chain(of_kept)
+            .chain(of_reserved)
             .collect();
         for (_, targets) in index.in_own_order() {
             let unmarked = targets.filter(|target| !index.is_marked(target));
-            let mut others = self.known_of(unmarked).filter(|known| !is_kept(known));
+            let mut others = self.states_of(unmarked).filter(|state| !is_reserved(state));
             candidates.extend(others.find(may_get));
         }
         candidates
@@ -55,23 +56,23 @@
     pub(super) fn may_get(
         &self,
         now: Duration,
-        known: &Known,
+        state: &TargetState,
         work: &Work,
         tried: &[TargetId],
     ) -> bool {
-        self.is_usable(now, known)
-            && !tried.contains(&known.listed.target)
-            && self.is_home(known, work)
-            && self.has_place(now, known)
+        self.is_usable(now, state)
+            && !tried.contains(&state.listed.target)
+            && self.is_in_home_region(state, work)
+            && self.has_room(now, state)
     }
 
     /// At intervals, drops the marks of targets of the same service of which no more is known than
     /// the list says, and forgets expired prompt parts.
     pub(super) fn sweep(&mut self, now: Duration, target: &str) {
-        let Some(known) = self.targets.get(target) else {
+        let Some(state) = self.targets.get(target) else {
             return;
         };
-        let Some(index) = self.indexes.get_mut(&known.listed.service) else {
+        let Some(index) = self.indexes.get_mut(&state.listed.service) else {
             return;
         };
         if now.saturating_sub(index.swept_at) < SWEEP_INTERVAL {
@@ -81,17 +82,17 @@
         index.forget_parts(now.saturating_sub(PART_MEMORY));
         let targets = &self.targets;
         index.sweep(|target| {
-            let known = targets.get(target);
-            known.is_some_and(|known| !known.is_as_listed(now))
+            let state = targets.get(target);
+            state.is_some_and(|state| !state.is_as_listed(now))
         });
     }
 
     /// Records which target the shared parts of a prompt were sent to.
     pub(super) fn note_parts(&mut self, now: Duration, target: &str, work: &Work) {
-        let Some(known) = self.targets.get(target) else {
+        let Some(state) = self.targets.get(target) else {
             return;
         };
-        if let Some(index) = self.indexes.get_mut(&known.listed.service) {
+        if let Some(index) = self.indexes.get_mut(&state.listed.service) {
             for part in work.shared_parts() {
                 index.note_part(now, part.name, target);
             }
@@ -99,36 +100,36 @@
     }
 
     /// Adds the state of a target to the table and its indexes.
-    pub(super) fn insert_known(&mut self, now: Duration, known: Known) {
-        let listed = &known.listed;
+    pub(super) fn insert_state(&mut self, now: Duration, state: TargetState) {
+        let listed = &state.listed;
         let own_seed = self.own_seed;
         let index = self.indexes.entry(listed.service.clone());
         let index = index.or_insert_with(|| ServiceIndex::new(own_seed));
         index.insert(&listed.target, &listed.data_centre);
-        if !known.is_as_listed(now) {
+        if !state.is_as_listed(now) {
             index.mark(&listed.target);
         }
         self.stated += usize::from(listed.incarnation.is_some());
-        if known.missing_since.is_some() {
+        if state.missing_since.is_some() {
             self.lapsed.insert(listed.target.clone());
         }
-        if known.limit.is_some() {
+        if state.limit.is_some() {
             self.limited.insert(listed.target.clone());
         }
-        self.targets.insert(listed.target.clone(), known);
+        self.targets.insert(listed.target.clone(), state);
     }
 
     /// Removes the state of a target from the table and its indexes.
-    pub(super) fn remove_known(&mut self, target: &str) -> Option<Known> {
-        let known = self.targets.remove(target)?;
-        let listed = &known.listed;
+    pub(super) fn remove_state(&mut self, target: &str) -> Option<TargetState> {
+        let state = self.targets.remove(target)?;
+        let listed = &state.listed;
         if let Some(index) = self.indexes.get_mut(&listed.service) {
             index.remove(target, &listed.data_centre);
         }
         self.stated -= usize::from(listed.incarnation.is_some());
         self.lapsed.remove(target);
         self.limited.remove(target);
-        Some(known)
+        Some(state)
     }
 }
 
@@ -138,6 +139,6 @@
     work: &Work,
 ) -> impl Iterator<Item = &'a TargetId> {
     let parts = work.shared_parts().iter().map(|part| part.name);
-    let targets: BTreeSet<&TargetId> = parts.flat_map(|part| index.sent_part(part)).collect();
+    let targets: BTreeSet<&TargetId> = parts.flat_map(|part| index.targets_of_part(part)).collect();
     targets.into_iter()
 }
--- a/crates/damaskstile-targets/src/book/cold.rs
+++ b/crates/damaskstile-targets/src/target_table/cold.rs
@@ -21,7 +21,7 @@
     /// Records another instance, and the number of instances that it knows of.
     pub fn meet(&mut self, instance: &str, instances: u64) {
         let is_new = self.fleet.meet(instance);
-        if self.fleet.hear_count(instances) || is_new {
+        if self.fleet.record_count(instances) || is_new {
             self.fleet_state += 1;
         }
     }
@@ -29,40 +29,40 @@
     /// Records that a target accepts no connections. It may restart under the same name at any
     /// moment, cold, before any report of that arrives.
     pub fn note_ended(&mut self, now: Duration, identity: &TargetIdentity) {
-        let Some(known) = self.targets.get_mut(&identity.target) else {
+        let Some(state) = self.targets.get_mut(&identity.target) else {
             return;
         };
-        if known.listed.incarnation != identity.incarnation {
+        if state.listed.incarnation != identity.incarnation {
             return;
         }
-        let cold_time = self.cold_limits.get(&known.listed.service);
+        let cold_time = self.cold_limits.get(&state.listed.service);
         let cold_time = cold_time.map_or(Duration::ZERO, |limit| limit.cold_time);
-        known.chill(now + RETURN_UNSEEN + cold_time);
+        state.extend_cold_time(now + RETURN_UNSEEN + cold_time);
     }
 
     /// Returns how much longer a target is treated as cold.
     #[must_use]
     pub fn cold_for(&self, now: Duration, target: &str) -> Duration {
-        let known = self.targets.get(target);
-        known.map_or(Duration::ZERO, |known| known.cold_for(now))
+        let state = self.targets.get(target);
+        state.map_or(Duration::ZERO, |state| state.cold_for(now))
     }
 
     /// Returns the number of cold targets.
     #[must_use]
     pub fn cold_targets(&self, now: Duration) -> usize {
-        let known = self.targets.values();
-        known.filter(|known| known.is_cold(now)).count()
+        let states = self.targets.values();
+        states.filter(|state| state.is_cold(now)).count()
     }
 
     /// Treats the targets of a data centre as cold: they may have become so while they received
     /// nothing.
-    pub(super) fn chill_data_centre(&mut self, now: Duration, data_centre: &str) {
-        for known in self.targets.values_mut() {
-            if known.listed.data_centre != data_centre {
+    pub(super) fn treat_data_centre_as_cold(&mut self, now: Duration, data_centre: &str) {
+        for state in self.targets.values_mut() {
+            if state.listed.data_centre != data_centre {
                 continue;
             }
-            if let Some(limit) = self.cold_limits.get(&known.listed.service) {
-                known.chill(now + limit.cold_time);
+            if let Some(limit) = self.cold_limits.get(&state.listed.service) {
+                state.extend_cold_time(now + limit.cold_time);
             }
         }
     }
--- a/crates/damaskstile-targets/src/book/weigh.rs
+++ b/crates/damaskstile-targets/src/target_table/cost.rs
@@ -5,11 +5,11 @@
 
 use super::Book;
 use super::candidates::with_parts;
+use super::cost_estimate::{CostEstimate, least_passing};
 use super::index::ServiceIndex;
-use super::kept::{FEW, Kept};
-use super::weighed::{Weighed, first_passing};
-use crate::known::Known;
-use crate::reading_speed::ReadingSpeed;
+use super::reserved_targets::{LISTED_MAX, ReservedTargets};
+use crate::prefill_speed::PrefillSpeed;
+use crate::target_state::TargetState;
 use crate::work::Work;
 
 /// Smallest number of tokens worth fetching from another target: a transfer takes a millisecond or
@@ -18,114 +18,116 @@
 /// Failure share from which on nothing is fetched from a target.
 const FETCH_FAILURES_MAX: f64 = 0.1;
 /// At most one in this many targets is reserved for long prompts.
-const LONG_PART_MAX: usize = 3;
+const RESERVED_DIVISOR: usize = 3;
 /// Targets after the ring position of a shared prefix that are ranked as its affinity target. More
 /// would spread prefixes no better than chance does, and each costs a hash for each call.
-const HOME_WINDOW: usize = 64;
+const AFFINITY_WINDOW: usize = 64;
 
-/// What the targets of a service have in common for one call.
+/// Context of one call: what all targets of its service have in common for an estimate of its cost.
 #[derive(Debug)]
-pub(super) struct Outlook<'a> {
+pub(super) struct CallContext<'a> {
     pub(super) work: &'a Work,
     /// Estimated prefill speed of the targets.
-    speed: ReadingSpeed,
+    speed: PrefillSpeed,
     is_long: bool,
     /// Targets reserved for long prompts.
-    pub(super) kept: Kept<'a>,
+    pub(super) reserved: ReservedTargets<'a>,
     /// Affinity target: the one that the shared prefix of the prompt hashes to.
-    pub(super) home: Option<&'a str>,
+    pub(super) affinity_target: Option<&'a str>,
     /// Target that is likely to cache most of the prompt, with the number of cached tokens.
-    source: Option<(&'a Known, f64)>,
+    source: Option<(&'a TargetState, f64)>,
 }
 
 impl Book {
-    pub(super) fn outlook<'a>(
+    pub(super) fn call_context<'a>(
         &'a self,
         now: Duration,
         index: &'a ServiceIndex,
         service: &str,
         work: &'a Work,
-    ) -> Outlook<'a> {
+    ) -> CallContext<'a> {
         let speed = self.speed(service);
         let is_long = self.is_long(&speed, work);
-        let kept = self.kept_for_long(now, index, service);
-        let mut outlook = Outlook {
+        let reserved = self.reserved_for_long(now, index, service);
+        let mut context = CallContext {
             work,
             speed,
             is_long,
-            kept,
-            home: None,
+            reserved,
+            affinity_target: None,
             source: None,
         };
-        outlook.home = self.home(now, index, &outlook);
-        outlook.source = self.source(now, index, &outlook);
-        outlook
+        context.affinity_target = self.affinity_target(now, index, &context);
+        context.source = self.source(now, index, &context);
+        context
     }
 
     /// Tells whether the prefill of a prompt takes long enough to stall calls that run beside it.
-    pub(super) fn is_long(&self, speed: &ReadingSpeed, work: &Work) -> bool {
-        self.options.long_ms > 0.0 && own_read_ms(speed, work) >= self.options.long_ms
+    pub(super) fn is_long(&self, speed: &PrefillSpeed, work: &Work) -> bool {
+        self.options.long_ms > 0.0 && own_part_prefill_ms(speed, work) >= self.options.long_ms
     }
 
     /// Returns the targets reserved for long prompts; the same on every instance that sees the same
     /// load. There are as many as spend a given share of their time on the prefill of long prompts,
     /// taken in hash order. If that is less than half a target, none is reserved: it would stand
     /// idle for an occasional prompt.
-    fn kept_for_long<'a>(
+    fn reserved_for_long<'a>(
         &'a self,
         now: Duration,
         index: &'a ServiceIndex,
         service: &str,
-    ) -> Kept<'a> {
+    ) -> ReservedTargets<'a> {
         let Some(load) = self.long_loads.get(service) else {
-            return Kept::none();
+            return ReservedTargets::none();
         };
         let instances = u32::try_from(self.instances.max(1)).unwrap_or(u32::MAX);
         let busy = load.busy_targets(now) * f64::from(instances);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // a few targets
         let wanted = (busy / self.options.long_busy).round() as usize;
-        let most = index.len() / LONG_PART_MAX;
-        if wanted.min(most) > FEW {
-            return Kept::many(index, wanted.min(most));
+        let most = index.len() / RESERVED_DIVISOR;
+        if wanted.min(most) > LISTED_MAX {
+            return ReservedTargets::many(index, wanted.min(most));
         }
         let usable: Vec<&str> = self
-            .known_of(index.in_kept_order())
-            .filter(|known| self.is_usable(now, known))
-            .map(|known| known.listed.target.as_str())
-            .take(wanted.saturating_mul(LONG_PART_MAX))
+            .states_of(index.in_reservation_order())
+            .filter(|state| self.is_usable(now, state))
+            .map(|state| state.listed.target.as_str())
+            .take(wanted.saturating_mul(RESERVED_DIVISOR))
             .collect();
-        let count = usable.len() / LONG_PART_MAX;
-        Kept::Few(usable.into_iter().take(count).collect())
+        let count = usable.len() / RESERVED_DIVISOR;
+        ReservedTargets::Listed(usable.into_iter().take(count).collect())
     }
 
     /// Returns the affinity target of a prompt: the one that its shared prefix hashes to. It is the
     /// same on every instance, so that all send the prefix to where it is cached. Targets reserved
     /// for long prompts are never affinity targets; they fetch what they lack from there.
-    fn home<'a>(
+    fn affinity_target<'a>(
         &'a self,
         now: Duration,
         index: &'a ServiceIndex,
-        outlook: &Outlook<'a>,
+        context: &CallContext<'a>,
     ) -> Option<&'a str> {
-        let subject = outlook.work.shared_parts().last()?.name.to_string();
-        let may_be = |known: &Known| {
-            self.is_usable(now, known)
-                && self.is_home(known, outlook.work)
-                && !self.is_paced(now, known)
-                && !outlook.kept.contains(known.listed.target.as_str())
+        let shared_prefix = context.work.shared_parts().last()?.name.to_string();
+        let may_be = |state: &TargetState| {
+            self.is_usable(now, state)
+                && self.is_in_home_region(state, context.work)
+                && !self.is_call_limited(now, state)
+                && !context.reserved.contains(state.listed.target.as_str())
         };
-        let mut onward = self.known_of(index.after_place_of(&subject));
+        let mut onward = self.states_of(index.in_ring_order_from(&shared_prefix));
         loop {
-            let rank = |known: &&Known| stable_hash(&[&subject, &known.listed.target]);
-            let window = onward.by_ref().take(HOME_WINDOW);
-            let window: Vec<(u64, &Known)> = window.map(|known| (rank(&known), known)).collect();
+            let rank = |state: &&TargetState| stable_hash(&[&shared_prefix, &state.listed.target]);
+            let window = onward.by_ref().take(AFFINITY_WINDOW);
+            let window: Vec<(u64, &TargetState)> =
+                window.map(|state| (rank(&state), state)).collect();
             if window.is_empty() {
                 return None;
             }
-            let is_better = |(one, _): &(u64, &Known), (other, _): &(u64, &Known)| one > other;
-            let home = first_passing(window, is_better, |(_, known)| may_be(known));
-            if let Some((_, known)) = home {
-                return Some(known.listed.target.as_str());
+            let is_better =
+                |(one, _): &(u64, &TargetState), (other, _): &(u64, &TargetState)| one > other;
+            let affinity_target = least_passing(window, is_better, |(_, state)| may_be(state));
+            if let Some((_, state)) = affinity_target {
+                return Some(state.listed.target.as_str());
             }
         }
     }
@@ -136,49 +138,51 @@
         &'a self,
         now: Duration,
         index: &'a ServiceIndex,
-        outlook: &Outlook<'a>,
-    ) -> Option<(&'a Known, f64)> {
-        let home = outlook.home.into_iter();
-        let home = home.filter_map(|target| self.targets.get(target));
+        context: &CallContext<'a>,
+    ) -> Option<(&'a TargetState, f64)> {
+        let affinity_target = context.affinity_target.into_iter();
+        let affinity_target = affinity_target.filter_map(|target| self.targets.get(target));
         if self.options.fetch_share >= 1.0 {
             return None;
         }
-        let all = self.known_of(with_parts(index, outlook.work)).chain(home);
+        let all = self
+            .states_of(with_parts(index, context.work))
+            .chain(affinity_target);
         let with_parts = all
-            .map(|known| (known, self.cached(now, known, outlook)))
+            .map(|state| (state, self.cached(now, state, context)))
             .filter(|(_, cached)| *cached >= FETCH_MIN_TOKENS);
-        first_passing(
+        least_passing(
             with_parts.collect(),
             |(_, one), (_, other)| one > other,
-            |(known, _)| {
-                self.is_usable(now, known)
-                    && known.failure_share(now) < FETCH_FAILURES_MAX
-                    && self.is_home(known, outlook.work)
+            |(state, _)| {
+                self.is_usable(now, state)
+                    && state.failure_share(now) < FETCH_FAILURES_MAX
+                    && self.is_in_home_region(state, context.work)
             },
         )
     }
 
     /// Returns the number of tokens of a prompt that a target is likely to cache.
-    fn cached(&self, now: Duration, known: &Known, outlook: &Outlook<'_>) -> f64 {
-        let seen = tokens(known.cached_tokens(now, outlook.work));
-        if outlook.home != Some(known.listed.target.as_str()) {
+    fn cached(&self, now: Duration, state: &TargetState, context: &CallContext<'_>) -> f64 {
+        let seen = tokens(state.cached_tokens(now, context.work));
+        if context.affinity_target != Some(state.listed.target.as_str()) {
             return seen;
         }
-        let shared = tokens(outlook.work.shared_tokens());
+        let shared = tokens(context.work.shared_tokens());
         seen.max(shared * self.options.home_share)
     }
 
-    pub(super) fn weigh<'a>(
+    pub(super) fn estimate_cost<'a>(
         &self,
         now: Duration,
-        known: &'a Known,
-        outlook: &Outlook<'_>,
-    ) -> Weighed<'a> {
+        state: &'a TargetState,
+        context: &CallContext<'_>,
+    ) -> CostEstimate<'a> {
         let options = &self.options;
-        let work = outlook.work;
-        let target = known.listed.target.as_str();
-        let cached = self.cached(now, known, outlook);
-        let fetched = outlook.source.and_then(|(source, there)| {
+        let work = context.work;
+        let target = state.listed.target.as_str();
+        let cached = self.cached(now, state, context);
+        let fetched = context.source.and_then(|(source, there)| {
             let more = there - cached;
             let is_worth = source.listed.target != target && more >= FETCH_MIN_TOKENS;
             is_worth.then_some((source.listed.address, more))
@@ -186,26 +190,26 @@
         let fetched_tokens = fetched.map_or(0.0, |(_, tokens)| tokens);
         let uncached = (tokens(work.prompt_tokens) - cached - fetched_tokens).max(0.0);
         let before = tokens(work.prompt_tokens) - uncached;
-        let fetch_ms = outlook.speed.read_ms(fetched_tokens, cached) * options.fetch_share;
-        let read_ms = outlook.speed.read_ms(uncached, before) + fetch_ms;
-        let others_reading_ms = known.others_reading(now).as_secs_f64() * 1_000.0;
-        let ahead_ms = known.own_reading_ms() + others_reading_ms;
-        let running = tokens(known.own_running()) + known.others(now);
-        let failures = known.failure_share(now);
-        let is_far = work.prompt_tokens == 0 && known.listed.data_centre != self.data_centre;
-        let is_apart = !outlook.kept.is_empty() && !outlook.is_for(target);
-        let cost_ms = read_ms
+        let fetch_ms = context.speed.prefill_ms(fetched_tokens, cached) * options.fetch_share;
+        let prefill_ms = context.speed.prefill_ms(uncached, before) + fetch_ms;
+        let reported_prefill_ms = state.reported_prefill(now).as_secs_f64() * 1_000.0;
+        let ahead_ms = state.own_prefill_ms() + reported_prefill_ms;
+        let running = tokens(state.own_running()) + state.others(now);
+        let failures = state.failure_share(now);
+        let is_far = work.prompt_tokens == 0 && state.listed.data_centre != self.data_centre;
+        let is_apart = !context.reserved.is_empty() && !context.is_for(target);
+        let cost_ms = prefill_ms
             + ahead_ms
             + running * options.running_ms
             + failures * failures * options.failure_ms
             + f64::from(u8::from(is_apart)) * options.apart_ms
             + f64::from(u8::from(is_far)) * options.distance_ms;
-        Weighed {
-            known,
+        CostEstimate {
+            state,
             cost_ms,
             uncached,
             fetch_from: fetched.map(|(address, _)| address),
-            read_ms,
+            prefill_ms,
             ahead_ms,
             running,
         }
@@ -213,10 +217,10 @@
 }
 
 /// Returns the prefill time of the part of a prompt that no other call shares.
-pub(super) fn own_read_ms(speed: &ReadingSpeed, work: &Work) -> f64 {
+pub(super) fn own_part_prefill_ms(speed: &PrefillSpeed, work: &Work) -> f64 {
     let shared = work.shared_tokens();
     let own = work.prompt_tokens.saturating_sub(shared);
-    speed.read_ms(tokens(own), tokens(shared))
+    speed.prefill_ms(tokens(own), tokens(shared))
 }
 
 #[allow(clippy::cast_precision_loss)] // counts far below 2^52
@@ -224,10 +228,10 @@
     count as f64
 }
 
-impl Outlook<'_> {
+impl CallContext<'_> {
     /// Tells whether a target is in the group meant for the call: reserved targets for long
     /// prompts, all others for short ones.
     fn is_for(&self, target: &str) -> bool {
-        self.kept.contains(target) == self.is_long
+        self.reserved.contains(target) == self.is_long
     }
 }
--- a/crates/damaskstile-targets/src/book/weighed.rs
+++ b/crates/damaskstile-targets/src/target_table/cost_estimate.rs
@@ -3,25 +3,25 @@
 use std::net::SocketAddr;
 
 use crate::choice::Choice;
-use crate::known::Known;
+use crate::target_state::TargetState;
 
 /// Estimated cost of a call at one target.
 #[derive(Debug)]
-pub(super) struct Weighed<'a> {
-    pub known: &'a Known,
+pub(super) struct CostEstimate<'a> {
+    pub state: &'a TargetState,
     pub cost_ms: f64,
     pub uncached: f64,
     pub fetch_from: Option<SocketAddr>,
-    pub read_ms: f64,
+    pub prefill_ms: f64,
     pub ahead_ms: f64,
     pub running: f64,
 }
 
-impl Weighed<'_> {
+impl CostEstimate<'_> {
     pub(super) fn choice(&self) -> Choice {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // not negative
         let uncached_tokens = self.uncached as u64;
-        let listed = &self.known.listed;
+        let listed = &self.state.listed;
         Choice {
             target: listed.target.clone(),
             incarnation: listed.incarnation,
@@ -29,7 +29,7 @@
             cost_ms: self.cost_ms,
             uncached_tokens,
             fetch_from: self.fetch_from,
-            read_ms: self.read_ms,
+            prefill_ms: self.prefill_ms,
             ahead_ms: self.ahead_ms,
             running: self.running,
         }
@@ -38,7 +38,7 @@
 
 /// Returns the least element that passes. Checking an element costs more than finding the least
 /// one, so as few as possible are checked.
-pub(super) fn first_passing<T>(
+pub(super) fn least_passing<T>(
     mut all: Vec<T>,
     is_less: impl Fn(&T, &T) -> bool,
     passes: impl Fn(&T) -> bool,
--- a/crates/damaskstile-targets/src/book/index.rs
+++ b/crates/damaskstile-targets/src/target_table/index.rs
@@ -4,13 +4,13 @@
 use damaskstile_core::random::stable_hash;
 
 /// Odd multiplier that scatters the keys of an order, and its inverse modulo 2^64.
-const SCATTER: u64 = 0x9E37_79B9_7F4A_7C15;
-const GATHER: u64 = 0xF1DE_83E1_9937_733D;
+const SCATTER_FACTOR: u64 = 0x9E37_79B9_7F4A_7C15;
+const SCATTER_INVERSE: u64 = 0xF1DE_83E1_9937_733D;
 /// Targets remembered for one prompt part: the last ones, which are the most likely to cache it.
 const PART_TARGETS_MAX: usize = 16;
 /// Bits by which keys are rotated for the reservation order, so that it differs from the ring
 /// order.
-const TURNED_BITS: u32 = 32;
+const ROTATED_BITS: u32 = 32;
 
 /// Targets of one service in the orders in which selections go through them, so that a selection
 /// examines few of them, however many there are.
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(super) struct ServiceIndex {
     ring: BTreeMap<u64, TargetId>,
-    kept_order: BTreeSet<u64>,
+    reservation_order: BTreeSet<u64>,
     own_order: BTreeMap<DataCentreId, BTreeSet<u64>>,
     own_seed: u64,
     /// Targets of which this instance knows more than the list says, not counting prompt parts sent
@@ -36,7 +36,7 @@
     pub(super) fn new(own_seed: u64) -> Self {
         Self {
             ring: BTreeMap::new(),
-            kept_order: BTreeSet::new(),
+            reservation_order: BTreeSet::new(),
             own_order: BTreeMap::new(),
             own_seed,
             marked: BTreeSet::new(),
@@ -48,21 +48,22 @@
     pub(super) fn insert(&mut self, target: &str, data_centre: &str) {
         let key = self.key(target);
         self.ring.insert(key, target.to_owned());
-        self.kept_order.insert(key.rotate_left(TURNED_BITS));
+        self.reservation_order.insert(key.rotate_left(ROTATED_BITS));
         let own_key = self.own_key(key);
-        let of_place = self.own_order.entry(data_centre.to_owned()).or_default();
-        of_place.insert(own_key);
+        let of_data_centre = self.own_order.entry(data_centre.to_owned()).or_default();
+        of_data_centre.insert(own_key);
     }
 
     pub(super) fn remove(&mut self, target: &str, data_centre: &str) {
         let key = self.key(target);
         self.marked.remove(target);
         self.ring.remove(&key);
-        self.kept_order.remove(&key.rotate_left(TURNED_BITS));
+        self.reservation_order
+            .remove(&key.rotate_left(ROTATED_BITS));
         let own_key = self.own_key(key);
-        if let Some(of_place) = self.own_order.get_mut(data_centre) {
-            of_place.remove(&own_key);
-            if of_place.is_empty() {
+        if let Some(of_data_centre) = self.own_order.get_mut(data_centre) {
+            of_data_centre.remove(&own_key);
+            if of_data_centre.is_empty() {
                 self.own_order.remove(data_centre);
             }
         }
@@ -97,7 +98,7 @@
     }
 
     /// Returns the targets that a part was last sent to.
-    pub(super) fn sent_part(&self, part: u64) -> impl Iterator<Item = &TargetId> {
+    pub(super) fn targets_of_part(&self, part: u64) -> impl Iterator<Item = &TargetId> {
         let targets = self.sent_parts.get(&part).into_iter().flatten();
         targets.map(|(_, target)| target)
     }
@@ -116,31 +117,34 @@
 
     /// Returns all targets in the ring order, which all instances share, beginning at the ring
     /// position of a shared prefix.
-    pub(super) fn after_place_of(&self, subject: &str) -> impl Iterator<Item = &TargetId> {
-        let place = stable_hash(&[subject]);
-        let before = self.ring.range(..place);
-        let from = self.ring.range(place..);
+    pub(super) fn in_ring_order_from(
+        &self,
+        shared_prefix: &str,
+    ) -> impl Iterator<Item = &TargetId> {
+        let position = stable_hash(&[shared_prefix]);
+        let before = self.ring.range(..position);
+        let from = self.ring.range(position..);
         from.chain(before).map(|(_, target)| target)
     }
 
     /// Returns all targets in the order in which they are reserved for long prompts.
-    pub(super) fn in_kept_order(&self) -> impl Iterator<Item = &TargetId> {
-        let keys = self.kept_order.iter();
-        keys.filter_map(|key| self.ring.get(&key.rotate_right(TURNED_BITS)))
+    pub(super) fn in_reservation_order(&self) -> impl Iterator<Item = &TargetId> {
+        let keys = self.reservation_order.iter();
+        keys.filter_map(|key| self.ring.get(&key.rotate_right(ROTATED_BITS)))
     }
 
     /// Returns the targets up to a key in the reservation order, beginning at a position that
     /// differs between instances.
-    pub(super) fn kept_from_own_place(&self, below: u64) -> impl Iterator<Item = &TargetId> {
-        let place = self.own_seed % below.max(1);
-        let keys = self.kept_order.range(place..=below.max(place));
-        let keys = keys.chain(self.kept_order.range(..place));
-        keys.filter_map(|key| self.ring.get(&key.rotate_right(TURNED_BITS)))
+    pub(super) fn reserved_from_own_position(&self, below: u64) -> impl Iterator<Item = &TargetId> {
+        let position = self.own_seed % below.max(1);
+        let keys = self.reservation_order.range(position..=below.max(position));
+        let keys = keys.chain(self.reservation_order.range(..position));
+        keys.filter_map(|key| self.ring.get(&key.rotate_right(ROTATED_BITS)))
     }
 
     /// Returns a target's key in the reservation order.
-    pub(super) fn kept_key(&self, target: &str) -> u64 {
-        self.key(target).rotate_left(TURNED_BITS)
+    pub(super) fn reservation_key(&self, target: &str) -> u64 {
+        self.key(target).rotate_left(ROTATED_BITS)
     }
 
     pub(super) fn len(&self) -> usize {
@@ -159,7 +163,7 @@
     }
 
     /// Returns a target's position in this instance's own order.
-    pub(super) fn own_place(&self, target: &str) -> u64 {
+    pub(super) fn own_position(&self, target: &str) -> u64 {
         self.own_key(self.key(target))
     }
 
@@ -173,10 +177,10 @@
     }
 
     fn own_key(&self, key: u64) -> u64 {
-        (key ^ self.own_seed).wrapping_mul(SCATTER)
+        (key ^ self.own_seed).wrapping_mul(SCATTER_FACTOR)
     }
 
     fn key_of_own(&self, own_key: u64) -> u64 {
-        own_key.wrapping_mul(GATHER) ^ self.own_seed
+        own_key.wrapping_mul(SCATTER_INVERSE) ^ self.own_seed
     }
 }
--- a/crates/damaskstile-targets/src/book/list.rs
+++ b/crates/damaskstile-targets/src/target_table/list.rs
@@ -4,14 +4,14 @@
 use damaskstile_core::random::stable_hash;
 
 use super::Book;
-use crate::departures::LEAVING_NEWS;
-use crate::known::Known;
+use crate::departures::DEPARTURE_REPORT_SPAN;
 use crate::listed::Listed;
 use crate::refused::Refused;
 use crate::target_counts::TargetCounts;
+use crate::target_state::TargetState;
 
 /// Targets delisted around an outage that are reported in one digest.
-const LAPSED_TOLD_MAX: usize = 16;
+const LAPSED_REPORTS_MAX: usize = 16;
 /// Fault of an entry that does not state its target's start although others do.
 const FAULT_NO_START: &str = "the start is not stated";
 
@@ -22,12 +22,12 @@
     /// An entry of an incarnation older than the newest known one is late and is ignored. An entry
     /// that does not state the start of a target whose start is known is refused.
     pub fn list(&mut self, now: Duration, listed: Listed) -> bool {
-        let is_news = self.take(now, listed);
-        self.look_at_starts();
-        is_news
+        let is_new = self.apply_entry(now, listed);
+        self.update_start_rule();
+        is_new
     }
 
-    fn take(&mut self, now: Duration, listed: Listed) -> bool {
+    fn apply_entry(&mut self, now: Duration, listed: Listed) -> bool {
         if listed.incarnation < self.newest(&listed.target) {
             return listed.incarnation.is_none()
                 && self.mark_refused(&listed.target, FAULT_NO_START);
@@ -37,7 +37,7 @@
         let was_left = self.departures.covers(&listed.target);
         let before = self.targets.get(&listed.target);
         let is_same = before
-            .is_some_and(|known| known.missing_since.is_none() && known.listed.is_like(&listed));
+            .is_some_and(|state| state.missing_since.is_none() && state.listed.is_like(&listed));
         if was_refused || was_left || !is_same {
             self.touched.insert(listed.target.clone());
         }
@@ -46,32 +46,34 @@
         } else {
             self.departures.leave(now, &identity);
         }
-        if is_same && let Some(known) = self.targets.get_mut(&listed.target) {
-            let is_chilled = known.update(now, listed);
-            return self.note_chilled(is_chilled, &identity) || was_refused;
+        if is_same && let Some(state) = self.targets.get_mut(&listed.target) {
+            let is_newly_cold = state.update(now, listed);
+            return self.note_newly_cold(is_newly_cold, &identity) || was_refused;
         }
         // Its position in the index may change.
-        match self.remove_known(&listed.target) {
-            Some(mut known) if known.listed.incarnation == listed.incarnation => {
-                let was_ready = known.listed.is_ready && known.missing_since.is_none();
+        match self.remove_state(&listed.target) {
+            Some(mut state) if state.listed.incarnation == listed.incarnation => {
+                let was_ready = state.listed.is_ready && state.missing_since.is_none();
                 let is_ready = listed.is_ready;
-                let is_chilled = known.update(now, listed);
-                self.insert_known(now, known);
-                self.note_chilled(is_chilled, &identity) || was_refused || was_ready != is_ready
+                let is_newly_cold = state.update(now, listed);
+                self.insert_state(now, state);
+                self.note_newly_cold(is_newly_cold, &identity)
+                    || was_refused
+                    || was_ready != is_ready
             }
             _ => {
                 // A new incarnation has none of its predecessor's cached prompts or running calls.
-                self.insert_known(now, Known::new(now, listed));
+                self.insert_state(now, TargetState::new(now, listed));
                 true
             }
         }
     }
 
-    fn note_chilled(&mut self, is_chilled: bool, identity: &TargetIdentity) -> bool {
-        if is_chilled {
+    fn note_newly_cold(&mut self, is_newly_cold: bool, identity: &TargetIdentity) -> bool {
+        if is_newly_cold {
             self.touched.insert(identity.target.clone());
         }
-        is_chilled
+        is_newly_cold
     }
 
     /// Applies an invalid entry; returns whether its fault is new.
@@ -83,8 +85,8 @@
     }
 
     fn mark_refused(&mut self, target: &str, fault: &str) -> bool {
-        if let Some(known) = self.targets.get_mut(target) {
-            known.missing_since = None;
+        if let Some(state) = self.targets.get_mut(target) {
+            state.missing_since = None;
         }
         let before = self.refused.insert(target.to_owned(), fault.to_owned());
         if before.is_none() {
@@ -98,8 +100,8 @@
     pub fn fault(&self, target: &str) -> Option<&str> {
         let refused = self.refused.get(target).map(String::as_str);
         refused.or_else(|| {
-            let known = self.targets.get(target)?;
-            self.is_start_missing(known).then_some(FAULT_NO_START)
+            let state = self.targets.get(target)?;
+            self.is_start_missing(state).then_some(FAULT_NO_START)
         })
     }
 
@@ -113,15 +115,15 @@
         // The last entry under this name was invalid, so there is no target to wait for.
         let was_refused = self.refused.remove(target).is_some();
         if !is_around_outage || was_refused {
-            let known = self.targets.get(target);
-            let incarnation = known.and_then(|known| known.listed.incarnation);
+            let state = self.targets.get(target);
+            let incarnation = state.and_then(|state| state.listed.incarnation);
             self.vanish(now, &TargetIdentity::new(target, incarnation));
-            self.remove_known(target);
-        } else if let Some(known) = self.targets.get_mut(target) {
-            known.missing_since.get_or_insert(now);
+            self.remove_state(target);
+        } else if let Some(state) = self.targets.get_mut(target) {
+            state.missing_since.get_or_insert(now);
             self.lapsed.insert(target.to_owned());
         }
-        self.look_at_starts();
+        self.update_start_rule();
     }
 
     /// Applies the whole list; targets that it does not contain are unlisted. Returns the refused
@@ -153,8 +155,8 @@
             match entry {
                 Ok(listed) => {
                     let target = listed.target.clone();
-                    let is_news = self.take(now, listed);
-                    if let Some(fault) = self.refused.get(&target).filter(|_| is_news) {
+                    let is_new = self.apply_entry(now, listed);
+                    if let Some(fault) = self.refused.get(&target).filter(|_| is_new) {
                         let fault = fault.clone();
                         news.push(Refused { target, fault });
                     }
@@ -163,7 +165,7 @@
                 Err(_) => {}
             }
         }
-        self.look_at_starts();
+        self.update_start_rule();
         news
     }
 
@@ -174,14 +176,14 @@
 
     /// Records that an incarnation was delisted; returns whether that is new.
     pub fn vanish(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
-        !self.is_outdated(identity) && self.departures.vanish(now, identity)
+        !self.is_outdated(identity) && self.departures.delist(now, identity)
     }
 
     /// Returns the newest known incarnation of a target, from the list or from departures.
     #[must_use]
     pub fn newest(&self, target: &str) -> Option<TargetIncarnation> {
-        let known = self.targets.get(target);
-        let listed = known.and_then(|known| known.listed.incarnation);
+        let state = self.targets.get(target);
+        let listed = state.and_then(|state| state.listed.incarnation);
         listed.max(self.departures.newest(target))
     }
 
@@ -191,19 +193,19 @@
 
     /// Determines whether targets state their starts: at least half of them must do so. One stray
     /// entry must not decide this for all others.
-    fn look_at_starts(&mut self) {
+    fn update_start_rule(&mut self) {
         let stated = self.stated;
         self.is_start_stated = stated > 0 && stated * 2 >= self.targets.len();
     }
 
-    pub(super) fn is_start_missing(&self, known: &Known) -> bool {
-        self.is_start_stated && known.listed.incarnation.is_none()
+    pub(super) fn is_start_missing(&self, state: &TargetState) -> bool {
+        self.is_start_stated && state.listed.incarnation.is_none()
     }
 
     /// Returns the incarnations that recently began to drain, to report them to peers.
     #[must_use]
     pub fn draining(&self, now: Duration) -> Vec<TargetIdentity> {
-        self.departures.told(now, true)
+        self.departures.to_report(now, true)
     }
 
     /// Returns the recently delisted incarnations, to report them to peers. This includes those
@@ -212,27 +214,27 @@
     pub fn vanished(&self, now: Duration) -> Vec<TargetIdentity> {
         let lapsed = self.lapsed.iter();
         let lapsed = lapsed.filter_map(|target| self.targets.get(target));
-        let lapsed = lapsed.filter(|known| {
-            known.missing_since.is_some_and(|since| {
+        let lapsed = lapsed.filter(|state| {
+            state.missing_since.is_some_and(|since| {
                 let age = now.saturating_sub(since);
-                age >= self.options.lapse_grace && age < LEAVING_NEWS
+                age >= self.options.lapse_grace && age < DEPARTURE_REPORT_SPAN
             })
         });
-        let lapsed = lapsed.map(|known| known.listed.identity());
-        let vanished = self.departures.told(now, false).into_iter();
-        vanished.chain(lapsed.take(LAPSED_TOLD_MAX)).collect()
+        let lapsed = lapsed.map(|state| state.listed.identity());
+        let vanished = self.departures.to_report(now, false).into_iter();
+        vanished.chain(lapsed.take(LAPSED_REPORTS_MAX)).collect()
     }
 
     /// Counts the targets by state.
     #[must_use]
     pub fn counts(&self) -> TargetCounts {
         let mut counts = TargetCounts::default();
-        for (target, known) in &self.targets {
+        for (target, state) in &self.targets {
             let count = if self.fault(target).is_some() {
                 continue;
-            } else if !known.listed.is_ready || self.departures.covers(target) {
+            } else if !state.listed.is_ready || self.departures.covers(target) {
                 &mut counts.leaving
-            } else if known.missing_since.is_some() {
+            } else if state.missing_since.is_some() {
                 &mut counts.lapsed
             } else {
                 &mut counts.ready
@@ -256,11 +258,11 @@
     /// Returns the entry of a target if [`Self::present`] includes it.
     #[must_use]
     pub fn present_entry(&self, target: &str) -> Option<&Listed> {
-        let known = self.targets.get(target)?;
-        let is_present = known.missing_since.is_none()
-            && self.is_sound(known)
+        let state = self.targets.get(target)?;
+        let is_present = state.missing_since.is_none()
+            && self.is_sound(state)
             && !self.departures.covers(target);
-        is_present.then_some(&known.listed)
+        is_present.then_some(&state.listed)
     }
 
     /// Returns the targets whose entries changed since the previous call.
@@ -288,13 +290,13 @@
     /// ```
     /// use damaskstile_core::prelude::TargetIdentity;
     /// use damaskstile_targets::{Book, BookOptions};
-    /// let book = Book::new("north", BookOptions::default());
-    /// assert!(!book.lists(&TargetIdentity::new("unknown", None)));
+    /// let table = Book::new("north", BookOptions::default());
+    /// assert!(!table.lists(&TargetIdentity::new("unknown", None)));
     /// ```
     #[must_use]
     pub fn lists(&self, identity: &TargetIdentity) -> bool {
-        let known = self.targets.get(&identity.target);
-        known.is_some_and(|known| known.listed.incarnation == identity.incarnation)
+        let state = self.targets.get(&identity.target);
+        state.is_some_and(|state| state.listed.incarnation == identity.incarnation)
     }
 
     /// Tells whether the list contains a target now.
@@ -307,6 +309,6 @@
     pub fn is_named(&self, target: &str) -> bool {
         self.targets
             .get(target)
-            .is_some_and(|known| known.missing_since.is_none())
+            .is_some_and(|state| state.missing_since.is_none())
     }
 }
--- a/crates/damaskstile-targets/src/book/place.rs
+++ b/crates/damaskstile-targets/src/target_table/location.rs
@@ -3,8 +3,8 @@
 use damaskstile_core::prelude::*;
 
 use super::Book;
-use crate::emptied::{Emptied, EmptiedNews};
-use crate::known::Known;
+use crate::evacuations::{EmptiedNews, Evacuations};
+use crate::target_state::TargetState;
 use crate::work::Work;
 
 impl Book {
@@ -15,8 +15,8 @@
         version: Version,
         all: &BTreeSet<DataCentreId>,
     ) -> EmptiedNews {
-        let news = self.emptied.take_all(now, version, all);
-        self.note_emptied(now, news)
+        let news = self.evacuations.apply_all(now, version, all);
+        self.note_evacuations(now, news)
     }
 
     /// Applies evacuations and their ends up to a store version; returns what changed.
@@ -26,37 +26,37 @@
         version: Version,
         changes: &[(DataCentreId, bool)],
     ) -> EmptiedNews {
-        let news = self.emptied.take_changes(now, version, changes);
-        self.note_emptied(now, news)
+        let news = self.evacuations.apply_changes(now, version, changes);
+        self.note_evacuations(now, news)
     }
 
-    fn note_emptied(&mut self, now: Duration, news: Option<EmptiedNews>) -> EmptiedNews {
+    fn note_evacuations(&mut self, now: Duration, news: Option<EmptiedNews>) -> EmptiedNews {
         let news = news.unwrap_or_default();
         for data_centre in &news.taken_back {
-            self.chill_data_centre(now, data_centre);
+            self.treat_data_centre_as_cold(now, data_centre);
         }
         news
     }
 
     /// Returns the evacuated data centres.
     #[must_use]
-    pub fn emptied(&self) -> &Emptied {
-        &self.emptied
+    pub fn emptied(&self) -> &Evacuations {
+        &self.evacuations
     }
 
     /// Tells whether a target's data centre may receive work. If data centres can be evacuated,
     /// none may until it is known which ones are.
-    pub(super) fn is_place_open(&self, known: &Known) -> bool {
-        let is_known = !self.options.empties_data_centres || self.emptied.version().is_some();
-        is_known && !self.emptied.covers(&known.listed.data_centre)
+    pub(super) fn is_data_centre_open(&self, state: &TargetState) -> bool {
+        let is_known = !self.options.empties_data_centres || self.evacuations.version().is_some();
+        is_known && !self.evacuations.covers(&state.listed.data_centre)
     }
 
     /// Tells whether a target is in a region that may run a call.
-    pub(super) fn is_home(&self, known: &Known, work: &Work) -> bool {
+    pub(super) fn is_in_home_region(&self, state: &TargetState, work: &Work) -> bool {
         let Some(homes) = &work.homes else {
             return true;
         };
-        let region = self.options.regions.get(&known.listed.data_centre);
+        let region = self.options.regions.get(&state.listed.data_centre);
         region.is_some_and(|region| homes.contains(region))
     }
 
@@ -65,8 +65,8 @@
     /// ```
     /// use std::time::Duration;
     /// use damaskstile_targets::{Book, BookOptions, Work};
-    /// let book = Book::new("north", BookOptions::default());
-    /// assert!(!book.has_other_target(Duration::ZERO, "s", &Work::default(), &[]));
+    /// let table = Book::new("north", BookOptions::default());
+    /// assert!(!table.has_other_target(Duration::ZERO, "s", &Work::default(), &[]));
     /// ```
     #[must_use]
     pub fn has_other_target(
@@ -77,7 +77,7 @@
         tried: &[TargetId],
     ) -> bool {
         let mut usable = self.usable(now, service);
-        usable.any(|known| self.may_get(now, known, work, tried))
+        usable.any(|state| self.may_get(now, state, work, tried))
     }
 
     /// Checks that some target may receive a call now.
@@ -89,10 +89,10 @@
     /// or all that are usable have reached their call limits.
     pub fn has_target(&self, now: Duration, service: &str, work: &Work) -> Result<(), RefusalCode> {
         let mut reason = RefusalCode::NoTarget;
-        for known in self.usable(now, service) {
-            if !self.is_home(known, work) {
+        for state in self.usable(now, service) {
+            if !self.is_in_home_region(state, work) {
                 reason = RefusalCode::NoTargetInRegion;
-            } else if self.has_place(now, known) {
+            } else if self.has_room(now, state) {
                 return Ok(());
             }
         }
--- a/crates/damaskstile-targets/src/book/long_load.rs
+++ b/crates/damaskstile-targets/src/target_table/long_load.rs
@@ -9,13 +9,13 @@
 /// Measures how many targets one instance keeps busy with the prefill of long prompts.
 #[derive(Debug, Clone, Default)]
 pub(super) struct LongLoad {
-    read_ms: f64,
+    prefill_ms: f64,
     at: Duration,
 }
 
 impl LongLoad {
-    pub(super) fn add(&mut self, now: Duration, read_ms: f64) {
-        self.read_ms = self.decayed(now) + read_ms;
+    pub(super) fn add(&mut self, now: Duration, prefill_ms: f64) {
+        self.prefill_ms = self.decayed(now) + prefill_ms;
         self.at = self.at.max(now);
     }
 
@@ -26,6 +26,6 @@
 
     fn decayed(&self, now: Duration) -> f64 {
         let gap = now.saturating_sub(self.at).as_secs_f64();
-        self.read_ms * (-gap / TIME_CONSTANT.as_secs_f64()).exp()
+        self.prefill_ms * (-gap / TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
--- a/crates/damaskstile-targets/src/book/kept.rs
+++ b/crates/damaskstile-targets/src/target_table/reserved_targets.rs
@@ -6,16 +6,16 @@
 
 /// Most reserved targets that are listed one by one. With more of them, a selection that examines
 /// each would cost milliseconds.
-pub(super) const FEW: usize = 64;
+pub(super) const LISTED_MAX: usize = 64;
 
 /// Targets of a service that are reserved for long prompts; the same on every instance that sees
 /// the same load.
 #[derive(Debug)]
-pub(super) enum Kept<'a> {
+pub(super) enum ReservedTargets<'a> {
     /// Targets listed one by one.
-    Few(BTreeSet<&'a str>),
+    Listed(BTreeSet<&'a str>),
     /// Targets up to a key in the reservation order, which all instances share.
-    Many {
+    UpToKey {
         /// Index that holds the order.
         index: &'a ServiceIndex,
         /// Highest reserved key.
@@ -23,9 +23,9 @@
     },
 }
 
-impl<'a> Kept<'a> {
+impl<'a> ReservedTargets<'a> {
     pub(super) fn none() -> Self {
-        Self::Few(BTreeSet::new())
+        Self::Listed(BTreeSet::new())
     }
 
     /// Reserves about `count` targets of a service.
@@ -35,17 +35,17 @@
         let all = u64::try_from(index.len().max(1)).unwrap_or(u64::MAX);
         let count = u64::try_from(count).unwrap_or(u64::MAX);
         let below = (u64::MAX / all).saturating_mul(count);
-        Self::Many { index, below }
+        Self::UpToKey { index, below }
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        matches!(self, Self::Few(targets) if targets.is_empty())
+        matches!(self, Self::Listed(targets) if targets.is_empty())
     }
 
     pub(super) fn contains(&self, target: &str) -> bool {
         match self {
-            Self::Few(targets) => targets.contains(target),
-            Self::Many { index, below } => index.kept_key(target) <= *below,
+            Self::Listed(targets) => targets.contains(target),
+            Self::UpToKey { index, below } => index.reservation_key(target) <= *below,
         }
     }
 
@@ -53,9 +53,9 @@
     /// beginning at a position that differs between instances.
     pub(super) fn targets(&self) -> Box<dyn Iterator<Item = &'a str> + '_> {
         match self {
-            Self::Few(targets) => Box::new(targets.iter().copied()),
-            Self::Many { index, below } => {
-                let targets = index.kept_from_own_place(*below);
+            Self::Listed(targets) => Box::new(targets.iter().copied()),
+            Self::UpToKey { index, below } => {
+                let targets = index.reserved_from_own_position(*below);
                 Box::new(targets.map(String::as_str))
             }
         }
--- a/crates/damaskstile-targets/tests/book.rs
+++ b/crates/damaskstile-targets/tests/book.rs
@@ -7,8 +7,8 @@
 /// Prompts of a calm minute at usual sizes: a shared beginning, a shared prefix, an own part.
 const CALLS: u64 = 2_000;
 /// Shared prefixes, one for each subject of calls.
-const SUBJECTS: u64 = 104;
-const SUBJECT_TOKENS: u64 = 3_800;
+const PREFIXES: u64 = 104;
+const PREFIX_TOKENS: u64 = 3_800;
 const BEGINNING_TOKENS: u64 = 2_500;
 const OWN_TOKENS: u64 = 2_900;
 const TARGETS: u64 = 9;
@@ -31,22 +31,22 @@
     TargetIdentity::new(name, None)
 }
 
-fn book(targets: u64) -> Book {
-    let mut book = Book::new("north", BookOptions::default());
+fn table(targets: u64) -> Book {
+    let mut table = Book::new("north", BookOptions::default());
     for index in 0..targets {
-        book.list(Duration::ZERO, listed(&format!("t{index}"), true));
+        table.list(Duration::ZERO, listed(&format!("t{index}"), true));
     }
-    book
+    table
 }
 
-fn prompt(subject: u64, own: u64) -> Work {
+fn prompt(prefix: u64, own: u64) -> Work {
     let part = |name, tokens| Part { name, tokens };
     Work {
-        prompt_tokens: BEGINNING_TOKENS + SUBJECT_TOKENS + OWN_TOKENS,
+        prompt_tokens: BEGINNING_TOKENS + PREFIX_TOKENS + OWN_TOKENS,
         output_tokens: 200,
         parts: vec![
             part(1, BEGINNING_TOKENS),
-            part(1_000 + subject, SUBJECT_TOKENS),
+            part(1_000 + prefix, PREFIX_TOKENS),
             part(1_000_000 + own, OWN_TOKENS),
         ],
         homes: None,
@@ -58,50 +58,57 @@
 }
 
 #[test]
-fn instances_that_do_not_talk_send_a_subject_to_the_same_target() {
+fn instances_without_contact_send_a_prefix_to_the_same_target() {
     // Guards against shared prompt parts that are prefilled again at every target, so that first
     // tokens come late on days with high load. Calls about one subject come to several instances,
     // which would send them to different targets if the hash were that of the last part, which only
     // the call itself has.
 
     // Arrange: the sizes are those of house-style revisions, 104 subjects and nine targets.
-    let mut books = [book(TARGETS), book(TARGETS), book(TARGETS)];
+    let mut tables = [table(TARGETS), table(TARGETS), table(TARGETS)];
     let mut random = Random::new(3);
-    let mut homes = std::collections::BTreeMap::<u64, std::collections::BTreeSet<String>>::new();
+    let mut targets_by_prefix =
+        std::collections::BTreeMap::<u64, std::collections::BTreeSet<String>>::new();
 
     // Act
     for call in 0..CALLS {
         let now = at(call * 30);
-        let subject = random.below(SUBJECTS);
-        let work = prompt(subject, call);
-        let book = &mut books[random.index(3)];
-        let choice = book.choose(now, SERVICE, &work, &[]).unwrap();
-        book.sent(now, &choice, &work);
-        book.prefilled(&choice);
-        book.ended(&choice);
-        homes.entry(subject).or_default().insert(choice.target);
+        let prefix = random.below(PREFIXES);
+        let work = prompt(prefix, call);
+        let table = &mut tables[random.index(3)];
+        let choice = table.choose(now, SERVICE, &work, &[]).unwrap();
+        table.sent(now, &choice, &work);
+        table.prefilled(&choice);
+        table.ended(&choice);
+        targets_by_prefix
+            .entry(prefix)
+            .or_default()
+            .insert(choice.target);
     }
 
     // Assert
-    let targets: usize = homes.values().map(std::collections::BTreeSet::len).sum();
+    let targets: usize = targets_by_prefix
+        .values()
+        .map(std::collections::BTreeSet::len)
+        .sum();
     assert!(
-        targets < homes.len() * 6 / 5,
+        targets < targets_by_prefix.len() * 6 / 5,
         "{targets} of {}",
-        homes.len()
+        targets_by_prefix.len()
     );
 }
 
 #[test]
-fn a_subject_that_everybody_asks_for_is_spread() {
+fn a_shared_prefix_in_high_demand_is_spread() {
     // Arrange: one shared prefix gets calls faster than one target prefills their own parts.
-    let mut book = book(TARGETS);
+    let mut table = table(TARGETS);
     let mut used = std::collections::BTreeSet::new();
 
     // Act: no prefill ends meanwhile.
     for call in 0..40 {
         let work = prompt(7, call);
-        let choice = book.choose(at(call), SERVICE, &work, &[]).unwrap();
-        book.sent(at(call), &choice, &work);
+        let choice = table.choose(at(call), SERVICE, &work, &[]).unwrap();
+        table.sent(at(call), &choice, &work);
         used.insert(choice.target);
     }
 
@@ -110,23 +117,23 @@
 }
 
 #[test]
-fn a_target_that_fails_is_left_and_tried_again() {
+fn a_target_that_fails_is_avoided_and_tried_again() {
     // Arrange
-    let mut book = book(2);
+    let mut table = table(2);
     let work = Work::default();
     let others = ["t1".to_owned()];
-    let choice = book.choose(at(1_000), SERVICE, &work, &others).unwrap();
+    let choice = table.choose(at(1_000), SERVICE, &work, &others).unwrap();
     for _ in 0..3 {
-        book.silent(at(1_000), &choice);
+        table.silent(at(1_000), &choice);
     }
 
     // Act
-    let soon = book.choose(at(1_100), SERVICE, &work, &[]).unwrap();
+    let soon = table.choose(at(1_100), SERVICE, &work, &[]).unwrap();
     for _ in 0..50 {
-        let choice = book.choose(at(20_000), SERVICE, &work, &["t0".to_owned()]);
-        book.sent(at(20_000), &choice.unwrap(), &work);
+        let choice = table.choose(at(20_000), SERVICE, &work, &["t0".to_owned()]);
+        table.sent(at(20_000), &choice.unwrap(), &work);
     }
-    let later = book.choose(at(20_000), SERVICE, &work, &[]).unwrap();
+    let later = table.choose(at(20_000), SERVICE, &work, &[]).unwrap();
 
     // Assert
     assert_eq!(soon.target, "t1");
@@ -139,33 +146,33 @@
     // late entry of the list shows it as ready. The last report to arrive is not the newest.
 
     // Arrange
-    let mut book = book(1);
-    book.leave(at(10), &unstated("t0"));
+    let mut table = table(1);
+    table.leave(at(10), &unstated("t0"));
 
     // Act
-    book.list(at(20), listed("t0", true));
+    table.list(at(20), listed("t0", true));
 
     // Assert
-    assert_eq!(book.choose(at(30), SERVICE, &Work::default(), &[]), None);
-    assert_eq!(book.draining(at(30)), [unstated("t0")]);
+    assert_eq!(table.choose(at(30), SERVICE, &Work::default(), &[]), None);
+    assert_eq!(table.draining(at(30)), [unstated("t0")]);
 }
 
 #[test]
-fn entries_that_lapse_around_an_outage_stay_in_use_for_a_moment() {
+fn entries_that_expire_around_an_outage_stay_in_use_for_a_grace_period() {
     // Guards against an outage of the store after which every call is refused for lack of targets.
     // The entries expire during the outage, the list comes back empty, and the targets write their
     // entries again within two seconds. A missing entry must not be treated as a stop.
 
     // Arrange
-    let mut book = book(1);
+    let mut table = table(1);
     let work = Work::default();
 
     // Act
-    book.list_all(at(1_000), Vec::new(), true);
-    let at_once = book.choose(at(1_100), SERVICE, &work, &[]);
-    let past_grace = book.choose(at(3_000), SERVICE, &work, &[]);
-    book.list(at(3_100), listed("t0", true));
-    let back = book.choose(at(3_200), SERVICE, &work, &[]);
+    table.list_all(at(1_000), Vec::new(), true);
+    let at_once = table.choose(at(1_100), SERVICE, &work, &[]);
+    let past_grace = table.choose(at(3_000), SERVICE, &work, &[]);
+    table.list(at(3_100), listed("t0", true));
+    let back = table.choose(at(3_200), SERVICE, &work, &[]);
 
     // Assert
     assert!(at_once.is_some());
@@ -174,23 +181,26 @@
 }
 
 #[test]
-fn an_entry_that_vanishes_at_other_times_is_leaving_at_once() {
-    let mut book = book(1);
-    book.unlist(at(1_000), "t0", false);
-    assert_eq!(book.choose(at(1_000), SERVICE, &Work::default(), &[]), None);
-    assert_eq!(book.vanished(at(1_000)), [unstated("t0")]);
+fn a_target_delisted_at_other_times_is_leaving_at_once() {
+    let mut table = table(1);
+    table.unlist(at(1_000), "t0", false);
+    assert_eq!(
+        table.choose(at(1_000), SERVICE, &Work::default(), &[]),
+        None
+    );
+    assert_eq!(table.vanished(at(1_000)), [unstated("t0")]);
 }
 
 #[test]
-fn a_list_that_is_handed_on_names_only_targets_that_are_there() {
+fn a_list_passed_to_peers_contains_only_present_targets() {
     // Guards against a target that receives calls four seconds after it left. Its entry is removed
     // shortly after an outage; one instance keeps it in use for a grace period, another knows
     // already that it is gone and then pulls the first one's list. That list must not contain
     // targets in their grace period.
 
     // Arrange
-    let mut waiting = book(2);
-    let mut other = book(2);
+    let mut waiting = table(2);
+    let mut other = table(2);
     waiting.unlist(at(0), "t0", true);
     other.vanish(at(20), &unstated("t0"));
 
@@ -199,25 +209,26 @@
     other.list_all(at(300), all, false);
 
     // Assert
-    let chosen = |book: &Book| book.choose(at(400), SERVICE, &Work::default(), &["t1".to_owned()]);
+    let chosen =
+        |table: &Book| table.choose(at(400), SERVICE, &Work::default(), &["t1".to_owned()]);
     assert!(chosen(&waiting).is_some());
     assert!(chosen(&other).is_none());
 }
 
 #[test]
-fn a_target_that_did_not_come_back_after_an_outage_is_told_as_gone() {
+fn a_target_still_missing_after_an_outage_is_reported_as_delisted() {
     // Guards against instances that have their list from others and call targets that ended during
     // an outage of the list, because those others stopped using them and reported it to no one.
 
     // Arrange
-    let mut book = book(2);
+    let mut table = table(2);
 
     // Act
-    book.unlist(at(0), "t0", true);
+    table.unlist(at(0), "t0", true);
 
     // Assert
-    assert!(book.vanished(at(1_000)).is_empty());
-    assert_eq!(book.vanished(at(2_000)), [unstated("t0")]);
-    book.list(at(2_100), listed("t0", true));
-    assert!(book.vanished(at(2_200)).is_empty());
+    assert!(table.vanished(at(1_000)).is_empty());
+    assert_eq!(table.vanished(at(2_000)), [unstated("t0")]);
+    table.list(at(2_100), listed("t0", true));
+    assert!(table.vanished(at(2_200)).is_empty());
 }
--- a/crates/damaskstile-targets/tests/choice_cost.rs
+++ b/crates/damaskstile-targets/tests/choice_cost.rs
@@ -35,26 +35,26 @@
     }
 }
 
-fn book(instance: &str, models: usize, portals: usize) -> Book {
-    let mut book = Book::new("c0", BookOptions::default()).of_instance(instance, Duration::ZERO);
+fn table(instance: &str, models: usize, portals: usize) -> Book {
+    let mut table = Book::new("c0", BookOptions::default()).of_instance(instance, Duration::ZERO);
     for index in 0..models {
-        book.list(Duration::ZERO, listed(MODEL, index));
+        table.list(Duration::ZERO, listed(MODEL, index));
     }
     for index in 0..portals {
-        book.list(Duration::ZERO, listed(PORTAL, index));
+        table.list(Duration::ZERO, listed(PORTAL, index));
     }
-    book
+    table
 }
 
 /// Makes a prompt with a beginning that many share, a shared prefix of its subject and an own part.
-fn prompt(subject: u64, call: u64) -> Work {
+fn prompt(prefix: u64, call: u64) -> Work {
     let part = |name, tokens| Part { name, tokens };
     Work {
         prompt_tokens: 9_000,
         output_tokens: 100,
         parts: vec![
             part(1, 2_500),
-            part(1_000 + subject, 3_800),
+            part(1_000 + prefix, 3_800),
             part(1_000_000 + call, 2_700),
         ],
         homes: None,
@@ -62,10 +62,10 @@
 }
 
 /// Returns how many candidates the selections of a minute have examined.
-fn looks_of_a_minute(targets: usize) -> u64 {
-    let mut book = book("i", targets, targets);
+fn examined_in_a_minute(targets: usize) -> u64 {
+    let mut table = table("i", targets, targets);
     let mut random = Random::new(7);
-    let before = book.looks();
+    let before = table.candidates_examined();
     for call in 0..CALLS {
         let now = Duration::from_secs(10 + call);
         let (service, work) = if call % 3 == 0 {
@@ -73,23 +73,23 @@
         } else {
             (MODEL, prompt(random.below(2_000), call))
         };
-        book.has_target(now, service, &work).unwrap();
-        let choice = book.choose(now, service, &work, &[]).unwrap();
-        book.sent(now, &choice, &work);
-        book.prefilled(&choice);
-        book.ended(&choice);
-        book.succeeded(now, &choice);
+        table.has_target(now, service, &work).unwrap();
+        let choice = table.choose(now, service, &work, &[]).unwrap();
+        table.sent(now, &choice, &work);
+        table.prefilled(&choice);
+        table.ended(&choice);
+        table.succeeded(now, &choice);
     }
-    book.looks() - before
+    table.candidates_examined() - before
 }
 
 #[test]
-fn a_choice_looks_at_as_many_targets_in_a_large_list_as_in_a_small_one() {
+fn selections_examine_as_many_targets_in_a_large_list_as_in_a_small_one() {
     // Guards against selections that examine all targets several times, which take tens of
     // milliseconds each on an instance with an eighth of a core.
 
     // Act
-    let (few, many) = (looks_of_a_minute(FEW), looks_of_a_minute(MANY));
+    let (few, many) = (examined_in_a_minute(FEW), examined_in_a_minute(MANY));
 
     // Assert
     #[allow(clippy::cast_precision_loss)] // counts far below 2^52
@@ -99,9 +99,9 @@
 
 /// Returns how many candidates the selections of a busy instance of a large fleet have examined,
 /// with one long prompt in twenty calls.
-fn looks_beside_long_prompts(targets: usize) -> u64 {
-    let mut book = book("i", targets, 0);
-    book.set_instances(1_000);
+fn examined_beside_long_prompts(targets: usize) -> u64 {
+    let mut table = table("i", targets, 0);
+    table.set_instances(1_000);
     let mut open = VecDeque::new();
     for call in 0..BUSY_CALLS {
         let now = Duration::from_secs(10) + BUSY_GAP * u32::try_from(call).unwrap();
@@ -110,28 +110,28 @@
             work.prompt_tokens += LONG_TOKENS;
             work.parts[2].tokens += LONG_TOKENS;
         }
-        let choice = book.choose(now, MODEL, &work, &[]).unwrap();
-        book.sent(now, &choice, &work);
+        let choice = table.choose(now, MODEL, &work, &[]).unwrap();
+        table.sent(now, &choice, &work);
         open.push_back(choice);
         if open.len() > OPEN_CALLS {
             let choice = open.pop_front().unwrap();
-            book.prefilled(&choice);
-            book.ended(&choice);
-            book.succeeded(now, &choice);
+            table.prefilled(&choice);
+            table.ended(&choice);
+            table.succeeded(now, &choice);
         }
     }
-    book.looks()
+    table.candidates_examined()
 }
 
 #[test]
-fn long_prompts_at_a_busy_instance_make_no_choice_dearer_in_a_large_list() {
+fn long_prompts_at_a_busy_instance_add_no_selection_cost_in_a_large_list() {
     // Guards against an instance that assumes its own load for each of a thousand, reserves a third
     // of ten thousand targets for long prompts, and weighs all of these for each call.
 
     // Act
     let (few, many) = (
-        looks_beside_long_prompts(FEW),
-        looks_beside_long_prompts(MANY),
+        examined_beside_long_prompts(FEW),
+        examined_beside_long_prompts(MANY),
     );
 
     // Assert
@@ -146,16 +146,16 @@
     // ten thousand entries takes seconds to load.
 
     // Arrange
-    let mut books = [book("i", FEW, 0), book("i", MANY, 0)];
+    let mut tables = [table("i", FEW, 0), table("i", MANY, 0)];
 
     // Act: the best of several rounds, since other processes use the processor at times.
-    let took = books.each_mut().map(|book| {
+    let took = tables.each_mut().map(|table| {
         let times = (0..7_u64).map(|round| {
             let began_at = Instant::now();
             for index in 0..FEW {
                 let incarnation = Some(2 + round);
                 let entry = listed(MODEL, index);
-                book.list(
+                table.list(
                     Duration::ZERO,
                     Listed {
                         incarnation,
@@ -184,8 +184,8 @@
 
     // Act
     for index in 0..INSTANCES {
-        let book = book(&format!("i{index}"), 0, PORTALS);
-        let choice = book.choose(Duration::from_secs(1), PORTAL, &Work::default(), &[]);
+        let table = table(&format!("i{index}"), 0, PORTALS);
+        let choice = table.choose(Duration::from_secs(1), PORTAL, &Work::default(), &[]);
         *calls.entry(choice.unwrap().target).or_default() += 1;
     }
 
@@ -195,21 +195,21 @@
 }
 
 #[test]
-fn an_idle_instance_goes_on_with_the_target_that_it_has_a_connection_to() {
+fn an_idle_instance_keeps_to_the_target_that_it_has_a_connection_to() {
     // Guards against a new connection for each call where all targets are idle.
 
     // Arrange
-    let mut book = book("i", 0, 205);
+    let mut table = table("i", 0, 205);
     let mut used = BTreeSet::new();
 
     // Act
     for call in 0..CALLS {
         let now = Duration::from_secs(call);
         let work = Work::default();
-        let choice = book.choose(now, PORTAL, &work, &[]).unwrap();
-        book.sent(now, &choice, &work);
-        book.ended(&choice);
-        book.succeeded(now, &choice);
+        let choice = table.choose(now, PORTAL, &work, &[]).unwrap();
+        table.sent(now, &choice, &work);
+        table.ended(&choice);
+        table.succeeded(now, &choice);
         used.insert(choice.target);
     }
 
@@ -218,19 +218,19 @@
 }
 
 #[test]
-fn a_choice_is_no_worse_than_one_among_all_targets() {
+fn a_selection_costs_no_more_than_one_among_all_targets() {
     // Guards against a cheaper target that is not among the few that are weighed.
 
     // Arrange: in a list so short that all of it was used recently, all targets are weighed.
     let mut random = Random::new(11);
     for seed in 0..200 {
-        let mut book = book(&format!("i{seed}"), 40, 0);
+        let mut table = table(&format!("i{seed}"), 40, 0);
         let mut sends = Vec::new();
         for call in 0..random.below(60) {
             let now = Duration::from_millis(call * 20);
             let work = prompt(random.below(8), call);
-            let choice = book.choose(now, MODEL, &work, &[]).unwrap();
-            book.sent(now, &choice, &work);
+            let choice = table.choose(now, MODEL, &work, &[]).unwrap();
+            table.sent(now, &choice, &work);
             sends.push(choice);
         }
 
@@ -239,7 +239,7 @@
         let work = prompt(random.below(8), 1_000);
         let mut tried = Vec::new();
         let mut costs = Vec::new();
-        while let Some(choice) = book.choose(now, MODEL, &work, &tried) {
+        while let Some(choice) = table.choose(now, MODEL, &work, &tried) {
             costs.push(choice.cost_ms);
             tried.push(choice.target);
         }
@@ -251,32 +251,32 @@
 }
 
 #[test]
-fn a_busy_instance_chooses_as_cheaply_as_an_idle_one() {
+fn a_busy_instance_selects_as_cheaply_as_an_idle_one() {
     // Guards against an instance that receives ten times the calls of its neighbours and spends ten
     // times as much on each, so that its processor is saturated and its answers wait for seconds.
 
     // Arrange: seventy calls a second for ten seconds, each with another shared prefix.
-    let mut book = book("i", 10_000, 0);
+    let mut table = table("i", 10_000, 0);
     let mut calls = 0;
-    let mut call = |book: &mut Book, now: Duration| {
+    let mut call = |table: &mut Book, now: Duration| {
         calls += 1;
         let work = prompt(calls, calls);
-        let choice = book.choose(now, MODEL, &work, &[]).unwrap();
-        book.sent(now, &choice, &work);
-        book.prefilled(&choice);
-        book.ended(&choice);
+        let choice = table.choose(now, MODEL, &work, &[]).unwrap();
+        table.sent(now, &choice, &work);
+        table.prefilled(&choice);
+        table.ended(&choice);
     };
-    let mut time = |book: &mut Book, from_ms: u64| {
+    let mut time = |table: &mut Book, from_ms: u64| {
         let began_at = Instant::now();
         for index in 0..50 {
-            call(book, Duration::from_millis(from_ms + index * 14));
+            call(table, Duration::from_millis(from_ms + index * 14));
         }
         began_at.elapsed()
     };
-    let idle = time(&mut book, 0);
+    let idle = time(&mut table, 0);
 
     // Act
-    let busy = (1..14).map(|round| time(&mut book, round * 700)).min();
+    let busy = (1..14).map(|round| time(&mut table, round * 700)).min();
 
     // Assert: the 700 targets with remembered state are weighed, and few are examined further.
     assert!(busy.unwrap() < idle * 20, "{busy:?}, {idle:?}");
--- a/crates/damaskstile-targets/tests/cold_cost.rs
+++ b/crates/damaskstile-targets/tests/cold_cost.rs
@@ -12,16 +12,16 @@
 const LIMIT: Duration = Duration::from_secs(2);
 
 #[test]
-fn a_fleet_that_meets_while_all_targets_are_cold_takes_little_time() {
+fn meeting_a_fleet_while_all_targets_are_cold_takes_little_time() {
     // Guards against a check of every pair of targets and instances for each instance that is met.
 
     // Arrange
-    let mut book = Book::new("north", BookOptions::default()).of_instance("i", Duration::ZERO);
+    let mut table = Book::new("north", BookOptions::default()).of_instance("i", Duration::ZERO);
     let limit = ColdLimit {
         cold_time: Duration::from_secs(3),
         calls_per_s: Some(23.0),
     };
-    book.set_cold_limits([("model".to_owned(), limit)].into());
+    table.set_cold_limits([("model".to_owned(), limit)].into());
     for index in 0..TARGETS {
         let listed = Listed {
             target: format!("t{index}"),
@@ -33,15 +33,15 @@
             is_ready: true,
             cold_for: Duration::from_secs(3),
         };
-        book.list(Duration::ZERO, listed);
+        table.list(Duration::ZERO, listed);
     }
 
     // Act
     let began_at = Instant::now();
     for index in 0..INSTANCES {
-        book.meet(&format!("i{index}"), INSTANCES);
+        table.meet(&format!("i{index}"), INSTANCES);
     }
-    let choice = book.choose(Duration::from_secs(2), "model", &Work::default(), &[]);
+    let choice = table.choose(Duration::from_secs(2), "model", &Work::default(), &[]);
     let took = began_at.elapsed();
 
     // Assert
--- a/crates/damaskstile-targets/tests/cold_fleet.rs
+++ b/crates/damaskstile-targets/tests/cold_fleet.rs
@@ -38,36 +38,36 @@
 }
 
 /// Makes the table of an instance that knows some others.
-fn book(own: usize, others: impl Iterator<Item = usize>, told: usize) -> Book {
-    let mut book =
+fn table(own: usize, others: impl Iterator<Item = usize>, reported_instances: usize) -> Book {
+    let mut table =
         Book::new("north", BookOptions::default()).of_instance(&name(own), Duration::ZERO);
     let limit = ColdLimit {
         cold_time: at(3_000),
         calls_per_s: Some(ALLOWED_PER_S),
     };
-    book.set_cold_limits([(SERVICE.to_owned(), limit)].into());
+    table.set_cold_limits([(SERVICE.to_owned(), limit)].into());
     for other in others {
-        book.meet(&name(other), told as u64);
+        table.meet(&name(other), reported_instances as u64);
     }
-    book
+    table
 }
 
 /// Lets all instances call all the time for three seconds, and select the cold target where they
 /// may. Returns the most calls that it received within a second, and all that it received.
-fn most_in_a_second(books: &mut [Book], from_ms: u64, seed: u64) -> (usize, usize) {
+fn most_in_a_second(tables: &mut [Book], from_ms: u64, seed: u64) -> (usize, usize) {
     let mut random = Random::new(seed);
     let mut sent: Vec<u64> = Vec::new();
     for ms in (from_ms..from_ms + 3_000).step_by(usize::try_from(STEP_MS).unwrap()) {
-        for book in books.iter_mut() {
+        for table in tables.iter_mut() {
             let begins = random.below(1_000) < BURST_PER_MILLE;
             let work = Work::default();
-            let choice = begins.then(|| book.choose(at(ms), SERVICE, &work, &["warm".to_owned()]));
+            let choice = begins.then(|| table.choose(at(ms), SERVICE, &work, &["warm".to_owned()]));
             let Some(choice) = choice.flatten() else {
                 continue;
             };
             // Its connection takes a while, in which other calls may be sent.
             let later = at(ms + random.below(60));
-            if book.claim_send(later, &choice.identity()) {
+            if table.claim_send(later, &choice.identity()) {
                 sent.push(u64::try_from(later.as_millis()).unwrap());
             }
         }
@@ -81,24 +81,24 @@
     (most.unwrap_or(0), sent.len())
 }
 
-fn list_cold(books: &mut [Book], now_ms: u64) {
-    for book in books {
-        book.list(at(now_ms), listed("warm", 1, 0));
-        book.list(at(now_ms), listed("cold", 1, 3_000));
+fn list_cold(tables: &mut [Book], now_ms: u64) {
+    for table in tables {
+        table.list(at(now_ms), listed("warm", 1, 0));
+        table.list(at(now_ms), listed("cold", 1, 3_000));
     }
 }
 
 #[test]
-fn a_new_target_that_is_best_for_all_gets_what_it_bears_at_each_size() {
+fn a_cold_target_that_is_best_for_all_stays_within_its_limit() {
     // Guards against all instances of a large fleet that find the same idle target best.
     for size in SIZES {
         for seed in 0..4 {
             // Arrange
-            let mut books: Vec<Book> = (0..size).map(|own| book(own, 0..size, size)).collect();
-            list_cold(&mut books, 10_000);
+            let mut tables: Vec<Book> = (0..size).map(|own| table(own, 0..size, size)).collect();
+            list_cold(&mut tables, 10_000);
 
             // Act
-            let (most, all) = most_in_a_second(&mut books, 10_000, seed);
+            let (most, all) = most_in_a_second(&mut tables, 10_000, seed);
 
             // Assert
             assert!(most <= ALLOWED * 8 / 10, "{size} instances: {most}");
@@ -108,21 +108,21 @@
 }
 
 #[test]
-fn instances_that_know_half_of_the_others_stay_within_the_bound() {
+fn instances_that_know_half_of_the_others_stay_within_the_limit() {
     // Guards against instances that take themselves to be among the few because they know few
     // others.
     for size in SIZES {
         // Arrange: each knows another part of the fleet, and how many instances there are.
-        let mut books: Vec<Book> = (0..size)
+        let mut tables: Vec<Book> = (0..size)
             .map(|own| {
                 let known = (0..size).filter(move |other| (own * 7 + other * 3) % 5 < 3);
-                book(own, known, size)
+                table(own, known, size)
             })
             .collect();
-        list_cold(&mut books, 10_000);
+        list_cold(&mut tables, 10_000);
 
         // Act
-        let (most, _) = most_in_a_second(&mut books, 10_000, 7);
+        let (most, _) = most_in_a_second(&mut tables, 10_000, 7);
 
         // Assert
         assert!(most <= ALLOWED, "{size} instances: {most}");
@@ -130,27 +130,27 @@
 }
 
 #[test]
-fn a_fleet_that_was_killed_and_starts_at_once_sends_nothing_before_it_knows_itself() {
+fn a_fleet_that_restarts_at_once_stays_within_the_limit() {
     // Guards against processes that know neither each other nor what their predecessors sent.
     for size in SIZES {
         // Arrange: each has heard from one peer, which knows how many instances there are.
-        let mut books: Vec<Book> = (0..size)
+        let mut tables: Vec<Book> = (0..size)
             .map(|own| {
-                let mut book =
+                let mut table =
                     Book::new("north", BookOptions::default()).of_instance(&name(own), at(10_000));
                 let limit = ColdLimit {
                     cold_time: at(3_000),
                     calls_per_s: Some(ALLOWED_PER_S),
                 };
-                book.set_cold_limits([(SERVICE.to_owned(), limit)].into());
-                book.meet(&name((own + 1) % size), size as u64);
-                book
+                table.set_cold_limits([(SERVICE.to_owned(), limit)].into());
+                table.meet(&name((own + 1) % size), size as u64);
+                table
             })
             .collect();
-        list_cold(&mut books, 10_000);
+        list_cold(&mut tables, 10_000);
 
         // Act
-        let (most, _) = most_in_a_second(&mut books, 10_000, 3);
+        let (most, _) = most_in_a_second(&mut tables, 10_000, 3);
 
         // Assert
         assert!(most <= ALLOWED, "{size} instances: {most}");
@@ -158,31 +158,31 @@
 }
 
 #[test]
-fn both_sides_of_a_cut_fleet_stay_within_the_bound_together() {
+fn both_sides_of_a_partition_stay_within_the_limit_together() {
     // Guards against sides that each find the full number of senders among their own instances.
 
     // Arrange: they met before the partition.
-    let mut books: Vec<Book> = (0..90).map(|own| book(own, 0..90, 90)).collect();
-    list_cold(&mut books, 20_000);
+    let mut tables: Vec<Book> = (0..90).map(|own| table(own, 0..90, 90)).collect();
+    list_cold(&mut tables, 20_000);
 
     // Act: instances hear nothing of the other side; what each knows does not change.
-    let (most, _) = most_in_a_second(&mut books, 20_000, 11);
+    let (most, _) = most_in_a_second(&mut tables, 20_000, 11);
 
     // Assert
     assert!(most <= ALLOWED * 8 / 10, "{most}");
 }
 
 #[test]
-fn an_older_word_does_not_shorten_a_cold_time_and_a_new_incarnation_begins_its_own() {
+fn a_cold_time_is_not_shortened_and_a_new_incarnation_starts_its_own() {
     // Arrange
-    let mut book = book(0, 0..1, 1);
-    book.list(at(5_000), listed("t", 1, 3_000));
+    let mut table = table(0, 0..1, 1);
+    table.list(at(5_000), listed("t", 1, 3_000));
 
     // Act
-    book.list(at(5_100), listed("t", 1, 500));
-    let of_first = book.cold_for(at(5_100), "t");
-    book.list(at(5_200), listed("t", 2, 2_000));
-    let of_next = book.cold_for(at(5_200), "t");
+    table.list(at(5_100), listed("t", 1, 500));
+    let of_first = table.cold_for(at(5_100), "t");
+    table.list(at(5_200), listed("t", 2, 2_000));
+    let of_next = table.cold_for(at(5_200), "t");
 
     // Assert
     assert_eq!(of_first, at(2_900));
@@ -190,30 +190,30 @@
 }
 
 #[test]
-fn absurd_cold_times_are_bounded() {
+fn excessive_cold_times_are_bounded() {
     // Arrange
-    let mut book = book(0, 0..1, 1);
+    let mut table = table(0, 0..1, 1);
 
     // Act
-    book.list(at(5_000), listed("t", 1, u64::MAX / 2));
+    table.list(at(5_000), listed("t", 1, u64::MAX / 2));
 
     // Assert
-    assert_eq!(book.cold_for(at(5_000), "t"), Duration::from_mins(1));
+    assert_eq!(table.cold_for(at(5_000), "t"), Duration::from_mins(1));
 }
 
 #[test]
-fn a_target_that_ended_is_taken_for_cold_until_it_is_listed_or_gone() {
+fn a_target_that_ended_is_treated_as_cold() {
     // Guards against a target that is back under its name before any report of it.
 
     // Arrange
-    let mut book = book(0, 0..1, 1);
-    book.list(at(5_000), listed("t", 1, 0));
+    let mut table = table(0, 0..1, 1);
+    table.list(at(5_000), listed("t", 1, 0));
 
     // Act
-    book.note_ended(at(6_000), &TargetIdentity::new("t", Some(1)));
+    table.note_ended(at(6_000), &TargetIdentity::new("t", Some(1)));
 
     // Assert
-    assert_eq!(book.cold_for(at(6_000), "t"), at(7_000));
+    assert_eq!(table.cold_for(at(6_000), "t"), at(7_000));
 }
 
 #[test]
@@ -222,14 +222,14 @@
 
     // Arrange
     let started_at = at(10_000);
-    let mut book = Book::new("north", BookOptions::default()).of_instance("i", started_at);
+    let mut table = Book::new("north", BookOptions::default()).of_instance("i", started_at);
     let limit = ColdLimit {
         cold_time: at(3_000),
         calls_per_s: Some(ALLOWED_PER_S),
     };
-    book.set_cold_limits([(SERVICE.to_owned(), limit)].into());
-    book.list(started_at, listed("cold", 1, 3_000));
-    let chosen = |ms: u64| book.choose(at(ms), SERVICE, &Work::default(), &[]);
+    table.set_cold_limits([(SERVICE.to_owned(), limit)].into());
+    table.list(started_at, listed("cold", 1, 3_000));
+    let chosen = |ms: u64| table.choose(at(ms), SERVICE, &Work::default(), &[]);
 
     // Act
     let at_once = chosen(10_900);
@@ -241,20 +241,20 @@
 }
 
 #[test]
-fn calls_that_wait_for_connections_at_the_same_time_take_one_place_each() {
+fn calls_that_wait_for_connections_together_each_use_up_the_limit() {
     // Guards against calls that were selected while the limit had room, and are sent together.
 
     // Arrange: one of eighteen senders, with one call a second.
-    let mut book = book(0, 0..18, 18);
-    book.list(at(5_000), listed("cold", 1, 3_000));
-    let choice = book.choose(at(5_000), SERVICE, &Work::default(), &[]);
+    let mut table = table(0, 0..18, 18);
+    table.list(at(5_000), listed("cold", 1, 3_000));
+    let choice = table.choose(at(5_000), SERVICE, &Work::default(), &[]);
     let identity = choice.unwrap().identity();
 
     // Act
     let sent: Vec<bool> = (0..4)
-        .map(|ms| book.claim_send(at(5_010 + ms), &identity))
+        .map(|ms| table.claim_send(at(5_010 + ms), &identity))
         .collect();
-    let next = book.claim_send(at(6_040), &identity);
+    let next = table.claim_send(at(6_040), &identity);
 
     // Assert
     assert_eq!(sent, [true, false, false, false]);
--- a/crates/damaskstile-targets/tests/emptied.rs
+++ b/crates/damaskstile-targets/tests/emptied.rs
@@ -26,26 +26,26 @@
 }
 
 /// Makes a table with a target in each of two data centres, which are in different regions.
-fn book() -> Book {
+fn table() -> Book {
     let regions = [("north", "upper"), ("south", "lower")];
-    let regions = regions.map(|(place, region)| (place.to_owned(), region.to_owned()));
+    let regions = regions.map(|(data_centre, region)| (data_centre.to_owned(), region.to_owned()));
     let options = BookOptions {
         empties_data_centres: true,
         regions: regions.into(),
         ..BookOptions::default()
     };
-    let mut book = Book::new("north", options).of_instance("i", Duration::ZERO);
-    book.list(at(0), listed("n", "north"));
-    book.list(at(0), listed("s", "south"));
-    book
+    let mut table = Book::new("north", options).of_instance("i", Duration::ZERO);
+    table.list(at(0), listed("n", "north"));
+    table.list(at(0), listed("s", "south"));
+    table
 }
 
 fn names(names: &[&str]) -> BTreeSet<DataCentreId> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn chosen(book: &Book, now: Duration, work: &Work) -> Option<TargetId> {
-    let choice = book.choose(now, SERVICE, work, &[]);
+fn chosen(table: &Book, now: Duration, work: &Work) -> Option<TargetId> {
+    let choice = table.choose(now, SERVICE, work, &[]);
     choice.map(|choice| choice.target)
 }
 
@@ -58,17 +58,17 @@
 }
 
 #[test]
-fn nothing_is_sent_before_it_is_known_what_is_emptied() {
+fn nothing_is_sent_before_the_evacuated_data_centres_are_known() {
     // Guards against an instance that starts and sends to an evacuated data centre before it learns
     // of the evacuation.
 
     // Arrange
-    let mut book = book();
+    let mut table = table();
 
     // Act
-    let before = chosen(&book, at(10), &Work::default());
-    book.take_emptied(at(20), 5, &BTreeSet::new());
-    let after = chosen(&book, at(30), &Work::default());
+    let before = chosen(&table, at(10), &Work::default());
+    table.take_emptied(at(20), 5, &BTreeSet::new());
+    let after = chosen(&table, at(30), &Work::default());
 
     // Assert
     assert_eq!(before, None);
@@ -76,34 +76,34 @@
 }
 
 #[test]
-fn an_older_word_neither_revives_an_entry_nor_takes_it_back() {
+fn an_older_update_neither_adds_nor_removes_an_evacuation() {
     // Guards against digests of instances that lag.
 
     // Arrange
-    let mut book = book();
-    book.take_emptied(at(10), 5, &names(&["north"]));
+    let mut table = table();
+    table.take_emptied(at(10), 5, &names(&["north"]));
 
     // Act
-    let older = book.take_emptied(at(20), 4, &BTreeSet::new());
-    let emptied = chosen(&book, at(20), &Work::default());
-    book.take_emptied(at(30), 6, &BTreeSet::new());
-    let late = book.take_emptied_changes(at(40), 6, &[("south".to_owned(), true)]);
+    let older = table.take_emptied(at(20), 4, &BTreeSet::new());
+    let emptied = chosen(&table, at(20), &Work::default());
+    table.take_emptied(at(30), 6, &BTreeSet::new());
+    let late = table.take_emptied_changes(at(40), 6, &[("south".to_owned(), true)]);
 
     // Assert
     assert!(older.is_empty());
     assert_eq!(emptied.as_deref(), Some("s"));
     assert!(late.is_empty());
-    assert!(!book.emptied().covers("south"));
+    assert!(!table.emptied().covers("south"));
 }
 
 #[test]
-fn calls_that_wait_and_parts_to_fetch_are_bound_too() {
+fn evacuations_apply_to_waiting_calls_and_to_fetches() {
     // Guards against a call that was waiting for its connection when the data centre was evacuated,
     // and against a fetch of cached parts from an evacuated data centre.
 
     // Arrange
-    let mut book = book();
-    book.take_emptied(at(10), 5, &BTreeSet::new());
+    let mut table = table();
+    table.take_emptied(at(10), 5, &BTreeSet::new());
     let part = |name| Part {
         name,
         tokens: 4_000,
@@ -113,15 +113,15 @@
         parts: vec![part(1), part(2)],
         ..Work::default()
     };
-    let choice = book
+    let choice = table
         .choose(at(20), SERVICE, &work, &["s".to_owned()])
         .unwrap();
-    book.sent(at(20), &choice, &work);
+    table.sent(at(20), &choice, &work);
 
     // Act
-    book.take_emptied(at(30), 6, &names(&["north"]));
-    let is_sent = book.claim_send(at(40), &choice.identity());
-    let next = book.choose(at(50), SERVICE, &work, &[]).unwrap();
+    table.take_emptied(at(30), 6, &names(&["north"]));
+    let is_sent = table.claim_send(at(40), &choice.identity());
+    let next = table.choose(at(50), SERVICE, &work, &[]).unwrap();
 
     // Assert
     assert!(!is_sent);
@@ -133,34 +133,34 @@
     // Guards against a whole data centre that returns cold and looks idle to all instances.
 
     // Arrange
-    let mut book = book();
+    let mut table = table();
     let limit = ColdLimit {
         cold_time: at(3_000),
         calls_per_s: Some(10.0),
     };
-    book.set_cold_limits([(SERVICE.to_owned(), limit)].into());
-    book.take_emptied(at(10), 5, &names(&["north"]));
+    table.set_cold_limits([(SERVICE.to_owned(), limit)].into());
+    table.take_emptied(at(10), 5, &names(&["north"]));
 
     // Act
-    book.take_emptied(at(9_000), 6, &BTreeSet::new());
+    table.take_emptied(at(9_000), 6, &BTreeSet::new());
 
     // Assert
-    assert_eq!(book.cold_for(at(9_000), "n"), at(3_000));
-    assert_eq!(book.cold_for(at(9_000), "s"), at(0));
+    assert_eq!(table.cold_for(at(9_000), "n"), at(3_000));
+    assert_eq!(table.cold_for(at(9_000), "s"), at(0));
 }
 
 #[test]
 fn calls_are_refused_with_the_reason_where_no_region_may_run_them() {
     // Arrange
-    let mut book = book();
-    book.take_emptied(at(10), 5, &BTreeSet::new());
+    let mut table = table();
+    table.take_emptied(at(10), 5, &BTreeSet::new());
 
     // Act
-    let lower = chosen(&book, at(20), &work_of(&["lower"]));
-    let unknown = book.has_target(at(20), SERVICE, &work_of(&["nowhere"]));
-    let none = book.has_target(at(20), SERVICE, &work_of(&[]));
-    book.take_emptied(at(30), 6, &names(&["north", "south", "elsewhere"]));
-    let all_emptied = book.has_target(at(40), SERVICE, &Work::default());
+    let lower = chosen(&table, at(20), &work_of(&["lower"]));
+    let unknown = table.has_target(at(20), SERVICE, &work_of(&["nowhere"]));
+    let none = table.has_target(at(20), SERVICE, &work_of(&[]));
+    table.take_emptied(at(30), 6, &names(&["north", "south", "elsewhere"]));
+    let all_emptied = table.has_target(at(40), SERVICE, &Work::default());
 
     // Assert
     assert_eq!(lower.as_deref(), Some("s"));
--- a/crates/damaskstile-targets/tests/limited_fleet.rs
+++ b/crates/damaskstile-targets/tests/limited_fleet.rs
@@ -14,7 +14,7 @@
 /// Calls that an instance begins in one step at most, in a thousand.
 const BURST_PER_MILLE: u64 = 100;
 /// Time after the first answer in which the limit reaches all instances.
-const TOLD_MS: u64 = 8_000;
+const REPORTED_MS: u64 = 8_000;
 /// Span in which calls are counted.
 const COUNTED_MS: u64 = 4_000;
 
@@ -41,37 +41,37 @@
 
 /// A simulated fleet with one target that is the best for all of its calls.
 struct Fleet {
-    books: Vec<Book>,
+    tables: Vec<Book>,
     /// Instances that have ended.
     ended: BTreeSet<usize>,
     random: Random,
     /// When the target received calls.
     sent_ms: Vec<u64>,
     /// The limit that it advertises.
-    named: NamedLimit,
+    advertised: NamedLimit,
     /// Whether instances receive no reports of each other.
-    is_deaf: bool,
+    is_isolated: bool,
 }
 
 impl Fleet {
     fn new(size: usize, seed: u64) -> Self {
         let name = |index: usize| format!("i{index}");
-        let books = (0..size).map(|own| {
-            let mut book = Book::new("north", BookOptions::default());
-            book = book.of_instance(&name(own), Duration::ZERO);
+        let tables = (0..size).map(|own| {
+            let mut table = Book::new("north", BookOptions::default());
+            table = table.of_instance(&name(own), Duration::ZERO);
             for other in 0..size {
-                book.meet(&name(other), size as u64);
+                table.meet(&name(other), size as u64);
             }
-            book.list(at(0), listed("t", 1));
-            book
+            table.list(at(0), listed("t", 1));
+            table
         });
         Self {
-            books: books.collect(),
+            tables: tables.collect(),
             ended: BTreeSet::new(),
             random: Random::new(seed),
             sent_ms: Vec::new(),
-            named: NamedLimit::Absent,
-            is_deaf: false,
+            advertised: NamedLimit::Absent,
+            is_isolated: false,
         }
     }
 
@@ -80,48 +80,48 @@
     fn play(&mut self, from_ms: u64, until_ms: u64) {
         let mut answers: Vec<(u64, usize, u64, NamedLimit)> = Vec::new();
         for ms in (from_ms..until_ms).step_by(usize::try_from(STEP_MS).unwrap()) {
-            answers.retain(|(due_ms, own, sent_ms, named)| {
+            answers.retain(|(due_ms, own, sent_ms, advertised)| {
                 let is_due = *due_ms <= ms;
                 if is_due {
-                    let book = &mut self.books[*own];
-                    book.heed_limit(at(ms), &identity(), at(*sent_ms), *named);
+                    let table = &mut self.tables[*own];
+                    table.heed_limit(at(ms), &identity(), at(*sent_ms), *advertised);
                 }
                 !is_due
             });
-            for own in 0..self.books.len() {
+            for own in 0..self.tables.len() {
                 if self.ended.contains(&own) {
                     continue;
                 }
                 let begins = self.random.below(1_000) < BURST_PER_MILLE;
                 let choice =
-                    begins.then(|| self.books[own].choose(at(ms), SERVICE, &Work::default(), &[]));
+                    begins.then(|| self.tables[own].choose(at(ms), SERVICE, &Work::default(), &[]));
                 if let Some(choice) = choice.flatten()
-                    && self.books[own].claim_send(at(ms), &choice.identity())
+                    && self.tables[own].claim_send(at(ms), &choice.identity())
                 {
                     self.sent_ms.push(ms);
-                    answers.push((ms + 40 + self.random.below(200), own, ms, self.named));
+                    answers.push((ms + 40 + self.random.below(200), own, ms, self.advertised));
                 }
                 if ms % 1_000 == (own as u64 * STEP_MS) % 1_000 {
-                    self.tell(ms, own);
+                    self.report(ms, own);
                 }
             }
         }
     }
 
-    fn tell(&mut self, ms: u64, from: usize) {
-        if self.is_deaf {
+    fn report(&mut self, ms: u64, from: usize) {
+        if self.is_isolated {
             return;
         }
-        let told = self.books[from].limits_to_tell(at(ms));
+        let reports = self.tables[from].limits_to_tell(at(ms));
         for _ in 0..3 {
-            let to = self.random.index(self.books.len());
-            for (target, word) in &told {
+            let to = self.random.index(self.tables.len());
+            for (target, report) in &reports {
                 // The receiver does not know the time of transmission.
-                let word = LimitWord {
-                    at: word.at + at(5),
-                    ..*word
+                let report = LimitWord {
+                    at: report.at + at(5),
+                    ..*report
                 };
-                self.books[to].hear_limit(at(ms + 5), target, word);
+                self.tables[to].hear_limit(at(ms + 5), target, report);
             }
         }
     }
@@ -148,28 +148,28 @@
 
 /// Returns the most calls that fall into the counted span if they come exactly at the limit.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // a few calls
-fn left_for_span(calls_per_s: f64) -> usize {
+fn allowed_in_span(calls_per_s: f64) -> usize {
     (calls_per_s * 4.0).ceil() as usize
 }
 
 #[test]
-fn a_target_gets_no_more_than_it_names_at_each_size_and_not_much_less() {
+fn a_target_gets_some_calls_but_no_more_than_it_advertises() {
     // Guards against instances that each keep to the limit independently.
     for size in SIZES {
         for calls_per_s in LIMITS {
             // Arrange
             let mut fleet = Fleet::new(size, 3);
             fleet.play(2_000, 3_000);
-            fleet.named = NamedLimit::CallsPerS(calls_per_s);
+            fleet.advertised = NamedLimit::CallsPerS(calls_per_s);
 
             // Act
-            fleet.play(3_000, 3_000 + TOLD_MS + 12_000);
+            fleet.play(3_000, 3_000 + REPORTED_MS + 12_000);
 
             // Assert
-            let most = fleet.most(3_000 + TOLD_MS);
-            let got = fleet.got(3_000 + TOLD_MS);
+            let most = fleet.most(3_000 + REPORTED_MS);
+            let got = fleet.got(3_000 + REPORTED_MS);
             assert!(
-                most <= left_for_span(calls_per_s),
+                most <= allowed_in_span(calls_per_s),
                 "{size}, {calls_per_s}: {most}"
             );
             assert!(got > 0, "{size}, {calls_per_s}");
@@ -178,57 +178,57 @@
 }
 
 #[test]
-fn a_limit_that_is_lowered_holds_as_it_is_named_last() {
+fn a_lowered_limit_holds_as_last_advertised() {
     // Guards against instances that keep to a limit that a peer reported earlier.
     for size in SIZES {
         // Arrange
         let mut fleet = Fleet::new(size, 9);
-        fleet.named = NamedLimit::CallsPerS(12.0);
+        fleet.advertised = NamedLimit::CallsPerS(12.0);
         fleet.play(2_000, 12_000);
 
         // Act
-        fleet.named = NamedLimit::CallsPerS(1.5);
-        fleet.play(12_000, 12_000 + TOLD_MS + 12_000);
+        fleet.advertised = NamedLimit::CallsPerS(1.5);
+        fleet.play(12_000, 12_000 + REPORTED_MS + 12_000);
 
         // Assert
-        let most = fleet.most(12_000 + TOLD_MS);
-        assert!(most <= left_for_span(1.5), "{size} instances: {most}");
+        let most = fleet.most(12_000 + REPORTED_MS);
+        assert!(most <= allowed_in_span(1.5), "{size} instances: {most}");
     }
 }
 
 #[test]
-fn instances_that_hear_nothing_of_each_other_keep_to_a_limit_that_each_was_told() {
+fn isolated_instances_keep_to_a_limit_that_each_learned_of() {
     // Guards against senders that are determined by the reports received, not by the known
     // instances.
     for size in SIZES {
         // Arrange: each learns of the limit by an answer to a call of its own.
         let mut fleet = Fleet::new(size, 13);
-        for book in &mut fleet.books {
-            book.heed_limit(
+        for table in &mut fleet.tables {
+            table.heed_limit(
                 at(2_000),
                 &identity(),
                 at(1_900),
                 NamedLimit::CallsPerS(6.0),
             );
         }
-        fleet.named = NamedLimit::CallsPerS(6.0);
-        fleet.is_deaf = true;
+        fleet.advertised = NamedLimit::CallsPerS(6.0);
+        fleet.is_isolated = true;
 
         // Act: for as long as the first senders have their turn.
         fleet.play(2_000, 11_000);
 
         // Assert
         let most = fleet.most(2_000);
-        assert!(most <= left_for_span(6.0), "{size} instances: {most}");
+        assert!(most <= allowed_in_span(6.0), "{size} instances: {most}");
         assert!(most > 0);
     }
 }
 
 #[test]
-fn a_limit_of_nothing_lets_a_call_through_now_and_then_and_no_more() {
+fn a_limit_of_zero_lets_only_occasional_calls_through() {
     // Arrange
     let mut fleet = Fleet::new(9, 15);
-    fleet.named = NamedLimit::CallsPerS(0.0);
+    fleet.advertised = NamedLimit::CallsPerS(0.0);
     fleet.play(2_000, 12_000);
 
     // Act
@@ -240,39 +240,39 @@
 }
 
 #[test]
-fn a_limit_is_over_everywhere_soon_after_the_target_names_none() {
+fn a_limit_ends_everywhere_soon_after_the_target_advertises_none() {
     // Guards against reports of the limit that circulate among instances after its end.
     for size in SIZES {
         // Arrange
         let mut fleet = Fleet::new(size, 5);
-        fleet.named = NamedLimit::CallsPerS(6.0);
+        fleet.advertised = NamedLimit::CallsPerS(6.0);
         fleet.play(2_000, 12_000);
 
         // Act
-        fleet.named = NamedLimit::Absent;
+        fleet.advertised = NamedLimit::Absent;
         fleet.play(12_000, 22_000);
 
         // Assert
-        let limited = fleet.books.iter().map(Book::limited_targets);
+        let limited = fleet.tables.iter().map(Book::limited_targets);
         assert_eq!(limited.sum::<usize>(), 0, "{size} instances");
     }
 }
 
 #[test]
-fn others_take_over_where_those_that_may_send_have_ended() {
+fn other_instances_take_over_when_the_senders_have_ended() {
     // Guards against a target that no instance calls any more, so that the end of its limit is not
     // seen.
     for size in [9, 90] {
         // Arrange: all instances that may send have ended.
         let mut fleet = Fleet::new(size, 7);
-        fleet.named = NamedLimit::CallsPerS(1.5);
+        fleet.advertised = NamedLimit::CallsPerS(1.5);
         fleet.play(2_000, 12_000);
-        let may_send = |book: &Book| {
-            let choice = book.choose(at(14_000), SERVICE, &Work::default(), &[]);
+        let may_send = |table: &Book| {
+            let choice = table.choose(at(14_000), SERVICE, &Work::default(), &[]);
             choice.is_some()
         };
         fleet.ended = (0..size)
-            .filter(|own| may_send(&fleet.books[*own]))
+            .filter(|own| may_send(&fleet.tables[*own]))
             .collect();
         assert!(!fleet.ended.is_empty());
 
@@ -281,16 +281,19 @@
 
         // Assert
         assert!(fleet.got(14_000) > 0, "{size} instances");
-        assert!(fleet.most(14_000) <= left_for_span(1.5), "{size} instances");
+        assert!(
+            fleet.most(14_000) <= allowed_in_span(1.5),
+            "{size} instances"
+        );
     }
 }
 
 #[test]
-fn an_answer_that_was_on_its_way_before_does_not_end_a_limit() {
+fn an_answer_to_an_earlier_call_does_not_end_a_limit() {
     // Arrange
     let mut fleet = Fleet::new(1, 1);
-    let book = &mut fleet.books[0];
-    book.heed_limit(
+    let table = &mut fleet.tables[0];
+    table.heed_limit(
         at(5_000),
         &identity(),
         at(4_900),
@@ -298,22 +301,22 @@
     );
 
     // Act
-    let late = book.heed_limit(at(5_100), &identity(), at(4_950), NamedLimit::Absent);
-    let unreadable = book.heed_limit(at(5_200), &identity(), at(5_150), NamedLimit::Unreadable);
-    let limited = book.limited_targets();
-    let after = book.heed_limit(at(5_300), &identity(), at(5_250), NamedLimit::Absent);
+    let late = table.heed_limit(at(5_100), &identity(), at(4_950), NamedLimit::Absent);
+    let unreadable = table.heed_limit(at(5_200), &identity(), at(5_150), NamedLimit::Unreadable);
+    let limited = table.limited_targets();
+    let after = table.heed_limit(at(5_300), &identity(), at(5_250), NamedLimit::Absent);
 
     // Assert
     assert_eq!((late, unreadable, limited), (None, None, 1));
-    assert_eq!(after.map(|word| word.calls_per_s), Some(None));
+    assert_eq!(after.map(|report| report.calls_per_s), Some(None));
 }
 
 #[test]
 fn a_limit_ends_with_its_incarnation() {
     // Arrange
     let mut fleet = Fleet::new(3, 1);
-    let book = &mut fleet.books[0];
-    book.heed_limit(
+    let table = &mut fleet.tables[0];
+    table.heed_limit(
         at(5_000),
         &identity(),
         at(4_900),
@@ -321,35 +324,35 @@
     );
 
     // Act
-    book.list(at(6_000), listed("t", 2));
-    let word = LimitWord {
+    table.list(at(6_000), listed("t", 2));
+    let report = LimitWord {
         calls_per_s: Some(0.0),
         at: at(6_500),
     };
-    let is_news = book.hear_limit(at(6_500), &identity(), word);
+    let is_new = table.hear_limit(at(6_500), &identity(), report);
 
     // Assert
-    assert!(!is_news);
-    assert_eq!(book.limited_targets(), 0);
+    assert!(!is_new);
+    assert_eq!(table.limited_targets(), 0);
 }
 
 #[test]
-fn callers_are_told_when_there_is_a_place_again() {
+fn the_time_until_a_limit_has_room_again_is_known() {
     // Arrange: a limit that allows one call in 1.275 s.
     let mut fleet = Fleet::new(1, 1);
-    let book = &mut fleet.books[0];
-    book.heed_limit(
+    let table = &mut fleet.tables[0];
+    table.heed_limit(
         at(5_000),
         &identity(),
         at(4_900),
         NamedLimit::CallsPerS(1.0),
     );
-    let before = book.place_in(at(5_000), SERVICE);
+    let before = table.place_in(at(5_000), SERVICE);
 
     // Act
-    let is_sent = book.claim_send(at(5_000), &identity());
-    let after = book.place_in(at(5_275), SERVICE);
-    let later = book.place_in(at(6_300), SERVICE);
+    let is_sent = table.claim_send(at(5_000), &identity());
+    let after = table.place_in(at(5_275), SERVICE);
+    let later = table.place_in(at(6_300), SERVICE);
 
     // Assert
     assert!(is_sent);
--- a/crates/damaskstile-targets/tests/long_prompts.rs
+++ b/crates/damaskstile-targets/tests/long_prompts.rs
@@ -27,41 +27,41 @@
     }
 }
 
-fn book(targets: u16) -> Book {
-    let mut book = Book::new("north", BookOptions::default());
+fn table(targets: u16) -> Book {
+    let mut table = Book::new("north", BookOptions::default());
     for index in 0..targets {
-        book.list(Duration::ZERO, listed(index, None));
+        table.list(Duration::ZERO, listed(index, None));
     }
-    book
+    table
 }
 
 fn fleet() -> Vec<Book> {
-    let mut books: Vec<Book> = (0..INSTANCES).map(|_| book(TARGETS)).collect();
-    for book in &mut books {
-        book.set_instances(u64::try_from(INSTANCES).unwrap());
+    let mut tables: Vec<Book> = (0..INSTANCES).map(|_| table(TARGETS)).collect();
+    for table in &mut tables {
+        table.set_instances(u64::try_from(INSTANCES).unwrap());
     }
-    books
+    tables
 }
 
 /// Makes a prompt of a shared prefix and an own part, which no other call has.
-fn prompt(subject: u64, shared_tokens: u64, own_tokens: u64) -> Work {
+fn prompt(prefix: u64, shared_tokens: u64, own_tokens: u64) -> Work {
     static CALLS: AtomicU64 = AtomicU64::new(1_000_000);
     let own = CALLS.fetch_add(1, Ordering::Relaxed);
     let part = |name, tokens| Part { name, tokens };
     Work {
         prompt_tokens: shared_tokens + own_tokens,
         output_tokens: 300,
-        parts: vec![part(subject, shared_tokens), part(own, own_tokens)],
+        parts: vec![part(prefix, shared_tokens), part(own, own_tokens)],
         homes: None,
     }
 }
 
-fn long(subject: u64) -> Work {
-    prompt(1_000 + subject, 5_000, LONG_TOKENS)
+fn long(prefix: u64) -> Work {
+    prompt(1_000 + prefix, 5_000, LONG_TOKENS)
 }
 
-fn short(subject: u64) -> Work {
-    prompt(subject, 200, SHORT_TOKENS)
+fn short(prefix: u64) -> Work {
+    prompt(prefix, 200, SHORT_TOKENS)
 }
 
 fn at(ms: u64) -> Duration {
@@ -69,79 +69,79 @@
 }
 
 /// Sends a call to its target, where it stays open.
-fn send(book: &mut Book, ms: u64, work: &Work) -> Choice {
-    let choice = book.choose(at(ms), SERVICE, work, &[]).unwrap();
-    book.sent(at(ms), &choice, work);
+fn send(table: &mut Book, ms: u64, work: &Work) -> Choice {
+    let choice = table.choose(at(ms), SERVICE, work, &[]).unwrap();
+    table.sent(at(ms), &choice, work);
     choice
 }
 
 /// Sends a call to its target, which answers it at once.
-fn serve(book: &mut Book, ms: u64, work: &Work) -> Choice {
-    let choice = send(book, ms, work);
-    book.prefilled(&choice);
-    book.ended(&choice);
+fn serve(table: &mut Book, ms: u64, work: &Work) -> Choice {
+    let choice = send(table, ms, work);
+    table.prefilled(&choice);
+    table.ended(&choice);
     choice
 }
 
 #[test]
-fn what_the_home_of_a_subject_keeps_is_fetched_by_others() {
+fn other_targets_fetch_what_the_affinity_target_caches() {
     // Guards against a fortieth of the value of prompts that goes into repeated prefill of shared
     // parts. The affinity target of a prefix is busy and its next call goes elsewhere; that target
     // must fetch the parts from the affinity target instead of prefilling them again.
 
     // Arrange: the affinity target prefills a prompt of 25,000 tokens with another prefix.
-    let mut book = book(TARGETS);
+    let mut table = table(TARGETS);
     let work = prompt(7, 5_000, 1_000);
-    let home = serve(&mut book, 0, &work);
-    book.hear_reading(at(10), &home.identity(), at(1_000));
+    let affinity_target = serve(&mut table, 0, &work);
+    table.hear_reading(at(10), &affinity_target.identity(), at(1_000));
 
     // Act
-    let other = book.choose(at(20), SERVICE, &work, &[]).unwrap();
+    let other = table.choose(at(20), SERVICE, &work, &[]).unwrap();
 
     // Assert
-    assert_ne!(other.target, home.target);
-    assert_eq!(home.fetch_from, None);
-    assert_eq!(other.fetch_from, Some(home.address));
+    assert_ne!(other.target, affinity_target.target);
+    assert_eq!(affinity_target.fetch_from, None);
+    assert_eq!(other.fetch_from, Some(affinity_target.address));
     assert!(other.uncached_tokens < 1_500, "{other:?}");
 }
 
 #[test]
 fn nothing_is_fetched_from_a_target_that_fails() {
     // Arrange
-    let mut book = book(TARGETS);
+    let mut table = table(TARGETS);
     let work = prompt(7, 5_000, 1_000);
-    let home = serve(&mut book, 0, &work);
+    let affinity_target = serve(&mut table, 0, &work);
 
     // Act
-    book.failed(at(10), &home);
-    book.failed(at(10), &home);
-    let other = book.choose(at(20), SERVICE, &work, &[]).unwrap();
+    table.failed(at(10), &affinity_target);
+    table.failed(at(10), &affinity_target);
+    let other = table.choose(at(20), SERVICE, &work, &[]).unwrap();
 
     // Assert
-    assert_ne!(other.target, home.target);
-    assert_ne!(other.fetch_from, Some(home.address));
+    assert_ne!(other.target, affinity_target.target);
+    assert_ne!(other.fetch_from, Some(affinity_target.address));
 }
 
 #[test]
-fn peers_that_hear_of_a_long_prompt_go_elsewhere_until_it_is_read() {
+fn peers_avoid_a_target_with_a_reported_long_prompt_during_its_prefill() {
     // Guards against first tokens of short calls that come half a second late. One instance sends a
     // long prompt, and another a short call to the same target, of which it knows only what it sent
     // itself.
 
     // Arrange
-    let mut books = fleet();
+    let mut tables = fleet();
     let work = short(3);
-    let usual = serve(&mut books[1], 0, &work);
+    let usual = serve(&mut tables[1], 0, &work);
     let reading = Choice {
-        read_ms: 500.0,
+        prefill_ms: 500.0,
         ..usual.clone()
     };
-    let time = books[0].reading_to_tell(&reading).unwrap();
+    let time = tables[0].reading_to_tell(&reading).unwrap();
 
     // Act
-    books[1].hear_reading(at(100), &usual.identity(), time);
-    let meanwhile = books[1].choose(at(110), SERVICE, &work, &[]).unwrap();
-    let afterwards = books[1]
+    tables[1].hear_reading(at(100), &usual.identity(), time);
+    let meanwhile = tables[1].choose(at(110), SERVICE, &work, &[]).unwrap();
+    let afterwards = tables[1]
         .choose(at(110) + time, SERVICE, &work, &[])
         .unwrap();
 
@@ -151,34 +151,34 @@
 }
 
 #[test]
-fn short_prompts_are_not_told() {
+fn short_prompts_are_not_reported() {
     // Arrange
-    let mut book = book(TARGETS);
+    let mut table = table(TARGETS);
 
     // Act
-    let choice = send(&mut book, 0, &short(3));
+    let choice = send(&mut table, 0, &short(3));
 
     // Assert
-    assert_eq!(book.reading_to_tell(&choice), None);
+    assert_eq!(table.reading_to_tell(&choice), None);
 }
 
 #[test]
-fn what_is_told_of_another_incarnation_or_wrongly_costs_seconds_at_most() {
+fn outdated_or_wrong_prefill_reports_cost_seconds_at_most() {
     // Arrange: one target, which is always selected in the end.
-    let mut book = Book::new("north", BookOptions::default());
-    book.list(Duration::ZERO, listed(0, Some(5)));
+    let mut table = Book::new("north", BookOptions::default());
+    table.list(Duration::ZERO, listed(0, Some(5)));
     let work = short(3);
-    let usual = book.choose(at(0), SERVICE, &work, &[]).unwrap();
+    let usual = table.choose(at(0), SERVICE, &work, &[]).unwrap();
 
     // Act: report an incarnation that has ended; report a time of years, again and again.
     let ended = TargetIdentity::new("t0", Some(4));
-    book.hear_reading(at(0), &ended, at(5_000));
-    let unmoved = book.choose(at(1), SERVICE, &work, &[]).unwrap();
+    table.hear_reading(at(0), &ended, at(5_000));
+    let unmoved = table.choose(at(1), SERVICE, &work, &[]).unwrap();
     for _ in 0..1_000 {
-        book.hear_reading(at(2), &usual.identity(), Duration::MAX);
+        table.hear_reading(at(2), &usual.identity(), Duration::MAX);
     }
-    let held = book.choose(at(2), SERVICE, &work, &[]).unwrap();
-    let later = book.choose(at(4_000), SERVICE, &work, &[]).unwrap();
+    let held = table.choose(at(2), SERVICE, &work, &[]).unwrap();
+    let later = table.choose(at(4_000), SERVICE, &work, &[]).unwrap();
 
     // Assert
     assert!((unmoved.cost_ms - usual.cost_ms).abs() < 1.0);
@@ -188,20 +188,16 @@
 
 /// Simulates a minute: a long prompt a second and forty short calls, each at a random instance.
 /// Returns how many calls of each kind each target received in the last half.
-fn play_a_minute(books: &mut [Book]) -> (BTreeMap<TargetId, u64>, BTreeMap<TargetId, u64>) {
+fn simulate_a_minute(tables: &mut [Book]) -> (BTreeMap<TargetId, u64>, BTreeMap<TargetId, u64>) {
     let mut random = Random::new(5);
     let (mut of_long, mut of_short) = (BTreeMap::new(), BTreeMap::new());
     for tick in 0..2_400_u64 {
         let ms = tick * 25;
         let is_long = tick % 40 == 0;
-        let subject = random.below(50);
-        let work = if is_long {
-            long(subject)
-        } else {
-            short(subject)
-        };
-        let index = random.index(books.len());
-        let choice = serve(&mut books[index], ms, &work);
+        let prefix = random.below(50);
+        let work = if is_long { long(prefix) } else { short(prefix) };
+        let index = random.index(tables.len());
+        let choice = serve(&mut tables[index], ms, &work);
         let counts = if is_long { &mut of_long } else { &mut of_short };
         if ms >= 30_000 {
             *counts.entry(choice.target).or_default() += 1;
@@ -211,16 +207,16 @@
 }
 
 #[test]
-fn long_prompts_share_few_targets_and_short_calls_leave_them() {
+fn long_prompts_share_few_targets_and_short_calls_avoid_them() {
     // Guards against one answer in fifteen that comes late because its stream pauses longer than
     // its route promises. A prompt of 25,000 tokens is prefilled in chunks between the tokens of
     // seven streams at its target, if such prompts go to all targets alike.
 
     // Arrange
-    let mut books = fleet();
+    let mut tables = fleet();
 
     // Act
-    let (of_long, of_short) = play_a_minute(&mut books);
+    let (of_long, of_short) = simulate_a_minute(&mut tables);
 
     // Assert: the instances agree without any message, from the load that each sees.
     let is_for_long = |target: &TargetId| of_long.contains_key(target);
@@ -238,14 +234,14 @@
 }
 
 #[test]
-fn no_target_is_kept_where_no_prompt_is_long() {
+fn no_target_is_reserved_where_no_prompt_is_long() {
     // Arrange
-    let mut books = fleet();
+    let mut tables = fleet();
     let mut used = BTreeSet::new();
 
     // Act
-    for subject in 0..400 {
-        let choice = serve(&mut books[0], subject * 20, &short(subject));
+    for prefix in 0..400 {
+        let choice = serve(&mut tables[0], prefix * 20, &short(prefix));
         used.insert(choice.target);
     }
 
@@ -254,15 +250,15 @@
 }
 
 #[test]
-fn a_target_that_is_kept_serves_short_calls_once_the_others_are_busy() {
+fn a_reserved_target_serves_short_calls_once_the_others_are_busy() {
     // Arrange
-    let mut books = fleet();
-    let (of_long, _) = play_a_minute(&mut books);
+    let mut tables = fleet();
+    let (of_long, _) = simulate_a_minute(&mut tables);
     let mut used = BTreeSet::new();
 
     // Act: a burst in which no call ends.
     for call in 0..800 {
-        used.insert(send(&mut books[0], 60_000, &short(call)).target);
+        used.insert(send(&mut tables[0], 60_000, &short(call)).target);
     }
 
     // Assert
@@ -273,16 +269,16 @@
 }
 
 #[test]
-fn targets_are_given_back_once_no_prompt_is_long_any_more() {
+fn reservations_end_once_no_prompt_is_long_any_more() {
     // Arrange
-    let mut books = fleet();
-    let (of_long, _) = play_a_minute(&mut books);
+    let mut tables = fleet();
+    let (of_long, _) = simulate_a_minute(&mut tables);
     let mut used = BTreeSet::new();
 
     // Act: minutes later.
     for call in 0..800 {
         let ms = 600_000 + call * 20;
-        used.insert(serve(&mut books[0], ms, &short(call)).target);
+        used.insert(serve(&mut tables[0], ms, &short(call)).target);
     }
 
     // Assert
@@ -290,19 +286,19 @@
 }
 
 #[test]
-fn a_long_prompt_now_and_then_keeps_no_target_idle() {
+fn an_occasional_long_prompt_leaves_no_target_idle() {
     // Guards against answers that come later with reserved targets than without. With one long
     // prompt a minute in a fleet of nine targets, rounding the number of reserved targets up leaves
     // one of nine idle.
 
     // Arrange
-    let mut books = fleet();
+    let mut tables = fleet();
     let mut used = BTreeSet::new();
 
     // Act
-    serve(&mut books[0], 0, &long(1));
+    serve(&mut tables[0], 0, &long(1));
     for call in 0..800 {
-        used.insert(serve(&mut books[0], 10_000 + call * 20, &short(call)).target);
+        used.insert(serve(&mut tables[0], 10_000 + call * 20, &short(call)).target);
     }
 
     // Assert
@@ -310,30 +306,30 @@
 }
 
 #[test]
-fn long_prompts_of_one_service_keep_no_target_of_another() {
+fn long_prompts_of_one_service_reserve_no_target_of_another() {
     // Guards against calls of a plain service that wait while one of its four targets is idle. If
     // the load of long prompts were counted for all services together, targets of each service
     // would be reserved.
 
     // Arrange
-    let mut books = fleet();
+    let mut tables = fleet();
     for index in 0..4 {
         let target = Listed {
             target: format!("p{index}"),
             service: "plain".to_owned(),
             ..listed(100 + index, None)
         };
-        books[0].list(Duration::ZERO, target);
+        tables[0].list(Duration::ZERO, target);
     }
-    play_a_minute(&mut books);
+    simulate_a_minute(&mut tables);
     let mut used = BTreeSet::new();
 
     // Act
     for call in 0..8 {
         let work = Work::default();
-        let choice = books[0].choose(at(60_000 + call), "plain", &work, &[]);
+        let choice = tables[0].choose(at(60_000 + call), "plain", &work, &[]);
         let choice = choice.unwrap();
-        books[0].sent(at(60_000 + call), &choice, &work);
+        tables[0].sent(at(60_000 + call), &choice, &work);
         used.insert(choice.target);
     }
 
--- a/crates/damaskstile-targets/tests/lost_data_centre.rs
+++ b/crates/damaskstile-targets/tests/lost_data_centre.rs
@@ -6,7 +6,7 @@
 /// Targets of a data centre of the largest deployment.
 const TARGETS: usize = 1_000;
 /// Reports of each kind that a digest may hold.
-const TOLD_MAX: usize = 32;
+const REPORTS_MAX: usize = 32;
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -26,30 +26,30 @@
 }
 
 #[test]
-fn a_data_centre_that_is_lost_does_not_fill_digests() {
+fn the_loss_of_a_data_centre_does_not_fill_digests() {
     // Guards against digests of tens of kilobytes, from each instance to ten others, twice a
     // second.
 
     // Arrange
-    let mut book = Book::new("north", BookOptions::default());
+    let mut table = Book::new("north", BookOptions::default());
     for index in 0..TARGETS {
-        book.list(at(0), listed(index, true));
+        table.list(at(0), listed(index, true));
     }
 
     // Act
     for index in 0..TARGETS {
         let ms = u64::try_from(index).unwrap();
         if index % 2 == 0 {
-            book.unlist(at(ms), &format!("t{index:04}"), false);
+            table.unlist(at(ms), &format!("t{index:04}"), false);
         } else {
-            book.list(at(ms), listed(index, false));
+            table.list(at(ms), listed(index, false));
         }
     }
 
     // Assert: the newest departures are reported.
     let now = at(1_100);
-    let (vanished, draining) = (book.vanished(now), book.draining(now));
-    assert!(vanished.len() <= TOLD_MAX && draining.len() <= TOLD_MAX);
+    let (vanished, draining) = (table.vanished(now), table.draining(now));
+    assert!(vanished.len() <= REPORTS_MAX && draining.len() <= REPORTS_MAX);
     assert_eq!(vanished[0].target, "t0998");
     assert_eq!(draining[0].target, "t0999");
 }
--- a/crates/damaskstile-targets/tests/pauses.rs
+++ b/crates/damaskstile-targets/tests/pauses.rs
@@ -23,16 +23,16 @@
     }
 }
 
-fn book(targets: &[&str]) -> Book {
-    let mut book = Book::new("north", BookOptions::default());
+fn table(targets: &[&str]) -> Book {
+    let mut table = Book::new("north", BookOptions::default());
     for target in targets {
-        book.list(at(0), listed(target, 1));
+        table.list(at(0), listed(target, 1));
     }
-    book
+    table
 }
 
-fn choose(book: &Book, now: Duration) -> Option<Choice> {
-    book.choose(now, SERVICE, &Work::default(), &[])
+fn choose(table: &Book, now: Duration) -> Option<Choice> {
+    table.choose(now, SERVICE, &Work::default(), &[])
 }
 
 fn name(choice: Option<Choice>) -> Option<String> {
@@ -40,92 +40,93 @@
 }
 
 /// Returns the choice of a given target.
-fn choice_of(book: &Book, target: &str) -> Choice {
+fn choice_of(table: &Book, target: &str) -> Choice {
     let others: Vec<String> = ["a", "b"].map(str::to_owned).into();
     let others: Vec<String> = others.into_iter().filter(|other| other != target).collect();
-    book.choose(at(0), SERVICE, &Work::default(), &others)
+    table
+        .choose(at(0), SERVICE, &Work::default(), &others)
         .unwrap()
 }
 
 #[test]
-fn a_pause_keeps_new_and_waiting_calls_away_until_it_is_over() {
+fn a_backoff_holds_new_and_waiting_calls_back_until_it_ends() {
     // Arrange
-    let mut book = book(&["a"]);
-    let choice = choice_of(&book, "a");
+    let mut table = table(&["a"]);
+    let choice = choice_of(&table, "a");
 
     // Act
-    book.pause(at(1_000), &choice, at(2_000));
+    table.pause(at(1_000), &choice, at(2_000));
 
     // Assert: a call that waits for its connection is held back too.
-    assert_eq!(choose(&book, at(2_999)), None);
-    assert!(!book.may_send(at(2_999), &choice.identity()));
-    assert_eq!(book.paused_for(at(2_999), SERVICE), Some(at(1)));
-    assert_eq!(book.paused_targets(at(2_999)), 1);
-    assert_eq!(name(choose(&book, at(3_000))), Some("a".to_owned()));
-    assert!(book.may_send(at(3_000), &choice.identity()));
-    assert_eq!(book.paused_for(at(3_000), SERVICE), None);
+    assert_eq!(choose(&table, at(2_999)), None);
+    assert!(!table.may_send(at(2_999), &choice.identity()));
+    assert_eq!(table.paused_for(at(2_999), SERVICE), Some(at(1)));
+    assert_eq!(table.paused_targets(at(2_999)), 1);
+    assert_eq!(name(choose(&table, at(3_000))), Some("a".to_owned()));
+    assert!(table.may_send(at(3_000), &choice.identity()));
+    assert_eq!(table.paused_for(at(3_000), SERVICE), None);
 }
 
 #[test]
-fn a_shorter_word_that_follows_does_not_end_a_longer_one() {
+fn a_later_shorter_backoff_does_not_end_a_longer_one() {
     // Arrange
-    let mut book = book(&["a"]);
-    let choice = choice_of(&book, "a");
+    let mut table = table(&["a"]);
+    let choice = choice_of(&table, "a");
 
     // Act
-    book.pause(at(0), &choice, at(5_000));
-    book.pause(at(100), &choice, at(200));
-    book.succeeded(at(150), &choice);
+    table.pause(at(0), &choice, at(5_000));
+    table.pause(at(100), &choice, at(200));
+    table.succeeded(at(150), &choice);
 
     // Assert
-    assert_eq!(choose(&book, at(4_000)), None);
+    assert_eq!(choose(&table, at(4_000)), None);
 }
 
 #[test]
-fn callers_are_told_of_the_pause_that_ends_first_and_only_where_all_want_one() {
+fn the_earliest_end_of_backoffs_is_known_if_all_targets_back_off() {
     // Arrange
-    let mut book = book(&["a", "b"]);
-    let (a, b) = (choice_of(&book, "a"), choice_of(&book, "b"));
+    let mut table = table(&["a", "b"]);
+    let (a, b) = (choice_of(&table, "a"), choice_of(&table, "b"));
 
     // Act and assert
-    book.pause(at(0), &a, at(4_000));
-    assert_eq!(book.paused_for(at(0), SERVICE), None);
-    book.pause(at(0), &b, at(3_000));
-    assert_eq!(book.paused_for(at(0), SERVICE), Some(at(3_000)));
-    book.leave(at(0), &b.identity());
-    assert_eq!(book.paused_for(at(0), SERVICE), Some(at(4_000)));
+    table.pause(at(0), &a, at(4_000));
+    assert_eq!(table.paused_for(at(0), SERVICE), None);
+    table.pause(at(0), &b, at(3_000));
+    assert_eq!(table.paused_for(at(0), SERVICE), Some(at(3_000)));
+    table.leave(at(0), &b.identity());
+    assert_eq!(table.paused_for(at(0), SERVICE), Some(at(4_000)));
 }
 
 #[test]
-fn a_pause_ends_with_its_incarnation() {
+fn a_backoff_ends_with_its_incarnation() {
     // Arrange
-    let mut book = book(&["a"]);
-    let choice = choice_of(&book, "a");
-    book.pause(at(0), &choice, Duration::from_hours(1));
+    let mut table = table(&["a"]);
+    let choice = choice_of(&table, "a");
+    table.pause(at(0), &choice, Duration::from_hours(1));
 
     // Act
-    book.list(at(1_000), listed("a", 2));
-    let before = name(choose(&book, at(1_000)));
-    book.pause(at(1_100), &choice, Duration::from_hours(1));
+    table.list(at(1_000), listed("a", 2));
+    let before = name(choose(&table, at(1_000)));
+    table.pause(at(1_100), &choice, Duration::from_hours(1));
 
     // Assert: a late backoff of the previous incarnation changes nothing.
     assert_eq!(before, Some("a".to_owned()));
-    assert_eq!(name(choose(&book, at(1_200))), Some("a".to_owned()));
+    assert_eq!(name(choose(&table, at(1_200))), Some("a".to_owned()));
 }
 
 #[test]
-fn work_comes_back_by_and_by_after_a_pause() {
+fn work_returns_gradually_after_a_backoff() {
     // Arrange: a target turned a call away and asked for a long backoff; the other one has more
     // load.
-    let mut book = book(&["a", "b"]);
-    let (a, b) = (choice_of(&book, "a"), choice_of(&book, "b"));
-    book.pause(at(0), &a, at(30_000));
-    book.failed(at(0), &a);
+    let mut table = table(&["a", "b"]);
+    let (a, b) = (choice_of(&table, "a"), choice_of(&table, "b"));
+    table.pause(at(0), &a, at(30_000));
+    table.failed(at(0), &a);
     for _ in 0..10 {
-        book.sent(at(30_000), &b, &Work::default());
+        table.sent(at(30_000), &b, &Work::default());
     }
 
     // Act and assert
-    assert_eq!(name(choose(&book, at(30_001))), Some("b".to_owned()));
-    assert_eq!(name(choose(&book, at(36_000))), Some("a".to_owned()));
+    assert_eq!(name(choose(&table, at(30_001))), Some("b".to_owned()));
+    assert_eq!(name(choose(&table, at(36_000))), Some("a".to_owned()));
 }
--- a/crates/damaskstile-targets/tests/reading_speed.rs
+++ b/crates/damaskstile-targets/tests/reading_speed.rs
@@ -2,7 +2,7 @@
 //! samples.
 
 use damaskstile_core::random::Random;
-use damaskstile_targets::ReadingSpeed;
+use damaskstile_targets::PrefillSpeed;
 
 /// Initial estimate, which fits none of the engines below.
 const START_TOKENS_PER_MS: f64 = 50.0;
@@ -41,7 +41,7 @@
 }
 
 /// Lets an estimate learn from calls at an engine, of which `late` in a hundred came seconds late.
-fn see(speed: &mut ReadingSpeed, random: &mut Random, engine: Engine, calls: u64, late: u64) {
+fn see(speed: &mut PrefillSpeed, random: &mut Random, engine: Engine, calls: u64, late: u64) {
     for _ in 0..calls {
         let (tokens, after) = draw(random);
         let mut took_ms = engine.first_token_ms(tokens, after);
@@ -53,7 +53,7 @@
 }
 
 /// Returns the relative errors of the estimates of a short and a long prompt.
-fn errors(speed: &ReadingSpeed, engine: Engine) -> [f64; 2] {
+fn errors(speed: &PrefillSpeed, engine: Engine) -> [f64; 2] {
     [(800.0, 200.0), (25_000.0, 5_000.0)].map(|(tokens, after)| {
         let truth = engine.first_token_ms(tokens, after);
         (speed.first_token_ms(tokens, after) - truth).abs() / truth
@@ -63,7 +63,7 @@
 #[test]
 fn the_speed_of_engines_is_learned_within_a_hundred_calls() {
     // Arrange
-    let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
+    let mut speed = PrefillSpeed::new(START_TOKENS_PER_MS);
     let mut random = Random::new(1);
     assert!(errors(&speed, FAST)[1] > 0.2);
 
@@ -81,7 +81,7 @@
     // others that prefill at a quarter of the speed.
 
     // Arrange
-    let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
+    let mut speed = PrefillSpeed::new(START_TOKENS_PER_MS);
     let mut random = Random::new(2);
     see(&mut speed, &mut random, FAST, 1_000, 0);
 
@@ -94,9 +94,9 @@
 }
 
 #[test]
-fn calls_that_waited_for_what_nobody_told_of_mislead_little() {
+fn calls_delayed_by_unreported_prompts_distort_estimates_little() {
     // Arrange
-    let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
+    let mut speed = PrefillSpeed::new(START_TOKENS_PER_MS);
     let mut random = Random::new(3);
 
     // Act: one call in ten waits three seconds.
@@ -108,9 +108,9 @@
 }
 
 #[test]
-fn the_estimate_stays_of_use_whatever_is_seen() {
+fn the_estimate_stays_usable_whatever_the_samples_are() {
     // Arrange
-    let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
+    let mut speed = PrefillSpeed::new(START_TOKENS_PER_MS);
     let absurd = [0.0, 1e12, f64::INFINITY, f64::NAN, -1e9];
 
     // Act: samples of an instance that froze, of garbled answers, and of a prompt of millions of
@@ -121,9 +121,9 @@
     }
 
     // Assert: 1,000 tokens take between a millisecond and a second, longer prompts longer.
-    let short_ms = speed.read_ms(1_000.0, 0.0);
+    let short_ms = speed.prefill_ms(1_000.0, 0.0);
     assert!((1.0..=1_000.0).contains(&short_ms), "{short_ms}");
-    assert!(speed.read_ms(20_000.0, 0.0) > short_ms);
+    assert!(speed.prefill_ms(20_000.0, 0.0) > short_ms);
 
     // The estimate recovers.
     let mut random = Random::new(4);
@@ -133,9 +133,9 @@
 }
 
 #[test]
-fn while_only_short_prompts_come_the_doubt_about_long_ones_stays_bounded() {
+fn the_variance_for_long_prompts_stays_bounded_while_only_short_ones_come() {
     // Arrange
-    let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
+    let mut speed = PrefillSpeed::new(START_TOKENS_PER_MS);
     let mut random = Random::new(5);
     see(&mut speed, &mut random, FAST, 500, 0);
 
--- a/crates/damaskstile-targets/tests/registry.rs
+++ b/crates/damaskstile-targets/tests/registry.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_target_that_was_never_asked_gets_nothing() {
+fn a_target_that_was_never_probed_gets_nothing() {
     let mut registry = Registry::new("one", RegistryOptions::default(), 1);
     registry.set_targets(vec![info("t", false)]);
 
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn any_word_that_a_target_leaves_is_enough() {
+fn any_report_that_a_target_leaves_is_enough() {
     // By its own report.
     let mut by_itself = registry();
     by_itself.on_status(
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_older_word_of_a_peer_does_not_count() {
+fn an_older_report_of_a_peer_does_not_count() {
     let mut registry = registry();
     let note = TargetNote {
         target: "t".to_owned(),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn another_process_under_a_targets_name_is_asked_anew() {
+fn another_process_under_a_targets_name_is_probed_anew() {
     let mut registry = registry();
     let moved = TargetInfo {
         address: "elsewhere".to_owned(),
