--- a/crates/damaskstile-targets/tests/restarts.rs
+++ b/crates/damaskstile-targets/tests/restarts.rs
@@ -20,48 +20,48 @@
     Duration::from_millis(ms)
 }
 
-fn book() -> Book {
+fn table() -> Book {
     Book::new("north", BookOptions::default())
 }
 
 /// Selects a target among one name only.
-fn choose(book: &Book, now: Duration, name: &str, work: &Work) -> Option<Choice> {
+fn choose(table: &Book, now: Duration, name: &str, work: &Work) -> Option<Choice> {
     let others = NAMES.iter().filter(|other| **other != name);
     let others: Vec<TargetId> = others.map(|other| (*other).to_owned()).collect();
-    book.choose(now, SERVICE, work, &others)
+    table.choose(now, SERVICE, work, &others)
 }
 
 #[test]
-fn a_late_word_on_the_incarnation_before_takes_nothing_out() {
+fn a_late_report_on_the_previous_incarnation_removes_nothing() {
     // Guards against a target that receives no work after a restart. Its predecessor drains, it
     // restarts and is listed, and then a digest that reports the drain arrives late. It must name
     // the incarnation as well as the target.
 
     // Arrange
-    let mut book = book();
-    book.list(at(0), listed("t0", Some(5), false));
-    book.list(at(10), listed("t0", Some(9), true));
+    let mut table = table();
+    table.list(at(0), listed("t0", Some(5), false));
+    table.list(at(10), listed("t0", Some(9), true));
     let before = TargetIdentity::new("t0", Some(5));
 
     // Act
-    let is_news = book.leave(at(20), &before) || book.vanish(at(30), &before);
-    book.list(at(40), listed("t0", Some(5), false));
+    let is_new = table.leave(at(20), &before) || table.vanish(at(30), &before);
+    table.list(at(40), listed("t0", Some(5), false));
 
     // Assert
-    let choice = choose(&book, at(50), "t0", &Work::default()).unwrap();
-    assert!(!is_news);
+    let choice = choose(&table, at(50), "t0", &Work::default()).unwrap();
+    assert!(!is_new);
     assert_eq!(choice.incarnation, Some(9));
 }
 
 #[test]
-fn a_new_incarnation_is_taken_to_hold_nothing() {
+fn a_new_incarnation_inherits_no_state() {
     // Guards against state of a predecessor that is kept under the name. Sessions would go to the
     // target for parts that it no longer caches, and it would be charged with calls that ended with
     // its predecessor.
 
     // Arrange
-    let mut book = book();
-    book.list(at(0), listed("t0", Some(5), true));
+    let mut table = table();
+    table.list(at(0), listed("t0", Some(5), true));
     let part = Part {
         name: 7,
         tokens: 4_000,
@@ -71,43 +71,43 @@
         parts: vec![part],
         ..Work::default()
     };
-    let old = choose(&book, at(0), "t0", &work).unwrap();
+    let old = choose(&table, at(0), "t0", &work).unwrap();
     let fresh_cost_ms = old.cost_ms;
-    book.sent(at(0), &old, &work);
-    book.failed(at(10), &old);
-    book.report(at(10), &old, 40, 40);
+    table.sent(at(0), &old, &work);
+    table.failed(at(10), &old);
+    table.report(at(10), &old, 40, 40);
 
     // Act
-    book.list(at(20), listed("t0", Some(9), true));
-    let new = choose(&book, at(20), "t0", &work).unwrap();
-    book.sent(at(20), &new, &work);
-    let own_cost_ms = choose(&book, at(30), "t0", &work).unwrap().cost_ms;
-    book.prefilled(&old);
-    book.ended(&old);
-    book.silent(at(30), &old);
-    book.report(at(30), &old, 40, 40);
+    table.list(at(20), listed("t0", Some(9), true));
+    let new = choose(&table, at(20), "t0", &work).unwrap();
+    table.sent(at(20), &new, &work);
+    let own_cost_ms = choose(&table, at(30), "t0", &work).unwrap().cost_ms;
+    table.prefilled(&old);
+    table.ended(&old);
+    table.silent(at(30), &old);
+    table.report(at(30), &old, 40, 40);
 
     // Assert
-    let after = choose(&book, at(30), "t0", &work).unwrap();
+    let after = choose(&table, at(30), "t0", &work).unwrap();
     assert!((new.cost_ms - fresh_cost_ms).abs() < f64::EPSILON);
     assert!((after.cost_ms - own_cost_ms).abs() < f64::EPSILON);
 }
 
 #[test]
-fn a_refused_entry_is_no_drain() {
+fn a_refused_entry_is_not_treated_as_a_drain() {
     // Guards against calls to a target whose entry is invalid, and against a working target that
     // never receives work again. Another writer overwrites the entry, and the target's next
     // heartbeat corrects it. An invalid entry must neither be skipped nor be treated as a drain.
 
     // Arrange
-    let mut book = book();
-    book.list(at(0), listed("t0", Some(5), true));
+    let mut table = table();
+    table.list(at(0), listed("t0", Some(5), true));
 
     // Act
-    let news = [book.refuse(&refused("t0")), book.refuse(&refused("t0"))];
-    let meanwhile = choose(&book, at(10), "t0", &Work::default());
-    let counts = book.counts();
-    book.list(at(20), listed("t0", Some(5), true));
+    let news = [table.refuse(&refused("t0")), table.refuse(&refused("t0"))];
+    let meanwhile = choose(&table, at(10), "t0", &Work::default());
+    let counts = table.counts();
+    table.list(at(20), listed("t0", Some(5), true));
 
     // Assert
     assert_eq!(news, [true, false]);
@@ -117,21 +117,21 @@
         ..TargetCounts::default()
     };
     assert_eq!(counts, expected);
-    assert!(choose(&book, at(30), "t0", &Work::default()).is_some());
+    assert!(choose(&table, at(30), "t0", &Work::default()).is_some());
 }
 
 #[test]
-fn an_entry_that_hides_a_known_start_is_told_once() {
+fn an_entry_that_omits_a_known_start_is_reported_once() {
     // Arrange
-    let mut book = book();
-    book.list(at(0), listed("t0", Some(5), true));
+    let mut table = table();
+    table.list(at(0), listed("t0", Some(5), true));
     let all = || vec![Ok(listed("t0", None, false))];
 
     // Act
-    let first = book.list_all(at(10), all(), false);
-    let again = book.list_all(at(20), all(), false);
-    let meanwhile = book.usable_targets(at(30), SERVICE);
-    book.list(at(40), listed("t0", Some(5), true));
+    let first = table.list_all(at(10), all(), false);
+    let again = table.list_all(at(20), all(), false);
+    let meanwhile = table.usable_targets(at(30), SERVICE);
+    table.list(at(40), listed("t0", Some(5), true));
 
     // Assert: it was no drain.
     let expected = Refused {
@@ -141,14 +141,14 @@
     assert_eq!(first, [expected]);
     assert_eq!(again, []);
     assert_eq!(meanwhile, 0);
-    assert_eq!(book.usable_targets(at(50), SERVICE), 1);
+    assert_eq!(table.usable_targets(at(50), SERVICE), 1);
 }
 
 #[test]
-fn an_entry_without_a_start_names_no_target_where_others_state_theirs() {
+fn an_entry_without_a_start_is_invalid_where_others_state_theirs() {
     // Arrange
-    let mut stated = book();
-    let mut unstated = book();
+    let mut stated = table();
+    let mut unstated = table();
 
     // Act
     let all = |starts: [Option<u64>; 3]| {
@@ -183,7 +183,7 @@
 /// An instance, with a model of what it must know.
 #[derive(Debug)]
 struct Instance {
-    book: Book,
+    table: Book,
     model: Model,
     version: u64,
     calls: Vec<Choice>,
@@ -194,7 +194,7 @@
 impl Instance {
     fn new() -> Self {
         Self {
-            book: book(),
+            table: table(),
             model: Model::default(),
             version: 0,
             calls: Vec::new(),
@@ -202,33 +202,33 @@
         }
     }
 
-    fn take(&mut self, now: Duration, message: Message, is_list_told: bool) {
+    fn take(&mut self, now: Duration, message: Message, is_list_reported: bool) {
         match message {
             Message::Change(_, Some(entry), _) => {
                 self.model.show(&entry);
                 match entry {
-                    Ok(listed) => self.book.list(now, listed),
-                    Err(refused) => self.book.refuse(&refused),
+                    Ok(listed) => self.table.list(now, listed),
+                    Err(refused) => self.table.refuse(&refused),
                 };
             }
             Message::Change(name, None, is_around_outage) => {
                 self.model.hide(now, &name, is_around_outage);
-                self.book.unlist(now, &name, is_around_outage);
+                self.table.unlist(now, &name, is_around_outage);
             }
             Message::Pulled(version, all) if version > self.version => {
                 self.version = version;
                 self.model.show_all(now, &all);
-                self.book.list_all(now, all, false);
+                self.table.list_all(now, all, false);
             }
             Message::Pulled(..) => {}
             Message::Digest(draining, vanished) => {
                 for identity in draining {
                     self.model.leave(&identity);
-                    self.book.leave(now, &identity);
+                    self.table.leave(now, &identity);
                 }
-                for identity in vanished.iter().filter(|_| is_list_told) {
+                for identity in vanished.iter().filter(|_| is_list_reported) {
                     self.model.vanish(identity);
-                    self.book.vanish(now, identity);
+                    self.table.vanish(now, identity);
                 }
             }
         }
@@ -238,7 +238,7 @@
     /// without any recorded outcome costs nothing.
     fn check(&self, now: Duration) -> Result<(), String> {
         for name in NAMES {
-            let choice = choose(&self.book, now, name, &Work::default());
+            let choice = choose(&self.table, now, name, &Work::default());
             let chosen = choice.as_ref().map(Choice::identity);
             let expected = self.model.usable(now, name);
             if chosen != expected {
@@ -259,20 +259,20 @@
         let work = Work::default();
         let name = NAMES[random.index(NAMES.len())];
         if random.below(2) == 0 {
-            if let Some(choice) = choose(&self.book, now, name, &work) {
-                self.book.sent(now, &choice, &work);
+            if let Some(choice) = choose(&self.table, now, name, &work) {
+                self.table.sent(now, &choice, &work);
                 self.charged.insert(choice.identity());
                 self.calls.push(choice);
             }
         } else if !self.calls.is_empty() {
             let choice = self.calls.swap_remove(random.index(self.calls.len()));
             match random.below(4) {
-                0 => self.book.failed(now, &choice),
-                1 => self.book.silent(now, &choice),
-                2 => self.book.report(now, &choice, 9, 9),
-                _ => self.book.succeeded(now, &choice),
+                0 => self.table.failed(now, &choice),
+                1 => self.table.silent(now, &choice),
+                2 => self.table.report(now, &choice, 9, 9),
+                _ => self.table.succeeded(now, &choice),
             }
-            self.book.ended(&choice);
+            self.table.ended(&choice);
         }
     }
 }
@@ -280,7 +280,7 @@
 /// Simulation of targets, their list, an instance that watches the list and one that has it from
 /// the first.
 #[derive(Debug)]
-struct World {
+struct Simulation {
     random: Random,
     now: Duration,
     /// The newest incarnation of each name and whether it drains; no entry before the first.
@@ -295,7 +295,7 @@
     messages: Vec<(Duration, bool, Message)>,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             random: Random::new(seed),
@@ -314,7 +314,7 @@
         self.now + at(self.random.below(DELAY_MS_MAX))
     }
 
-    fn store(&mut self, name: &str, entry: Entry) {
+    fn write_entry(&mut self, name: &str, entry: Entry) {
         let last = self.changes.back().map_or(Duration::ZERO, |(due, _)| *due);
         let due = self.due().max(last);
         let is_around_outage = self.random.below(3) == 0;
@@ -326,13 +326,13 @@
         let incarnation = u64::try_from(self.now.as_millis()).unwrap() + 1;
         self.alive.insert(name.to_owned(), (incarnation, false));
         self.all.push(TargetIdentity::new(name, Some(incarnation)));
-        self.store(name, Some(Ok(listed(name, Some(incarnation), true))));
+        self.write_entry(name, Some(Ok(listed(name, Some(incarnation), true))));
     }
 
     fn heartbeat(&mut self, name: &str) {
         if let Some((incarnation, is_draining)) = self.alive.get(name).copied() {
             let entry = listed(name, Some(incarnation), !is_draining);
-            self.store(name, Some(Ok(entry)));
+            self.write_entry(name, Some(Ok(entry)));
         }
     }
 
@@ -344,10 +344,10 @@
         let identity = self.all[self.random.index(self.all.len())].clone();
         let is_ready = self.random.below(2) == 0;
         let entry = listed(&identity.target, identity.incarnation, is_ready);
-        self.store(&identity.target, Some(Ok(entry)));
+        self.write_entry(&identity.target, Some(Ok(entry)));
     }
 
-    fn stray(&mut self, name: &str) {
+    fn write_stray_entry(&mut self, name: &str) {
         let is_ready = self.random.below(2) == 0;
         let entry = match self.random.below(2) {
             0 => Err(refused(name)),
@@ -355,7 +355,7 @@
             _ if self.all.iter().any(|one| one.target == name) => Ok(listed(name, None, is_ready)),
             _ => return,
         };
-        self.store(name, Some(entry));
+        self.write_entry(name, Some(entry));
     }
 
     /// Sends a digest of one instance to the other, up to twice.
@@ -365,7 +365,7 @@
         } else {
             &self.follower
         };
-        let (draining, vanished) = (from.book.draining(self.now), from.book.vanished(self.now));
+        let (draining, vanished) = (from.table.draining(self.now), from.table.vanished(self.now));
         for _ in 0..self.random.below(3) {
             let message = Message::Digest(draining.clone(), vanished.clone());
             let due = self.due();
@@ -375,7 +375,7 @@
 
     fn pull(&mut self) {
         self.version += 1;
-        let all = self.watcher.book.present().cloned().map(Ok).collect();
+        let all = self.watcher.table.present().cloned().map(Ok).collect();
         let due = self.due();
         let message = Message::Pulled(self.version, all);
         self.messages.push((due, true, message));
@@ -391,8 +391,8 @@
                 }
                 self.heartbeat(name);
             }
-            3 => self.store(name, None),
-            4 => self.stray(name),
+            3 => self.write_entry(name, None),
+            4 => self.write_stray_entry(name),
             5 => self.late_write(),
             6 | 7 => self.heartbeat(name),
             8 => self.pull(),
@@ -406,7 +406,7 @@
     }
 
     /// Advances the time and delivers what is due.
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += at(ms);
         while let Some((due, change)) = self.changes.pop_front() {
             if due > self.now {
@@ -439,14 +439,14 @@
         for name in NAMES {
             self.heartbeat(name);
         }
-        self.pass(DELAY_MS_MAX);
-        self.pass(DELAY_MS_MAX);
+        self.advance(DELAY_MS_MAX);
+        self.advance(DELAY_MS_MAX);
         self.pull();
-        self.pass(DELAY_MS_MAX);
+        self.advance(DELAY_MS_MAX);
         for (name, (incarnation, is_draining)) in &self.alive {
             let expected = (!is_draining).then_some(Some(*incarnation));
-            for book in [&self.watcher.book, &self.follower.book] {
-                let choice = choose(book, self.now, name, &Work::default());
+            for table in [&self.watcher.table, &self.follower.table] {
+                let choice = choose(table, self.now, name, &Work::default());
                 let chosen = choice.map(|choice| choice.incarnation);
                 if chosen != expected && !self.was_reported_draining(name, *incarnation) {
                     return Err(format!("{name}: {chosen:?} in the end, not {expected:?}"));
@@ -464,18 +464,18 @@
 }
 
 fn run(seed: u64) -> Result<(), String> {
-    let mut world = World::new(seed);
+    let mut simulation = Simulation::new(seed);
     for _ in 0..STEPS {
-        world.step();
-        let ms = world.random.below(300);
-        world.pass(ms);
-        world.check()?;
+        simulation.step();
+        let ms = simulation.random.below(300);
+        simulation.advance(ms);
+        simulation.check()?;
     }
-    world.check_recovery()
+    simulation.check_recovery()
 }
 
 #[test]
-fn only_sound_incarnations_are_used_and_all_of_them_are() {
+fn exactly_the_valid_incarnations_are_used() {
     // Guards against calls to a draining target, and against a working one that is left out for
     // good, because a report on one incarnation was applied to another. Restarts, drains, late
     // writes, digests, lists and entries of other writers come in any order.
--- a/crates/damaskstile-targets/tests/support/mod.rs
+++ b/crates/damaskstile-targets/tests/support/mod.rs
@@ -46,7 +46,7 @@
 }
 
 impl Model {
-    fn hear(&mut self, identity: &TargetIdentity) -> bool {
+    fn update_newest(&mut self, identity: &TargetIdentity) -> bool {
         let newest = self.newest.entry(identity.target.clone()).or_default();
         let is_current = identity.incarnation >= *newest;
         *newest = identity.incarnation.max(*newest);
@@ -60,7 +60,7 @@
             Err(refused) => return self.refuse(&refused.target),
         };
         let identity = listed.identity();
-        if !self.hear(&identity) {
+        if !self.update_newest(&identity) {
             if listed.incarnation.is_none() {
                 self.refuse(&listed.target);
             }
@@ -115,13 +115,13 @@
 
     /// An incarnation is reported to drain.
     pub fn leave(&mut self, identity: &TargetIdentity) {
-        self.hear(identity);
+        self.update_newest(identity);
         self.drained.insert(identity.clone());
     }
 
     /// A peer reports that an incarnation is no longer listed.
     pub fn vanish(&mut self, identity: &TargetIdentity) {
-        self.hear(identity);
+        self.update_newest(identity);
         self.vanished.insert(identity.clone());
     }
 
