--- a/crates/damaskstile-targets/src/evacuations.rs
+++ b/crates/damaskstile-targets/src/evacuations.rs
@@ -50,17 +50,17 @@
         }
         self.version = Some(version);
         let known: BTreeSet<DataCentreId> = self.data_centres.keys().cloned().collect();
-        let news = EmptiedNews {
+        let changes = EmptiedNews {
             emptied: all.difference(&known).cloned().collect(),
             taken_back: known.difference(all).cloned().collect(),
         };
         self.data_centres.retain(|name, _| all.contains(name));
-        for name in &news.emptied {
+        for name in &changes.emptied {
             if self.data_centres.len() < EVACUATED_MAX {
                 self.data_centres.insert(name.clone(), now);
             }
         }
-        Some(news)
+        Some(changes)
     }
 
     /// Applies changes up to a version: data centres, each with whether it is evacuated. Returns
--- a/crates/damaskstile-targets/src/target_table/list.rs
+++ b/crates/damaskstile-targets/src/target_table/list.rs
@@ -150,7 +150,7 @@
         for target in gone {
             self.unlist(now, &target, is_around_outage);
         }
-        let mut news = Vec::new();
+        let mut new_faults = Vec::new();
         for entry in all {
             match entry {
                 Ok(listed) => {
@@ -158,15 +158,15 @@
                     let is_new = self.apply_entry(now, listed);
                     if let Some(fault) = self.refused.get(&target).filter(|_| is_new) {
                         let fault = fault.clone();
-                        news.push(Refused { target, fault });
+                        new_faults.push(Refused { target, fault });
                     }
                 }
-                Err(refused) if self.refuse(&refused) => news.push(refused),
+                Err(refused) if self.refuse(&refused) => new_faults.push(refused),
                 Err(_) => {}
             }
         }
         self.update_start_rule();
-        news
+        new_faults
     }
 
     /// Records that an incarnation drains or has ended; returns whether that is new.
--- a/crates/damaskstile-targets/src/target_table/location.rs
+++ b/crates/damaskstile-targets/src/target_table/location.rs
@@ -15,8 +15,8 @@
         version: Version,
         all: &BTreeSet<DataCentreId>,
     ) -> EmptiedNews {
-        let news = self.evacuations.apply_all(now, version, all);
-        self.note_evacuations(now, news)
+        let changes = self.evacuations.apply_all(now, version, all);
+        self.note_evacuations(now, changes)
     }
 
     /// Applies evacuations and their ends up to a store version; returns what changed.
@@ -26,16 +26,16 @@
         version: Version,
         changes: &[(DataCentreId, bool)],
     ) -> EmptiedNews {
-        let news = self.evacuations.apply_changes(now, version, changes);
-        self.note_evacuations(now, news)
+        let changes = self.evacuations.apply_changes(now, version, changes);
+        self.note_evacuations(now, changes)
     }
 
-    fn note_evacuations(&mut self, now: Duration, news: Option<EmptiedNews>) -> EmptiedNews {
-        let news = news.unwrap_or_default();
-        for data_centre in &news.taken_back {
+    fn note_evacuations(&mut self, now: Duration, changes: Option<EmptiedNews>) -> EmptiedNews {
+        let changes = changes.unwrap_or_default();
+        for data_centre in &changes.taken_back {
             self.treat_data_centre_as_cold(now, data_centre);
         }
-        news
+        changes
     }
 
     /// Returns the evacuated data centres.
