--- a/crates/damaskstile-targets/src/emptied.rs
+++ b/crates/damaskstile-targets/src/evacuations.rs
@@ -1,45 +1,45 @@
-//! `emptied` remembers to which data centres' targets nothing may be sent.
+//! Tracks which data centres operators have evacuated.
 
 use damaskstile_core::prelude::*;
 
-/// Data centres that are remembered at most. Operators name a few; more is no operator's word.
-const EMPTIED_MAX: usize = 256;
+/// Most data centres that are remembered. Operators name a few; more cannot come from an operator.
+const EVACUATED_MAX: usize = 256;
 
-/// `Emptied` remembers to which data centres' targets nothing may be sent, as of a version of the
-/// store. An older word changes nothing, in whatever order words come.
+/// Evacuated data centres, to whose targets nothing may be sent, as of a version of the store. An
+/// older update changes nothing, in whatever order updates arrive.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Emptied {
+pub struct Evacuations {
     version: Option<Version>,
     data_centres: BTreeMap<DataCentreId, Duration>,
 }
 
-impl Emptied {
-    /// Returns the version; `None` before anything was heard.
+impl Evacuations {
+    /// Returns the version of the store; `None` before the first update.
     #[must_use]
     pub fn version(&self) -> Option<Version> {
         self.version
     }
 
-    /// Tells whether nothing may be sent to the targets of a data centre.
+    /// Tells whether a data centre is evacuated.
     #[must_use]
     pub fn covers(&self, data_centre: &str) -> bool {
         self.data_centres.contains_key(data_centre)
     }
 
-    /// Returns the data centres with the time at which this instance heard that they are emptied.
+    /// Returns the evacuated data centres, each with the time at which this instance learned of it.
     pub fn data_centres(&self) -> impl Iterator<Item = (&DataCentreId, Duration)> {
         self.data_centres.iter().map(|(name, since)| (name, *since))
     }
 
-    /// Returns the names of the emptied data centres.
+    /// Returns the names of the evacuated data centres.
     #[must_use]
     pub fn names(&self) -> Vec<DataCentreId> {
         self.data_centres.keys().cloned().collect()
     }
 
-    /// Takes in all emptied data centres as of a version. Returns those that are newly emptied and
-    /// those that are taken back; `None` where a version as new is known.
-    pub(crate) fn take_all(
+    /// Applies the full set of evacuated data centres as of a version. Returns those that are newly
+    /// evacuated and those that are taken back; `None` if the known version is at least as new.
+    pub(crate) fn apply_all(
         &mut self,
         now: Duration,
         version: Version,
@@ -50,22 +50,22 @@
         }
         self.version = Some(version);
         let known: BTreeSet<DataCentreId> = self.data_centres.keys().cloned().collect();
-        let news = EmptiedNews {
+        let changes = EmptiedNews {
             emptied: all.difference(&known).cloned().collect(),
             taken_back: known.difference(all).cloned().collect(),
         };
         self.data_centres.retain(|name, _| all.contains(name));
-        for name in &news.emptied {
-            if self.data_centres.len() < EMPTIED_MAX {
+        for name in &changes.emptied {
+            if self.data_centres.len() < EVACUATED_MAX {
                 self.data_centres.insert(name.clone(), now);
             }
         }
-        Some(news)
+        Some(changes)
     }
 
-    /// Takes in changes up to a version: data centres with whether each is emptied. Returns as
-    /// [`Self::take_all`] does.
-    pub(crate) fn take_changes(
+    /// Applies changes up to a version: data centres, each with whether it is evacuated. Returns
+    /// the same as [`Self::apply_all`].
+    pub(crate) fn apply_changes(
         &mut self,
         now: Duration,
         version: Version,
@@ -79,21 +79,21 @@
                 all.remove(name);
             }
         }
-        self.take_all(now, version, &all)
+        self.apply_all(now, version, &all)
     }
 }
 
-/// `EmptiedNews` is what a word on emptied data centres changed.
+/// What an update of the evacuated data centres changed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EmptiedNews {
-    /// Data centres to whose targets nothing may be sent from now on.
+    /// Newly evacuated data centres.
     pub emptied: Vec<DataCentreId>,
-    /// Data centres that may get work again.
+    /// Data centres that may receive work again.
     pub taken_back: Vec<DataCentreId>,
 }
 
 impl EmptiedNews {
-    /// Tells whether it changed nothing.
+    /// Tells whether the update changed nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.emptied.is_empty() && self.taken_back.is_empty()
--- a/crates/damaskstile-targets/src/book/list.rs
+++ b/crates/damaskstile-targets/src/target_table/list.rs
@@ -1,32 +1,33 @@
-//! `list` keeps a book up to date with the list of targets and with what peers tell of it.
+//! Keeps the target table up to date with the target list and with peer reports on it.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::stable_hash;
 
 use super::Book;
-use crate::departures::LEAVING_NEWS;
-use crate::known::Known;
+use crate::departures::DEPARTURE_REPORT_SPAN;
 use crate::listed::Listed;
 use crate::refused::Refused;
 use crate::target_counts::TargetCounts;
+use crate::target_state::TargetState;
 
-/// Targets that lapsed around an outage and are told in one digest.
-const LAPSED_TOLD_MAX: usize = 16;
-/// Fault of an entry that does not state its target's start where others do.
+/// Targets delisted around an outage that are reported in one digest.
+const LAPSED_REPORTS_MAX: usize = 16;
+/// Fault of an entry that does not state its target's start although others do.
 const FAULT_NO_START: &str = "the start is not stated";
 
 impl Book {
-    /// Takes in one entry of the list; returns whether its readiness changed.
+    /// Applies one entry of the target list. Returns whether that changed the target's incarnation
+    /// or readiness, made it cold, or put it into or out of use because of an invalid entry.
     ///
-    /// An entry of an incarnation older than the newest one known came late and is ignored. One
+    /// An entry of an incarnation older than the newest known one is late and is ignored. An entry
     /// that does not state the start of a target whose start is known is refused.
     pub fn list(&mut self, now: Duration, listed: Listed) -> bool {
-        let is_news = self.take(now, listed);
-        self.look_at_starts();
-        is_news
+        let is_new = self.apply_entry(now, listed);
+        self.update_start_rule();
+        is_new
     }
 
-    fn take(&mut self, now: Duration, listed: Listed) -> bool {
+    fn apply_entry(&mut self, now: Duration, listed: Listed) -> bool {
         if listed.incarnation < self.newest(&listed.target) {
             return listed.incarnation.is_none()
                 && self.mark_refused(&listed.target, FAULT_NO_START);
@@ -36,7 +37,7 @@
         let was_left = self.departures.covers(&listed.target);
         let before = self.targets.get(&listed.target);
         let is_same = before
-            .is_some_and(|known| known.missing_since.is_none() && known.listed.is_like(&listed));
+            .is_some_and(|state| state.missing_since.is_none() && state.listed.is_like(&listed));
         if was_refused || was_left || !is_same {
             self.touched.insert(listed.target.clone());
         }
@@ -45,45 +46,47 @@
         } else {
             self.departures.leave(now, &identity);
         }
-        if is_same && let Some(known) = self.targets.get_mut(&listed.target) {
-            let is_chilled = known.update(now, listed);
-            return self.note_chilled(is_chilled, &identity) || was_refused;
+        if is_same && let Some(state) = self.targets.get_mut(&listed.target) {
+            let is_newly_cold = state.update(now, listed);
+            return self.note_newly_cold(is_newly_cold, &identity) || was_refused;
         }
-        // Its place in the orders may be another.
-        match self.remove_known(&listed.target) {
-            Some(mut known) if known.listed.incarnation == listed.incarnation => {
-                let was_ready = known.listed.is_ready && known.missing_since.is_none();
+        // Its position in the index may change.
+        match self.remove_state(&listed.target) {
+            Some(mut state) if state.listed.incarnation == listed.incarnation => {
+                let was_ready = state.listed.is_ready && state.missing_since.is_none();
                 let is_ready = listed.is_ready;
-                let is_chilled = known.update(now, listed);
-                self.insert_known(now, known);
-                self.note_chilled(is_chilled, &identity) || was_refused || was_ready != is_ready
+                let is_newly_cold = state.update(now, listed);
+                self.insert_state(now, state);
+                self.note_newly_cold(is_newly_cold, &identity)
+                    || was_refused
+                    || was_ready != is_ready
             }
             _ => {
-                // A new incarnation holds nothing of what the one before it held.
-                self.insert_known(now, Known::new(now, listed));
+                // A new incarnation has none of its predecessor's cached prompts or running calls.
+                self.insert_state(now, TargetState::new(now, listed));
                 true
             }
         }
     }
 
-    fn note_chilled(&mut self, is_chilled: bool, identity: &TargetIdentity) -> bool {
-        if is_chilled {
+    fn note_newly_cold(&mut self, is_newly_cold: bool, identity: &TargetIdentity) -> bool {
+        if is_newly_cold {
             self.touched.insert(identity.target.clone());
         }
-        is_chilled
+        is_newly_cold
     }
 
-    /// Takes in an entry that names no target to use; returns whether that is news.
+    /// Applies an invalid entry; returns whether its fault is new.
     ///
-    /// What was listed under its name is out of use until the next sound entry. That is no drain:
-    /// another writer's entry must not take out a sound target for good.
+    /// The target listed under its name is out of use until the next valid entry. This is no drain:
+    /// an entry of another writer must not take a working target out of use for good.
     pub fn refuse(&mut self, entry: &Refused) -> bool {
         self.mark_refused(&entry.target, &entry.fault)
     }
 
     fn mark_refused(&mut self, target: &str, fault: &str) -> bool {
-        if let Some(known) = self.targets.get_mut(target) {
-            known.missing_since = None;
+        if let Some(state) = self.targets.get_mut(target) {
+            state.missing_since = None;
         }
         let before = self.refused.insert(target.to_owned(), fault.to_owned());
         if before.is_none() {
@@ -92,38 +95,39 @@
         before.as_deref() != Some(fault)
     }
 
-    /// Returns what is wrong with the entry of a name, if it names no target to use.
+    /// Returns the fault of a target's entry if the entry is invalid.
     #[must_use]
     pub fn fault(&self, target: &str) -> Option<&str> {
         let refused = self.refused.get(target).map(String::as_str);
         refused.or_else(|| {
-            let known = self.targets.get(target)?;
-            self.is_start_missing(known).then_some(FAULT_NO_START)
+            let state = self.targets.get(target)?;
+            self.is_start_missing(state).then_some(FAULT_NO_START)
         })
     }
 
-    /// Takes in that the list no longer holds a target.
+    /// Applies the removal of a target from the list.
     ///
-    /// Around an outage of the list entries lapse although their targets live, and come back
-    /// soon; such a target stays in use for a short grace. At other times it is leaving.
+    /// Around an outage of the list, entries expire although their targets are alive, and reappear
+    /// soon; such a target stays in use for a short grace period. At other times it is treated as
+    /// leaving.
     pub fn unlist(&mut self, now: Duration, target: &str, is_around_outage: bool) {
         self.touched.insert(target.to_owned());
-        // What stood there last named no target, so there is none to wait for.
+        // The last entry under this name was invalid, so there is no target to wait for.
         let was_refused = self.refused.remove(target).is_some();
         if !is_around_outage || was_refused {
-            let known = self.targets.get(target);
-            let incarnation = known.and_then(|known| known.listed.incarnation);
+            let state = self.targets.get(target);
+            let incarnation = state.and_then(|state| state.listed.incarnation);
             self.vanish(now, &TargetIdentity::new(target, incarnation));
-            self.remove_known(target);
-        } else if let Some(known) = self.targets.get_mut(target) {
-            known.missing_since.get_or_insert(now);
+            self.remove_state(target);
+        } else if let Some(state) = self.targets.get_mut(target) {
+            state.missing_since.get_or_insert(now);
             self.lapsed.insert(target.to_owned());
         }
-        self.look_at_starts();
+        self.update_start_rule();
     }
 
-    /// Takes in the whole list: targets that it does not name are unlisted. Returns the refused
-    /// entries that are news.
+    /// Applies the whole list; targets that it does not contain are unlisted. Returns the refused
+    /// entries whose fault is new.
     pub fn list_all(
         &mut self,
         now: Duration,
@@ -146,40 +150,40 @@
         for target in gone {
             self.unlist(now, &target, is_around_outage);
         }
-        let mut news = Vec::new();
+        let mut new_faults = Vec::new();
         for entry in all {
             match entry {
                 Ok(listed) => {
                     let target = listed.target.clone();
-                    let is_news = self.take(now, listed);
-                    if let Some(fault) = self.refused.get(&target).filter(|_| is_news) {
+                    let is_new = self.apply_entry(now, listed);
+                    if let Some(fault) = self.refused.get(&target).filter(|_| is_new) {
                         let fault = fault.clone();
-                        news.push(Refused { target, fault });
+                        new_faults.push(Refused { target, fault });
                     }
                 }
-                Err(refused) if self.refuse(&refused) => news.push(refused),
+                Err(refused) if self.refuse(&refused) => new_faults.push(refused),
                 Err(_) => {}
             }
         }
-        self.look_at_starts();
-        news
+        self.update_start_rule();
+        new_faults
     }
 
-    /// Takes in that an incarnation drains or has ended; returns whether that is news.
+    /// Records that an incarnation drains or has ended; returns whether that is new.
     pub fn leave(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
         !self.is_outdated(identity) && self.departures.leave(now, identity)
     }
 
-    /// Takes in that an incarnation vanished from the list; returns whether that is news.
+    /// Records that an incarnation was delisted; returns whether that is new.
     pub fn vanish(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
-        !self.is_outdated(identity) && self.departures.vanish(now, identity)
+        !self.is_outdated(identity) && self.departures.delist(now, identity)
     }
 
-    /// Returns the newest incarnation of a name, from the list or from whoever told that it left.
+    /// Returns the newest known incarnation of a target, from the list or from departures.
     #[must_use]
     pub fn newest(&self, target: &str) -> Option<TargetIncarnation> {
-        let known = self.targets.get(target);
-        let listed = known.and_then(|known| known.listed.incarnation);
+        let state = self.targets.get(target);
+        let listed = state.and_then(|state| state.listed.incarnation);
         listed.max(self.departures.newest(target))
     }
 
@@ -187,50 +191,50 @@
         identity.incarnation < self.newest(&identity.target)
     }
 
-    /// Finds out whether targets state their starts: at least as many as do not. One stray entry
-    /// must not decide that for all others.
-    fn look_at_starts(&mut self) {
+    /// Determines whether targets state their starts: at least half of them must do so. One stray
+    /// entry must not decide this for all others.
+    fn update_start_rule(&mut self) {
         let stated = self.stated;
         self.is_start_stated = stated > 0 && stated * 2 >= self.targets.len();
     }
 
-    pub(super) fn is_start_missing(&self, known: &Known) -> bool {
-        self.is_start_stated && known.listed.incarnation.is_none()
+    pub(super) fn is_start_missing(&self, state: &TargetState) -> bool {
+        self.is_start_stated && state.listed.incarnation.is_none()
     }
 
-    /// Returns the incarnations that lately began to drain, to tell peers.
+    /// Returns the incarnations that recently began to drain, to report them to peers.
     #[must_use]
     pub fn draining(&self, now: Duration) -> Vec<TargetIdentity> {
-        self.departures.told(now, true)
+        self.departures.to_report(now, true)
     }
 
-    /// Returns the incarnations that lately vanished from the list, to tell peers: those that
-    /// lapsed around an outage too, once they are no longer waited for.
+    /// Returns the recently delisted incarnations, to report them to peers. This includes those
+    /// that were delisted around an outage, once their grace period is over.
     #[must_use]
     pub fn vanished(&self, now: Duration) -> Vec<TargetIdentity> {
         let lapsed = self.lapsed.iter();
         let lapsed = lapsed.filter_map(|target| self.targets.get(target));
-        let lapsed = lapsed.filter(|known| {
-            known.missing_since.is_some_and(|since| {
+        let lapsed = lapsed.filter(|state| {
+            state.missing_since.is_some_and(|since| {
                 let age = now.saturating_sub(since);
-                age >= self.options.lapse_grace && age < LEAVING_NEWS
+                age >= self.options.lapse_grace && age < DEPARTURE_REPORT_SPAN
             })
         });
-        let lapsed = lapsed.map(|known| known.listed.identity());
-        let vanished = self.departures.told(now, false).into_iter();
-        vanished.chain(lapsed.take(LAPSED_TOLD_MAX)).collect()
+        let lapsed = lapsed.map(|state| state.listed.identity());
+        let vanished = self.departures.to_report(now, false).into_iter();
+        vanished.chain(lapsed.take(LAPSED_REPORTS_MAX)).collect()
     }
 
-    /// Counts the targets by what keeps them in or out of use.
+    /// Counts the targets by state.
     #[must_use]
     pub fn counts(&self) -> TargetCounts {
         let mut counts = TargetCounts::default();
-        for (target, known) in &self.targets {
+        for (target, state) in &self.targets {
             let count = if self.fault(target).is_some() {
                 continue;
-            } else if !known.listed.is_ready || self.departures.covers(target) {
+            } else if !state.listed.is_ready || self.departures.covers(target) {
                 &mut counts.leaving
-            } else if known.missing_since.is_some() {
+            } else if state.missing_since.is_some() {
                 &mut counts.lapsed
             } else {
                 &mut counts.ready
@@ -243,30 +247,31 @@
         counts
     }
 
-    /// Returns what the list says of the targets that are there, to hand it on. One that the list
-    /// does not show now is left out: whoever takes it over could not tell that it is waited for.
+    /// Returns the entries to pass on to peers: those of targets that are listed, valid and not
+    /// leaving. A target in its grace period is left out, since a recipient could not tell that it
+    /// is.
     pub fn present(&self) -> impl Iterator<Item = &Listed> {
         let targets = self.targets.keys();
         targets.filter_map(|target| self.present_entry(target))
     }
 
-    /// Returns what the list says of a target, if it may be handed on as [`Self::present`] tells.
+    /// Returns the entry of a target if [`Self::present`] includes it.
     #[must_use]
     pub fn present_entry(&self, target: &str) -> Option<&Listed> {
-        let known = self.targets.get(target)?;
-        let is_present = known.missing_since.is_none()
-            && self.is_sound(known)
+        let state = self.targets.get(target)?;
+        let is_present = state.missing_since.is_none()
+            && self.is_sound(state)
             && !self.departures.covers(target);
-        is_present.then_some(&known.listed)
+        is_present.then_some(&state.listed)
     }
 
-    /// Returns the targets whose entries changed since this was last asked.
+    /// Returns the targets whose entries changed since the previous call.
     pub fn take_touched(&mut self) -> BTreeSet<TargetId> {
         std::mem::take(&mut self.touched)
     }
 
-    /// Returns a hash of the list as it may be handed on; `None` while targets are leaving, of which
-    /// each instance hears at another time.
+    /// Returns a hash of the list as it is passed on to peers; `None` while there are recent
+    /// departures, since each instance learns of them at another time.
     #[must_use]
     pub fn content_hash(&self, now: Duration) -> Option<u64> {
         if self.departures.is_in_flux(now) {
@@ -280,21 +285,21 @@
         Some(hashes.fold(0, |all, hash| all ^ hash))
     }
 
-    /// Tells whether the list names an incarnation, or named it until lately.
+    /// Tells whether the list contains an incarnation, or did until recently.
     ///
     /// ```
     /// use damaskstile_core::prelude::TargetIdentity;
     /// use damaskstile_targets::{Book, BookOptions};
-    /// let book = Book::new("north", BookOptions::default());
-    /// assert!(!book.lists(&TargetIdentity::new("unknown", None)));
+    /// let table = Book::new("north", BookOptions::default());
+    /// assert!(!table.lists(&TargetIdentity::new("unknown", None)));
     /// ```
     #[must_use]
     pub fn lists(&self, identity: &TargetIdentity) -> bool {
-        let known = self.targets.get(&identity.target);
-        known.is_some_and(|known| known.listed.incarnation == identity.incarnation)
+        let state = self.targets.get(&identity.target);
+        state.is_some_and(|state| state.listed.incarnation == identity.incarnation)
     }
 
-    /// Tells whether the list names a target now.
+    /// Tells whether the list contains a target now.
     ///
     /// ```
     /// use damaskstile_targets::{Book, BookOptions};
@@ -304,6 +309,6 @@
     pub fn is_named(&self, target: &str) -> bool {
         self.targets
             .get(target)
-            .is_some_and(|known| known.missing_since.is_none())
+            .is_some_and(|state| state.missing_since.is_none())
     }
 }
--- a/crates/damaskstile-targets/tests/reading_speed.rs
+++ b/crates/damaskstile-targets/tests/reading_speed.rs
@@ -1,12 +1,13 @@
-//! How fast targets read is learned from what is seen, follows a change, and is not led astray.
+//! The prefill speed of targets is learned from samples, follows changes and resists faulty
+//! samples.
 
 use damaskstile_core::random::Random;
-use damaskstile_targets::ReadingSpeed;
+use damaskstile_targets::PrefillSpeed;
 
-/// Start of an estimate that fits none of the engines below.
+/// Initial estimate, which fits none of the engines below.
 const START_TOKENS_PER_MS: f64 = 50.0;
 
-/// `Engine` reads prompts as its figures say.
+/// Engine that prefills prompts at a given speed.
 #[derive(Debug, Clone, Copy)]
 struct Engine {
     start_ms: f64,
@@ -39,8 +40,8 @@
     (tokens(), tokens() / 3.0)
 }
 
-/// Lets an estimate see calls at an engine; so many in a hundred came seconds late.
-fn see(speed: &mut ReadingSpeed, random: &mut Random, engine: Engine, calls: u64, late: u64) {
+/// Lets an estimate learn from calls at an engine, of which `late` in a hundred came seconds late.
+fn see(speed: &mut PrefillSpeed, random: &mut Random, engine: Engine, calls: u64, late: u64) {
     for _ in 0..calls {
         let (tokens, after) = draw(random);
         let mut took_ms = engine.first_token_ms(tokens, after);
@@ -51,8 +52,8 @@
     }
 }
 
-/// Returns how far the estimates of a short and a long prompt are off, as a part of the truth.
-fn errors(speed: &ReadingSpeed, engine: Engine) -> [f64; 2] {
+/// Returns the relative errors of the estimates of a short and a long prompt.
+fn errors(speed: &PrefillSpeed, engine: Engine) -> [f64; 2] {
     [(800.0, 200.0), (25_000.0, 5_000.0)].map(|(tokens, after)| {
         let truth = engine.first_token_ms(tokens, after);
         (speed.first_token_ms(tokens, after) - truth).abs() / truth
@@ -62,7 +63,7 @@
 #[test]
 fn the_speed_of_engines_is_learned_within_a_hundred_calls() {
     // Arrange
-    let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
+    let mut speed = PrefillSpeed::new(START_TOKENS_PER_MS);
     let mut random = Random::new(1);
     assert!(errors(&speed, FAST)[1] > 0.2);
 
@@ -75,12 +76,12 @@
 
 #[test]
 fn a_release_with_other_engines_is_followed() {
-    // Symptom: after a release first tokens are expected in a quarter of the time that they take,
-    // and calls pile up behind long prompts. Sequence: the targets are replaced one by one by others
-    // that read at a quarter of the speed. Cause: the figures of the former engines were built in.
+    // Guards against first tokens that are expected in a quarter of the time that they take after a
+    // release, so that calls pile up behind long prompts. The targets are replaced one by one by
+    // others that prefill at a quarter of the speed.
 
     // Arrange
-    let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
+    let mut speed = PrefillSpeed::new(START_TOKENS_PER_MS);
     let mut random = Random::new(2);
     see(&mut speed, &mut random, FAST, 1_000, 0);
 
@@ -93,9 +94,9 @@
 }
 
 #[test]
-fn calls_that_waited_for_what_nobody_told_of_mislead_little() {
+fn calls_delayed_by_unreported_prompts_distort_estimates_little() {
     // Arrange
-    let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
+    let mut speed = PrefillSpeed::new(START_TOKENS_PER_MS);
     let mut random = Random::new(3);
 
     // Act: one call in ten waits three seconds.
@@ -107,23 +108,24 @@
 }
 
 #[test]
-fn the_estimate_stays_of_use_whatever_is_seen() {
+fn the_estimate_stays_usable_whatever_the_samples_are() {
     // Arrange
-    let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
+    let mut speed = PrefillSpeed::new(START_TOKENS_PER_MS);
     let absurd = [0.0, 1e12, f64::INFINITY, f64::NAN, -1e9];
 
-    // Act: an instance that froze, garbled answers, a prompt of millions of tokens.
+    // Act: samples of an instance that froze, of garbled answers, and of a prompt of millions of
+    // tokens.
     for took_ms in absurd.into_iter().cycle().take(10_000) {
         speed.learn(500.0, 0.0, took_ms);
         speed.learn(1e7, 1e7, took_ms);
     }
 
     // Assert: 1,000 tokens take between a millisecond and a second, longer prompts longer.
-    let short_ms = speed.read_ms(1_000.0, 0.0);
+    let short_ms = speed.prefill_ms(1_000.0, 0.0);
     assert!((1.0..=1_000.0).contains(&short_ms), "{short_ms}");
-    assert!(speed.read_ms(20_000.0, 0.0) > short_ms);
+    assert!(speed.prefill_ms(20_000.0, 0.0) > short_ms);
 
-    // And it comes right again.
+    // The estimate recovers.
     let mut random = Random::new(4);
     see(&mut speed, &mut random, FAST, 2_000, 0);
     let errors = errors(&speed, FAST);
@@ -131,9 +133,9 @@
 }
 
 #[test]
-fn while_only_short_prompts_come_the_doubt_about_long_ones_stays_bounded() {
+fn the_variance_for_long_prompts_stays_bounded_while_only_short_ones_come() {
     // Arrange
-    let mut speed = ReadingSpeed::new(START_TOKENS_PER_MS);
+    let mut speed = PrefillSpeed::new(START_TOKENS_PER_MS);
     let mut random = Random::new(5);
     see(&mut speed, &mut random, FAST, 500, 0);
 
--- a/crates/damaskstile-targets/tests/registry.rs
+++ b/crates/damaskstile-targets/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Tests of the registry and the queue: who may get work, and in which order.
+//! Tests of the registry and the queue: which targets may receive requests, and in which order.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A registry with one target that has just said that it stays.
+/// Makes a registry with one target that has just reported that it stays.
 fn registry() -> Registry {
     let mut registry = Registry::new("one", RegistryOptions::default(), 1);
     registry.set_targets(vec![info("t", false)]);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_target_that_was_never_asked_gets_nothing() {
+fn a_target_that_was_never_probed_gets_nothing() {
     let mut registry = Registry::new("one", RegistryOptions::default(), 1);
     registry.set_targets(vec![info("t", false)]);
 
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn any_word_that_a_target_leaves_is_enough() {
-    // By its own word.
+fn any_report_that_a_target_leaves_is_enough() {
+    // By its own report.
     let mut by_itself = registry();
     by_itself.on_status(
         NOW + Duration::from_secs(1),
@@ -82,7 +82,7 @@
         Choice::NoTarget
     );
 
-    // By a peer's newer word.
+    // By a peer's newer report.
     let mut by_peer = registry();
     let note = TargetNote {
         target: "t".to_owned(),
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_older_word_of_a_peer_does_not_count() {
+fn an_older_report_of_a_peer_does_not_count() {
     let mut registry = registry();
     let note = TargetNote {
         target: "t".to_owned(),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn another_process_under_a_targets_name_is_asked_anew() {
+fn another_process_under_a_targets_name_is_probed_anew() {
     let mut registry = registry();
     let moved = TargetInfo {
         address: "elsewhere".to_owned(),
