--- a/crates/damaskstile-escrow/src/demand.rs
+++ b/crates/damaskstile-escrow/src/demand.rs
@@ -1,12 +1,13 @@
-//! `demand` measures how fast an account asks for tokens.
+//! Measures the rate at which calls of an account request tokens.
 
 use damaskstile_core::prelude::*;
 
-/// Time in which an old rate loses two thirds of its weight. Short enough to follow an account
-/// that doubles its traffic, long enough that one large call does not draw all tokens.
+/// Time constant of the exponential decay of the rate. Short enough to follow an account that
+/// doubles its traffic, long enough that one large call does not attract all tokens.
 const TIME_CONSTANT: Duration = Duration::from_secs(4);
 
-/// `Demand` measures how fast an account asks for tokens, whether it gets them or not.
+/// Exponentially decaying rate at which calls of an account request tokens, whether or not they get
+/// them.
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
     tokens_per_s: f64,
@@ -14,7 +15,7 @@
 }
 
 impl Demand {
-    /// Notes that tokens were asked for.
+    /// Records a request for tokens.
     pub fn add(&mut self, now: Duration, tokens: u64) {
         self.decay(now);
         #[allow(clippy::cast_precision_loss)] // far below 2^52 tokens
@@ -22,7 +23,8 @@
         self.tokens_per_s += tokens / TIME_CONSTANT.as_secs_f64();
     }
 
-    /// Begins with the rate that was measured elsewhere, if it is higher than the own one.
+    /// Raises the rate to one that was measured by another instance or incarnation, if that is
+    /// higher.
     pub fn begin_with(&mut self, now: Duration, tokens_per_s: u64) {
         self.decay(now);
         #[allow(clippy::cast_precision_loss)] // far below 2^52 tokens
@@ -30,7 +32,7 @@
         self.tokens_per_s = self.tokens_per_s.max(tokens_per_s);
     }
 
-    /// Returns the rate in whole tokens a second.
+    /// Returns the rate in whole tokens per second.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/damaskstile-escrow/src/entry.rs
+++ b/crates/damaskstile-escrow/src/entry.rs
@@ -1,4 +1,4 @@
-//! `entry` is one instance's part of the ledger.
+//! One instance's entry in the ledger.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -7,40 +7,40 @@
 use crate::stamp::Stamp;
 use crate::sums::Sums;
 
-/// `HolderEntry` is one instance's part of the ledger.
+/// One instance's entry in the ledger.
 ///
-/// All fields must be there when it is read: grants that are missing would count as none, and
-/// their tokens would be handed out again.
+/// Deserialization requires all fields: a missing grant would count as zero, and its tokens would
+/// be granted again.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HolderEntry {
-    /// Incarnation that holds the grants; its successors hold none of them.
+    /// Incarnation that holds the grants. Its successors hold none of them.
     pub incarnation: Incarnation,
-    /// Number of the incarnation's write that stands.
+    /// Number of the incarnation's latest write or report that took effect.
     pub round: u64,
-    /// When it was written.
+    /// Time at which that write or report was made.
     pub stamp: Stamp,
     /// Address for messages from peers.
     pub address: String,
-    /// Data centre that the instance stands in.
+    /// Data centre of the instance.
     pub data_centre: String,
-    /// Tokens that the incarnation may spend, on top of what is settled.
+    /// Tokens that the incarnation may spend in addition to its settled ones.
     pub grants_tokens: BTreeMap<AccountId, u64>,
-    /// Pace at which the rest of each grant is unlocked. It stands with the grant, so that whoever
-    /// settles the grant goes by the pace that its holder went by.
+    /// Rate at which the rest of each grant is unlocked. It is stored with the grant, so that an
+    /// instance that settles the grant uses the same rate as its holder did.
     pub pace: Pace,
-    /// Part of each grant that it may spend before it counts as isolated.
+    /// Part of each grant that may be spent before the instance counts as isolated.
     pub ceilings_tokens: BTreeMap<AccountId, u64>,
     /// Tokens of the incarnation that count as spent.
     pub settled_tokens: BTreeMap<AccountId, u64>,
-    /// Tokens asked for in a second.
+    /// Demand in tokens per second.
     pub demand_tokens_per_s: BTreeMap<AccountId, u64>,
-    /// Part of that for the account's most urgent calls.
+    /// Part of that demand that comes from the account's most urgent calls.
     pub urgent_tokens_per_s: BTreeMap<AccountId, u64>,
 }
 
 impl HolderEntry {
-    /// Returns all maps with numbers of tokens.
+    /// Returns all maps whose values are numbers of tokens.
     pub(crate) fn token_sums(&self) -> [&BTreeMap<AccountId, u64>; 5] {
         [
             &self.grants_tokens,
@@ -51,7 +51,8 @@
         ]
     }
 
-    /// Returns the tokens asked for in a second of each account, and the part of the most urgent calls.
+    /// Returns each account with its demand in tokens per second and the part of its most urgent
+    /// calls.
     pub(crate) fn demands(&self) -> Vec<(AccountId, u64, u64)> {
         let urgent = |account| self.urgent_tokens_per_s.get(account).copied().unwrap_or(0);
         let demands = self.demand_tokens_per_s.iter();
@@ -60,7 +61,7 @@
             .collect()
     }
 
-    /// Returns what the incarnation may spend of an account, since its start.
+    /// Returns what the incarnation may spend of an account, counted from its start.
     #[must_use]
     pub fn sums(&self, account: &str) -> Sums {
         let of = |sums: &BTreeMap<AccountId, u64>| sums.get(account).copied().unwrap_or(0);
@@ -72,12 +73,14 @@
         }
     }
 
-    /// Has all of its grants count as spent should it end, whatever time that took.
+    /// Raises all ceilings to the grants, so that if the incarnation ends its grants count as spent
+    /// regardless of how long it lived.
     pub(crate) fn count_whole(&mut self) {
         self.ceilings_tokens.clone_from(&self.grants_tokens);
     }
 
-    /// Returns what the incarnation can have spent of a grant, so long after the write.
+    /// Returns the most that the incarnation can have spent of its grant, given the part that was
+    /// unlocked.
     #[must_use]
     pub fn spent_bound(&self, account: &str, unlocked: Unlocked) -> u64 {
         let grant = self.grants_tokens.get(account).copied().unwrap_or(0);
--- a/crates/damaskstile-escrow/src/holder.rs
+++ b/crates/damaskstile-escrow/src/holder.rs
@@ -1,4 +1,4 @@
-//! `holder` is one instance's part of the budgets.
+//! One instance's part of the budgets.
 
 mod estates;
 mod gifts;
@@ -31,11 +31,11 @@
 use restoring::Restoring;
 pub use round::Round;
 
-/// `Holder` reserves tokens for calls and says what to write to the ledger.
+/// Reserves tokens for calls and decides what to write to the ledger.
 ///
-/// It has no clock and makes no calls. A host carries [`Round`]s to the store and reports what
-/// became of them; a write without a clear answer may still take effect later, and until the
-/// ledger shows otherwise the smaller of the possible allowances holds.
+/// Has no clock and does no I/O. The host carries each [`Round`] to the store and reports its
+/// outcome. A write without a clear answer may still take effect later; until the ledger shows its
+/// outcome, the smaller of the possible allowances applies.
 #[derive(Debug)]
 pub struct Holder {
     identity: Identity,
@@ -43,37 +43,38 @@
     options: EscrowOptions,
     prepaid_tokens: BTreeMap<AccountId, u64>,
     catalogue_version: Version,
-    /// Most urgent rank that any call has.
+    /// Most urgent rank in use.
     first_rank: Rank,
     purses: BTreeMap<AccountId, Purse>,
     ledger: Ledger,
     ledger_version: Version,
-    /// What is known of all accounts.
+    /// Totals of all accounts, from the ledger or the last receipt.
     overview: Overview,
     role: Role,
-    /// Peers' reports to enter with the next write, with when they came.
+    /// Peers' reports to enter with the next write, with their time of arrival.
     inbox: BTreeMap<InstanceId, (Duration, Report)>,
-    /// The own report that has no answer yet.
+    /// This instance's report that has no answer yet.
     outstanding: Option<Outstanding>,
-    /// Newest version of the ledger that a receipt or the ledger itself told of.
+    /// Newest ledger version seen in a receipt or in the ledger itself.
     receipt_version: Version,
-    /// What is known of the store's return from an older copy.
+    /// State of the rebuild of the ledger after the store was restored from an older copy.
     restoring: Restoring,
-    /// Incarnation that the ledger lists for this instance, where it is not this one.
+    /// Incarnation that the ledger lists for this instance, if that is a different one; 0 if it
+    /// lists none.
     follows: Incarnation,
-    /// Number of the write or report that stands.
+    /// Number of the latest write or report that took effect.
     committed_number: u64,
     seen_at: Option<Duration>,
-    /// When the store itself last showed the ledger.
+    /// Time at which the store or a receipt last confirmed the state of the ledger.
     touched_at: Option<Duration>,
-    /// When the write that stands was made.
+    /// Time at which that write or report was made.
     committed_at: Duration,
-    /// Pace that stands with it.
+    /// Unlock rate that was stored with it.
     committed_pace: Pace,
-    /// Stamp of the start of this incarnation, by which its predecessor was gone.
+    /// Stamp of the start of this incarnation; its predecessor had ended by then.
     start: Option<Stamp>,
     started_at: Option<Duration>,
-    /// Writes whose outcome is not known.
+    /// Writes and reports whose outcome is unknown.
     pending: Vec<Pending>,
     last_round: u64,
     round_at: Option<Duration>,
@@ -84,7 +85,7 @@
 }
 
 impl Holder {
-    /// Makes a holder that has nothing yet.
+    /// Creates a holder without tokens.
     #[must_use]
     pub fn new(identity: Identity, address: &str, options: EscrowOptions) -> Self {
         Self {
@@ -120,7 +121,8 @@
         }
     }
 
-    /// Takes in what the accounts have bought, with the catalogue version that says so.
+    /// Sets what the accounts have bought, with the catalogue version that states it. Older
+    /// versions are ignored.
     pub fn set_prepaid(&mut self, version: Version, prepaid_tokens: BTreeMap<AccountId, u64>) {
         if version > self.catalogue_version {
             self.catalogue_version = version;
@@ -128,16 +130,16 @@
         }
     }
 
-    /// Sets the most urgent rank that any call has.
+    /// Sets the most urgent rank in use.
     pub fn set_first_rank(&mut self, first_rank: Rank) {
         self.first_rank = first_rank;
     }
 
-    /// Reserves the worst case of a call.
+    /// Reserves the worst-case cost of a call.
     ///
     /// # Errors
     ///
-    /// Returns where the missing tokens are, as far as this instance can know.
+    /// Returns where the missing tokens may be, as far as this instance can know.
     ///
     /// ```
     /// use std::time::Duration;
@@ -174,7 +176,7 @@
         }
         purse.wanted_tokens = purse.wanted_tokens.max(tokens);
         let shortage = self.shortage(now, account, tokens);
-        // Where no instance has the tokens, neither a read nor a write brings any. Where others
+        // If no instance has the tokens, neither a read nor a write brings any. If other instances
         // have them, a member's report brings none either.
         let may_bring = match self.role {
             Role::Writer => shortage != Shortage::Exhausted,
@@ -184,7 +186,7 @@
         Err(shortage)
     }
 
-    /// Tells whether a call's worst case could be reserved at once.
+    /// Returns whether the worst-case cost of a call could be reserved at once.
     ///
     /// ```
     /// use std::time::Duration;
@@ -201,13 +203,14 @@
                 && !self.is_kept_for_urgent(now, account, tokens, rank))
     }
 
-    /// Tells whether an account is prepaid.
+    /// Returns whether an account is prepaid.
     #[must_use]
     pub fn is_prepaid(&self, account: &str) -> bool {
         self.prepaid_tokens.contains_key(account)
     }
 
-    /// Notes that a call asked for tokens, once for each call however often it is tried.
+    /// Counts a call's tokens as demand. To be called once for each call, however often its
+    /// reservation is tried.
     pub fn note_demand(&mut self, now: Duration, account: &str, tokens: u64, rank: Rank) {
         if self.prepaid_tokens.contains_key(account) {
             let purse = self.purses.entry(account.to_owned()).or_default();
@@ -232,7 +235,7 @@
             .map_or(0, |purse| purse.free(bound))
     }
 
-    /// Returns the worst case of the calls under way.
+    /// Returns the worst-case cost of the calls in progress.
     #[must_use]
     pub fn reserved_tokens(&self, account: &str) -> u64 {
         self.purses
@@ -240,7 +243,7 @@
             .map_or(0, |purse| purse.reserved_tokens)
     }
 
-    /// Returns what is free here, with what is not unlocked yet.
+    /// Returns the free tokens, including those that are not unlocked yet.
     #[must_use]
     pub fn granted_free_tokens(&self, account: &str) -> u64 {
         self.purses
@@ -248,12 +251,12 @@
             .map_or(0, |purse| purse.free(purse.allowed_tokens))
     }
 
-    /// Returns the accounts that are prepaid.
+    /// Returns the prepaid accounts.
     pub fn prepaid_accounts(&self) -> impl Iterator<Item = &AccountId> {
         self.prepaid_tokens.keys()
     }
 
-    /// Returns how an account stood in the ledger as last seen.
+    /// Returns the totals of an account according to the last seen ledger.
     #[must_use]
     pub fn standing(&self, account: &str) -> Standing {
         Standing {
@@ -263,7 +266,7 @@
         }
     }
 
-    /// Returns the ledger as last seen.
+    /// Returns the last seen ledger.
     #[must_use]
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
@@ -275,13 +278,13 @@
         self.overview.instances
     }
 
-    /// Returns the version of the ledger as last seen; 0 where none was.
+    /// Returns the version of the last seen ledger; 0 if none was seen.
     #[must_use]
     pub fn ledger_version(&self) -> Version {
         self.ledger_version
     }
 
-    /// Returns the time since the ledger was last seen.
+    /// Returns the time since the ledger or a receipt was last seen.
     #[must_use]
     pub fn ledger_age(&self, now: Duration) -> Option<Duration> {
         self.seen_at.map(|at| now.saturating_sub(at))
@@ -293,7 +296,7 @@
             .is_some_and(|at| now.saturating_sub(at) <= round_interval * 3 / 2)
     }
 
-    /// Returns what is left of a budget, as far as is known here.
+    /// Returns the remaining tokens of a budget, as far as this instance knows.
     fn left_tokens(&self, account: &str) -> u64 {
         let prepaid = self.prepaid_tokens.get(account).copied().unwrap_or(0);
         let unsettled = self.purses.get(account).map_or(0, Purse::unsettled);
@@ -302,8 +305,8 @@
             .saturating_sub(unsettled)
     }
 
-    /// Returns the least that any possible outcome of the writes under way leaves of an account,
-    /// without what time unlocks.
+    /// Returns the smallest amounts that any possible outcome of the pending writes leaves of an
+    /// account, without what time unlocks.
     fn least_sums(&self, account: &str) -> Sums {
         let committed = self
             .purses
@@ -323,10 +326,11 @@
         })
     }
 
-    /// Returns the smallest allowance that any possible outcome of the writes under way leaves.
+    /// Returns the smallest allowance that any possible outcome of the pending writes leaves.
     ///
-    /// In touch with the store an instance stays below its ceiling, so that a death costs little.
-    /// Isolated it goes on to its whole grant, at a pace that whoever settles its grant knows.
+    /// While the store is reachable, an instance stays below its ceiling, so that little is lost if
+    /// it ends. An isolated instance gradually unlocks its whole grant, at a rate that is known to
+    /// the instance that settles the grant.
     fn allowance(&self, now: Duration, account: &str) -> u64 {
         let committed = self.purses.get(account).map_or(0, |purse| {
             let since = now.saturating_sub(self.committed_at);
@@ -339,7 +343,7 @@
             .fold(committed, u64::min)
     }
 
-    /// Returns the pace of the grants that are written now.
+    /// Returns the unlock rate of the grants that are written now.
     fn pace(&self) -> Pace {
         Pace {
             after_ms: unix_ms(self.options.unlock_after * self.scale()),
--- a/crates/damaskstile-escrow/src/holder/estates.rs
+++ b/crates/damaskstile-escrow/src/holder/estates.rs
@@ -1,4 +1,4 @@
-//! `estates` settles the parts of ended incarnations.
+//! Settles the orphaned entries of ended incarnations.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
@@ -12,14 +12,14 @@
 use crate::stamp::Stamp;
 
 impl Holder {
-    /// Keeps the stamp of this incarnation's start, once the fleet's time is known for it.
+    /// Records the stamp of this incarnation's start, once the fleet clock is known for it.
     pub(super) fn note_stamp(&mut self, now: Duration, stamp: &Stamp) {
         let started_at = *self.started_at.get_or_insert(now);
         let is_known = |start: &Stamp| start.fleet_late_ms.is_some();
         if self.start.as_ref().is_some_and(is_known) {
             return;
         }
-        // What the clocks showed at the start follows from the time that went by since.
+        // The clock readings at the start follow from the time elapsed since.
         let gone_ms = unix_ms(now.saturating_sub(started_at));
         let before = |ms: u64| ms.saturating_sub(gone_ms);
         self.start = Some(Stamp {
@@ -31,15 +31,15 @@
         });
     }
 
-    /// Tells whether this incarnation no longer waits for the fleet's time to settle what earlier
-    /// ones left.
+    /// Returns whether this incarnation has stopped waiting for the fleet clock to settle the
+    /// orphaned entries of earlier ones.
     pub(super) fn is_out_of_patience(&self, now: Duration) -> bool {
         let waited = now.saturating_sub(self.started_at.unwrap_or(now));
         waited >= self.options.estate_patience
     }
 
-    /// Settles the parts of the earlier incarnations of an instance, as far as is known when they
-    /// ended: each had ended when the one that reports started.
+    /// Settles the orphaned entries of earlier incarnations of an instance, as far as it is known
+    /// when they ended: each had ended when the reporting one started.
     pub(super) fn settle_estates(&self, ledger: &mut Ledger, report: &Report) -> Vec<Settlement> {
         let names: Vec<String> = estates_of(ledger, &report.instance)
             .map(|(name, _)| name.clone())
@@ -65,8 +65,9 @@
         settlements
     }
 
-    /// Returns how long an ended incarnation can have lived after its write, if that is known, and
-    /// what it can have unlocked by then; `None` while that may become known.
+    /// Returns the longest time for which an ended incarnation can have run after its last write,
+    /// if that is known, and the part of its grants that was unlocked by then; `None` while that
+    /// may still become known.
     fn estate_unlocked(
         &self,
         start: Option<&Stamp>,
--- a/crates/damaskstile-escrow/src/holder/gifts.rs
+++ b/crates/damaskstile-escrow/src/holder/gifts.rs
@@ -1,16 +1,16 @@
-//! `gifts` hands tokens to a peer that cannot reach the store.
+//! Transfers tokens to a peer that cannot reach the store.
 
 use damaskstile_core::prelude::*;
 
 use super::Holder;
 
-/// Part of the free tokens that is handed over at most at once, as a divisor: the giver's own
-/// callers come first, and a peer that needs more asks again.
+/// Divisor of the free tokens that may be transferred at once. The sender's own callers come first,
+/// and a peer that needs more asks again.
 const GIFT_DIVISOR: u64 = 2;
 
 impl Holder {
-    /// Hands tokens over; returns how many. They count as used here from now on, so that a
-    /// message that gets lost strands them and never doubles them.
+    /// Transfers tokens out; returns how many. They count as used here from now on, so that a lost
+    /// message strands tokens and never duplicates them.
     ///
     /// ```
     /// use std::time::Duration;
@@ -31,14 +31,15 @@
         wanted_tokens
     }
 
-    /// Takes tokens that a peer handed over. The host makes sure that none is taken twice.
+    /// Accepts tokens that a peer transferred. The host makes sure that no transfer is accepted
+    /// twice.
     pub fn take(&mut self, account: &str, tokens: u64) {
         let purse = self.purses.entry(account.to_owned()).or_default();
         purse.gift_tokens += tokens;
     }
 
-    /// Returns all that peers handed over and that is not needed here, to hand it back at a stop,
-    /// and counts it as used.
+    /// Takes all tokens that peers transferred and that are not needed here, so that they can be
+    /// returned when the instance stops.
     pub fn take_back_gifts(&mut self) -> BTreeMap<AccountId, u64> {
         let mut gifts = BTreeMap::new();
         for (account, purse) in &mut self.purses {
--- a/crates/damaskstile-escrow/src/holder/merge.rs
+++ b/crates/damaskstile-escrow/src/holder/merge.rs
@@ -1,4 +1,4 @@
-//! `merge` enters reports into a ledger.
+//! Enters reports into a ledger.
 
 use damaskstile_core::prelude::*;
 
@@ -14,8 +14,9 @@
 use crate::stamp::Stamp;
 
 impl Holder {
-    /// Enters a report into a ledger, unless it is outdated: the instance's incarnations follow on
-    /// each other, and within one the numbers rise. `totals` are the ledger's, and kept up to date.
+    /// Enters a report into a ledger, unless it is outdated: each incarnation of an instance names
+    /// its predecessor, and numbers increase within an incarnation. `totals` belong to the ledger
+    /// and are kept up to date.
     pub(super) fn merge(
         &self,
         ledger: &mut Ledger,
@@ -64,9 +65,9 @@
         settlements
     }
 
-    /// Returns the accounts that a report changes anything of, with what they have bought. In a large
-    /// fleet that is what it tells of and what stands for its sender; in a small one each instance
-    /// gets a part of all.
+    /// Returns the accounts of which a report may change anything, with their prepaid tokens. In a
+    /// large fleet these are the accounts that the report or the sender's entry names; in a small
+    /// one, where every instance gets a part of each account, all accounts.
     fn accounts_to_enter<'a>(
         &'a self,
         before: &'a HolderEntry,
@@ -99,7 +100,7 @@
         let used = claim.used_tokens.max(settled_before);
         ledger.settle(account, used - settled_before);
 
-        // What the others hold and ask for: the totals without the part of this instance.
+        // What other instances hold and request: the totals without this instance's part.
         let view = totals.accounts.entry(account.clone()).or_default();
         view.settled_tokens = ledger.settled(account);
         view.granted_tokens = view
@@ -127,7 +128,8 @@
         } else {
             self.target_tokens(&need)
         };
-        // What the sender may spend already stays covered, also where the sums were lowered.
+        // The sender may already spend what it keeps, so that stays covered even if the prepaid
+        // amount was lowered.
         let allowed = (needed + target)
             .min(used + pool)
             .max(claim.kept_tokens)
@@ -153,8 +155,8 @@
         view.others_urgent_tokens_per_s += claim.urgent_tokens_per_s;
     }
 
-    /// Makes this instance's report, and with it the sums that the instance keeps to until it
-    /// hears what became of the report.
+    /// Creates this instance's report. The instance stays within the amounts in it until it learns
+    /// the outcome.
     pub(super) fn make_report(&mut self, now: Duration, stamp: &Stamp) -> Report {
         self.last_round += 1;
         self.restoring.note_report(self.last_round);
@@ -186,8 +188,8 @@
         }
     }
 
-    /// Returns what this instance says of an account. It gives up what it holds beyond its target
-    /// and keeps what covers the calls under way.
+    /// Returns this instance's claim on an account. It gives up what it holds beyond its target and
+    /// keeps what covers the calls in progress.
     pub(super) fn claim(&self, now: Duration, account: &str) -> Claim {
         let Some(purse) = self.purses.get(account) else {
             return Claim::default();
@@ -216,8 +218,8 @@
         claim
     }
 
-    /// Returns what this instance asks of an account. Where it borrows what its few calls need, it
-    /// asks nothing: their demand is its lender's.
+    /// Returns this instance's demand of an account as a claim. If it borrows for its few calls,
+    /// the demand is zero, because it counts at the lender.
     pub(super) fn demand_claim(&self, now: Duration, purse: &Purse) -> Claim {
         let demand = purse.demand.tokens_per_s(now);
         let claim = Claim {
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Returns what the plan goes by for this instance.
+    /// Returns the planning input for this instance.
     pub(super) fn need(&self, account: &str, claim: Claim) -> Need {
         let view = self.overview.account(account);
         let prepaid = self.prepaid_tokens.get(account).copied().unwrap_or(0);
--- a/crates/damaskstile-escrow/src/holder/pending.rs
+++ b/crates/damaskstile-escrow/src/holder/pending.rs
@@ -1,19 +1,20 @@
-//! `pending` is a write or a report whose outcome is not known.
+//! A write or a report whose outcome is unknown.
 
 use damaskstile_core::prelude::*;
 
 use crate::pace::Pace;
 use crate::sums::Sums;
 
-/// `Pending` is a write or a report whose outcome is not known.
+/// A write or a report whose outcome is unknown.
 #[derive(Debug, Clone)]
 pub(super) struct Pending {
     pub number: u64,
-    /// Version that the ledger must have for it to take effect; a report may with any.
+    /// Ledger version that the write is conditional on; `None` for a report, which may take effect
+    /// at any version.
     pub expected_version: Option<Version>,
     pub made_at: Duration,
     pub pace: Pace,
-    /// Least that it leaves of each account, should it take effect.
+    /// Smallest amounts that it leaves of each account if it takes effect.
     pub sums: BTreeMap<AccountId, Sums>,
 }
 
--- a/crates/damaskstile-escrow/src/holder/plan.rs
+++ b/crates/damaskstile-escrow/src/holder/plan.rs
@@ -1,4 +1,4 @@
-//! `plan` says how many free tokens of an account an instance should hold.
+//! Computes how many free tokens of an account an instance should hold.
 
 use damaskstile_core::prelude::*;
 
@@ -6,24 +6,24 @@
 use crate::claim::Claim;
 use crate::overview::AccountView;
 
-/// Lenders of an account: one in each data centre, of which fleets have some.
+/// Assumed largest number of lenders of an account. Each data centre has one, and fleets have a few
+/// data centres.
 const LENDERS: u64 = 8;
 
-/// Divisor of percentages.
 const PERCENT: u64 = 100;
 
-/// `Need` is what the plan goes by: how an account stands, and what one instance asks of it.
+/// Planning input: the totals of an account and one instance's claim on it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Need {
-    /// Tokens that are neither spent nor used anywhere, as far as is known.
+    /// Tokens that are neither settled nor used anywhere, as far as is known.
     pub left_tokens: u64,
-    /// Tokens asked for in a second at other instances.
+    /// Demand at other instances, in tokens per second.
     pub others_tokens_per_s: u64,
-    /// Instances that share the account.
+    /// Number of instances that share the account.
     pub instances: u64,
-    /// Free tokens that the instance could hold: its own, and those that the store has.
+    /// Free tokens that the instance could hold: its own and those in the store.
     pub reachable_tokens: u64,
-    /// What the instance says.
+    /// The instance's claim.
     pub claim: Claim,
 }
 
@@ -60,14 +60,16 @@
 }
 
 impl Holder {
-    /// Returns the free tokens that an instance should hold of an account.
+    /// Returns the number of free tokens that an instance should hold of an account.
     ///
-    /// Tokens stand where they are asked for, because an instance that is cut off from the store
-    /// and all peers can spend only what it holds. A part is divided evenly for accounts that
-    /// move, and a part stays in the store for instances that come back with nothing.
+    /// Tokens are placed where they are requested, because an instance that is cut off from the
+    /// store and all peers can spend only what it holds. A part is divided evenly for accounts
+    /// whose calls move between instances, and a part stays in the store for instances that restart
+    /// with nothing.
     ///
-    /// A call that lacks more than the instance can reach counts for nothing: pieces of a call that
-    /// many instances keep, each waiting for the rest, pay for none.
+    /// A request for more tokens than the instance can reach is ignored: if many instances each
+    /// kept part of the tokens for such a call while waiting for the rest, no call could be paid
+    /// for.
     pub(super) fn target_tokens(&self, need: &Need) -> u64 {
         let Claim {
             demand_tokens_per_s: own,
@@ -84,7 +86,8 @@
         let reserve_percent = self.reserve_percent(need.left_tokens, all);
         let spendable = need.left_tokens * (PERCENT - reserve_percent) / PERCENT;
         if self.is_borrowed(&need.claim) {
-            // Its part would pay for too few calls to be of use, and be a line in the ledger.
+            // Its share would pay for too few calls to be useful, and would add an item to the
+            // ledger.
             return wanted;
         }
         let instances = if need.claim.is_lender {
@@ -93,7 +96,7 @@
             need.instances
         };
         if all == 0 {
-            // Nothing is known of the demand yet: half is divided evenly.
+            // The demand is not known yet: half of the spendable tokens is divided evenly.
             return (spendable / 2 / instances).max(wanted);
         }
         let even = spendable * self.options.even_percent / PERCENT / instances;
@@ -110,16 +113,17 @@
             return share.max(floor).max(plenty.min(even_share)).max(wanted);
         }
         if share < floor {
-            // So little everywhere that no instance could serve a call: the store keeps it whole
-            // and hands it out call by call.
+            // The shares are too small for any instance to serve a call, so the store keeps the
+            // tokens together and grants them call by call.
             return wanted;
         }
         share.max(wanted)
     }
 
-    /// Tells whether an instance borrows what its calls of an account need, and holds nothing: one
-    /// of many instances that sees few calls of the account and lends to nobody. Of 295 instances
-    /// with 40 accounts each held a line for nearly every account, 1.3 MB in all.
+    /// Returns whether an instance holds no tokens of an account and borrows what its calls need.
+    /// This holds in a large fleet for an instance that sees few calls of the account and does not
+    /// lend it. Otherwise, in a fleet of 295 instances with 40 accounts, each instance had an item
+    /// in the ledger for nearly every account, 1.3 MB in all.
     pub(super) fn is_borrowed(&self, claim: &Claim) -> bool {
         let horizon_s = self.options.horizon.as_secs();
         let of_horizon = claim.demand_tokens_per_s.saturating_mul(horizon_s);
@@ -128,9 +132,10 @@
         self.is_large_fleet() && !claim.is_lender && is_thin
     }
 
-    /// Returns the free tokens that an instance may spend ahead of its next write: what is asked
-    /// for until then, or its share of a part of what is left, whichever is more. Where much is
-    /// left, losing a part of it with all instances refuses nobody.
+    /// Returns the number of free tokens that an instance may spend ahead of its next write: the
+    /// expected demand until then, or its share of a percentage of the remaining tokens, whichever
+    /// is more. Where many tokens remain, no call is refused if that share is lost with all
+    /// instances.
     pub(super) fn ahead_tokens(&self, need: &Need, target: u64) -> u64 {
         let options = &self.options;
         let own = need.claim.demand_tokens_per_s;
@@ -148,9 +153,9 @@
             .min(target)
     }
 
-    /// Returns the part of what is left that stays in the store: more of it the sooner the budget
-    /// ends. Close to the end nothing is gained by holding tokens, since an isolation only delays
-    /// the calls that they pay for, while whatever is held is lost with its holder.
+    /// Returns the percentage of the remaining tokens that stays in the store. It increases as the
+    /// budget nears its end. There, holding tokens gains nothing, because an isolation only delays
+    /// the calls that they pay for, whereas held tokens are lost if their holder ends.
     fn reserve_percent(&self, left_tokens: u64, demand_tokens_per_s: u64) -> u64 {
         let options = &self.options;
         let lasts_ms = left_tokens.saturating_mul(1000) / demand_tokens_per_s.max(1);
--- a/crates/damaskstile-escrow/src/holder/reports.rs
+++ b/crates/damaskstile-escrow/src/holder/reports.rs
@@ -1,8 +1,8 @@
-//! `reports` has one instance of a large fleet write to the ledger for all.
+//! Lets one instance of a large fleet write to the ledger for all.
 //!
-//! One object that all instances write to grows with the fleet, and beyond some tens of instances
-//! nearly every write meets another. So the others send their reports to one writer, which enters
-//! many of them with one write and answers each with a receipt.
+//! A single object that all instances write to grows with the fleet, and beyond a few tens of
+//! instances nearly every write conflicts with another. So the other instances (members) send their
+//! reports to one writer, which enters many of them with one write and answers each with a receipt.
 
 use damaskstile_core::prelude::*;
 
@@ -17,26 +17,27 @@
 use crate::stamp::Stamp;
 use crate::sums::Sums;
 
-/// Time without an answer after which a report is in doubt: two rounds of the writer and a call
-/// to the store.
+/// Time without an answer after which a report is in doubt: two rounds of the writer and a store
+/// call.
 const ANSWER_LIMIT: Duration = Duration::from_millis(2_400);
-/// The same for a report that calls wait for, which the writer enters at once.
+/// Time without an answer after which a report that calls wait for is in doubt. The writer enters
+/// such a report at once.
 const URGENT_ANSWER_LIMIT: Duration = Duration::from_millis(400);
-/// Time after which a report is sent again while it has no answer. Datagrams get lost, and the
-/// writer may be another by then.
+/// Interval at which a report without an answer is sent again. Datagrams get lost, and the writer
+/// may have changed.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// `Role` says how what an instance has to write reaches the ledger.
+/// How an instance's changes reach the ledger.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Role {
-    /// It writes to the ledger itself.
+    /// The instance writes to the ledger itself.
     #[default]
     Writer,
-    /// A peer writes for it.
+    /// A peer writes for the instance.
     Member,
 }
 
-/// `Outstanding` is a report that has no answer yet.
+/// A report that has no answer yet.
 #[derive(Debug, Clone)]
 pub(super) struct Outstanding {
     report: Report,
@@ -45,13 +46,14 @@
 }
 
 impl Holder {
-    /// Sets how what there is to write reaches the ledger from now on.
+    /// Sets how this instance's changes reach the ledger from now on.
     pub fn set_role(&mut self, role: Role) {
         if self.role != role {
             self.role = role;
-            // The ledger as a writer needs it may be older than what receipts told.
+            // The last read ledger may be older than what receipts have reported since, and a
+            // writer needs the current one.
             self.is_in_doubt |= role == Role::Writer;
-            // Whoever has no answer sends its report again, to another.
+            // Members without an answer send their reports again, to the new writer.
             self.inbox.clear();
         }
     }
@@ -59,8 +61,8 @@
     /// Returns the report to send to the writer, if one is due: a new one, or the last one again
     /// while it has no answer.
     ///
-    /// After a while without answers no new ones are made: while an instance is isolated each
-    /// would only begin its unlocking anew.
+    /// After the answer limit no new reports are made, because each one would restart the unlocking
+    /// of an isolated instance.
     pub fn next_report(&mut self, now: Duration, stamp: &Stamp) -> Option<Report> {
         self.note_stamp(now, stamp);
         if let Some(outstanding) = &mut self.outstanding {
@@ -72,8 +74,9 @@
                 ANSWER_LIMIT
             };
             self.is_in_doubt |= age >= limit;
-            // Calls do not wait for the answer to a report that knew nothing of them. One such
-            // report is enough: each begins the unlocking anew.
+            // A report that was made before calls ran short does not request their tokens, so they
+            // need not wait for its answer. Only one such extra report is made, because each
+            // restarts the unlocking.
             let is_pressing = self.is_short && !is_urgent && !self.is_in_doubt;
             if !is_pressing {
                 let is_due = now >= outstanding.sent_at + RESEND_INTERVAL;
@@ -112,8 +115,8 @@
         Some(report)
     }
 
-    /// Takes in a peer's report, to be entered with the next write. Returns its receipt where the
-    /// ledger has it already.
+    /// Accepts a peer's report, to be entered with the next write. Returns its receipt if the
+    /// ledger already contains it.
     pub fn take_report(&mut self, now: Duration, report: Report) -> Option<Receipt> {
         let listed = self.ledger.holders.get(&report.instance);
         let is_entered = listed.is_some_and(|entry| {
@@ -133,7 +136,7 @@
         None
     }
 
-    /// Returns the receipts of the instances whose reports a write entered, with their addresses.
+    /// Returns the receipts for the instances whose reports a write entered, with their addresses.
     #[must_use]
     pub fn receipts(&self, reported: &BTreeMap<InstanceId, Reported>) -> Vec<(String, Receipt)> {
         let totals = Overview::of_ledger(&self.ledger, "");
@@ -143,8 +146,9 @@
             .collect()
     }
 
-    /// Makes a receipt on the accounts that an instance reported on or has a part of. On all accounts
-    /// it would weigh as much as there are, times the instances that report in a second.
+    /// Creates a receipt about the accounts that the instance reported on or has an entry for. A
+    /// receipt about all accounts would be as large as there are accounts, times the number of
+    /// reports per second.
     fn receipt(&self, totals: &Overview, instance: &str, reported: &Reported) -> Receipt {
         let entry = self.ledger.holders.get(instance);
         let is_predecessor = entry.is_some_and(|entry| entry.incarnation != reported.incarnation);
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Takes in the answer to a report; returns whether it was news.
+    /// Accepts the answer to a report; returns whether it was new.
     pub fn take_receipt(&mut self, now: Duration, receipt: &Receipt) -> bool {
         if receipt.version < self.receipt_version {
             return false;
@@ -194,7 +198,8 @@
         self.seen_at = Some(now);
         self.touched_at = Some(now);
         if receipt.incarnation != self.identity.incarnation {
-            // The report named another predecessor than is listed; the next one names this.
+            // The report named a different predecessor from the one that the ledger lists; the next
+            // report names the listed one.
             self.follows = receipt.incarnation;
             if is_first {
                 self.inherit_demand(now, receipt.left_demands());
@@ -212,7 +217,7 @@
             self.outstanding = None;
             self.is_in_doubt = false;
         }
-        // Of what a receipt does not name nothing stands for this instance.
+        // Accounts that the receipt does not name have nothing stored for this instance.
         let own = |account: &AccountId| receipt.accounts.get(account)?.own;
         let accounts = self.purses.keys().chain(receipt.accounts.keys());
         let sums = accounts.map(|account| (account.clone(), own(account).unwrap_or_default()));
@@ -221,7 +226,7 @@
         true
     }
 
-    /// Removes the reports that a ledger has or will never take.
+    /// Removes the reports that a ledger already contains or can no longer accept.
     pub(super) fn clear_inbox(&mut self, ledger: &Ledger) {
         self.inbox.retain(|instance, (_, report)| {
             let listed = ledger.holders.get(instance);
--- a/crates/damaskstile-escrow/src/holder/restoring.rs
+++ b/crates/damaskstile-escrow/src/holder/restoring.rs
@@ -1,9 +1,10 @@
-//! `restoring` begins the ledger anew where the store came back from an older copy of itself.
+//! Rebuilds the ledger after the store was restored from an older copy of itself.
 //!
-//! What was written since the copy is gone, but for what instances remember: grants that are being
-//! spent are missing there, and would be handed out again. So nobody writes on such a copy. Whoever
-//! remembers the newest ledger writes that in its place, under the history that the store is in now,
-//! and nothing more is granted until those that it lists have said what they hold.
+//! Everything written after the copy was made is lost, except for what instances remember: grants
+//! that are being spent are missing from the copy and would be granted again. So no instance writes
+//! on such a stale copy. An instance that remembers the newest ledger writes that in place of the
+//! copy, under the store's new history, and nothing more is granted until the instances listed in
+//! it have reported their holdings.
 
 use damaskstile_core::prelude::*;
 
@@ -12,37 +13,40 @@
 use crate::ledger::Ledger;
 use crate::stamp::Stamp;
 
-/// Time after the store's return in which peers tell which ledger they remember.
+/// Time after the stale copy was first seen during which instances collect which ledger versions
+/// their peers remember.
 const GATHER_TIME: Duration = Duration::from_millis(700);
-/// Time after which an instance no longer waits for one that remembers a newer ledger.
+/// Longest time for which an instance waits for a peer that remembers a newer ledger.
 const GATHER_TIME_MAX: Duration = Duration::from_secs(3);
-/// Time for which instances that have not said what they hold keep the rest from being granted.
+/// Longest time for which instances that have not reported their holdings keep the rest from being
+/// granted.
 const CONFIRM_TIME_MAX: Duration = Duration::from_secs(3);
-/// Time between two looks at whether another instance has begun the ledger anew.
+/// Interval at which to check whether another instance has rebuilt the ledger.
 const LOOK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// `Restoring` is what an instance knows of the store's return from an older copy.
+/// State of the rebuild of the ledger after the store was restored from an older copy.
 #[derive(Debug, Default)]
 pub(super) struct Restoring {
-    /// History that the store is in.
+    /// Current history of the store.
     pub(super) history: History,
-    /// History in which the ledger has what this instance holds.
+    /// Latest history in which the ledger contains this instance's holdings.
     confirmed: History,
-    /// First report that was made in this history.
+    /// Number of the first report made in the current history.
     confirm_number: Option<u64>,
-    /// Newest version of the ledger that any peer said it remembers.
+    /// Newest ledger version that any peer reported to remember.
     told_version: Version,
-    /// The ledger as the copy has it, with its version there.
+    /// The stale copy of the ledger, with its version in the store.
     copy: Option<(Version, Ledger)>,
-    /// When it was first seen. Peers that remember a newer one could not write before either.
+    /// Time at which the stale copy was first seen. Until then, peers that remember a newer ledger
+    /// could not write either.
     copy_at: Duration,
     looked_at: Duration,
-    /// When a ledger of this history was first seen.
+    /// Time at which a ledger of the current history was first seen.
     begun_at: Option<Duration>,
 }
 
 impl Restoring {
-    /// Tells whether the ledger may lack what this instance holds.
+    /// Returns whether the ledger may lack this instance's holdings.
     pub(super) fn is_unconfirmed(&self) -> bool {
         self.confirmed < self.history
     }
@@ -54,20 +58,20 @@
         }
     }
 
-    /// Notes which report stands in the ledger.
+    /// Notes which report took effect.
     pub(super) fn note_committed(&mut self, number: u64) {
         if self.confirm_number.is_some_and(|first| number >= first) {
             self.confirmed = self.history;
         }
     }
 
-    /// Notes a ledger of this history.
+    /// Notes that a ledger of the current history was seen.
     pub(super) fn note_begun(&mut self, now: Duration) {
         self.copy = None;
         self.begun_at.get_or_insert(now);
     }
 
-    /// Tells whether to look if another instance has begun the ledger anew.
+    /// Returns whether it is time to check if another instance has rebuilt the ledger.
     pub(super) fn needs_look(&self, now: Duration) -> bool {
         self.copy.is_some() && now.saturating_sub(self.looked_at) >= LOOK_INTERVAL
     }
@@ -80,14 +84,13 @@
 }
 
 impl Holder {
-    /// Returns the history that the store is in, as far as is known.
+    /// Returns the store's history, as far as is known.
     #[must_use]
     pub fn store_history(&self) -> History {
         self.restoring.history
     }
 
-    /// Takes in which history the store is in, by its own word or a peer's; returns whether that is
-    /// news.
+    /// Sets the store's history, as stated by the store or a peer; returns whether it was new.
     pub fn enter_history(&mut self, history: History) -> bool {
         if history <= self.restoring.history {
             return false;
@@ -103,21 +106,22 @@
             told_version: self.restoring.told_version,
             ..Restoring::default()
         };
-        // The report that is under way knows nothing of it.
+        // The outstanding report was made in the previous history.
         self.outstanding = None;
         self.round_at = None;
         self.is_in_doubt |= self.seen_at.is_some();
         true
     }
 
-    /// Takes in which version of the ledger a peer remembers.
+    /// Notes which ledger version a peer remembers.
     pub fn hear_ledger_version(&mut self, version: Version) {
         self.restoring.told_version = self.restoring.told_version.max(version);
     }
 
-    /// Keeps a ledger of an earlier history as the copy that it is; returns whether it is one.
+    /// Keeps a ledger of an earlier history as a stale copy; returns whether it is one.
     pub(super) fn take_copy(&mut self, now: Duration, version: Version, ledger: &Ledger) -> bool {
-        // Where there is none, a fleet starts for the first time, or the copy is older than that.
+        // A store without a ledger is handled like a stale copy unless it is in its first history:
+        // either the fleet starts for the first time, or the copy predates the first ledger.
         let is_copy = ledger.history < self.restoring.history;
         if is_copy {
             if self.restoring.copy.is_none() {
@@ -134,7 +138,7 @@
         self.restoring.copy.is_some()
     }
 
-    /// Returns the write that begins the ledger anew, once it is this instance's to make.
+    /// Returns the write that rebuilds the ledger, once this instance may make it.
     pub(super) fn begin_anew(&mut self, now: Duration, stamp: &Stamp) -> Option<Round> {
         if !self.restoring.may_begin(now, self.ledger_version) {
             return None;
@@ -163,7 +167,8 @@
         Some(self.make_round(now, stamp, ledger, version))
     }
 
-    /// Has the rest be granted again once those that have not said what they hold had the time to.
+    /// Allows the rest to be granted again once the instances that have not reported their holdings
+    /// have had enough time to.
     pub(super) fn open_pool(&self, now: Duration, ledger: &mut Ledger) {
         let begun_at = self.restoring.begun_at;
         if begun_at.is_some_and(|at| now.saturating_sub(at) >= CONFIRM_TIME_MAX) {
--- a/crates/damaskstile-escrow/src/holder/round.rs
+++ b/crates/damaskstile-escrow/src/holder/round.rs
@@ -1,4 +1,4 @@
-//! `round` writes to the ledger and finds out what became of a write.
+//! Creates writes to the ledger and tracks their outcomes.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
@@ -17,35 +17,35 @@
 use crate::stamp::Stamp;
 use crate::sums::Sums;
 
-/// Change of a grant that is worth a write, in parts of the grant. Smaller ones would have every
-/// instance write in every round.
+/// Divisor of a grant: a change of more than this part of the grant is worth a write. With smaller
+/// changes, every instance would write in every round.
 const WORTH_PART: u64 = 8;
 
-/// `Round` is one conditional write to the ledger.
+/// One conditional write to the ledger.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Round {
     /// Number of the write within the incarnation.
     pub number: u64,
-    /// Version that the ledger must still have; 0 where there must be none.
+    /// Version that the ledger must still have; 0 if it must not exist yet.
     pub expected_version: Version,
     /// The ledger to write.
     pub ledger: Ledger,
-    /// What it writes off of ended incarnations.
+    /// Write-offs for ended incarnations that the write includes.
     pub settlements: Vec<Settlement>,
-    /// The peers whose reports it enters.
+    /// The peers whose reports the write enters.
     pub reported: BTreeMap<InstanceId, Reported>,
 }
 
 impl Holder {
-    /// Takes in the ledger as the store shows it. Version 0 means that there is none.
+    /// Accepts the ledger as read from the store. Version 0 means that there is none.
     pub fn observe(&mut self, now: Duration, version: Version, ledger: Ledger) {
         self.touched_at = Some(now);
         self.take_ledger(now, version, ledger);
     }
 
-    /// Takes in a write that a peer says the ledger took; returns whether it followed on what was
-    /// known here. With it the next write here is made on the ledger as it stands, instead of
-    /// being refused once for each write of a peer.
+    /// Accepts a ledger change that a peer reports as written; returns whether it was based on the
+    /// version known here. The next write is then made on the current ledger, instead of
+    /// conflicting once for each write of a peer.
     pub fn hear(&mut self, now: Duration, change: LedgerChange) -> bool {
         if change.follows != self.ledger_version || self.seen_at.is_none() {
             return false;
@@ -68,7 +68,7 @@
         self.restoring.note_begun(now);
         let is_first = self.seen_at.is_none();
         if self.role == Role::Member && !is_first {
-            // A member goes by receipts; the ledger tells it only who there is.
+            // A member relies on receipts; it uses the ledger only to know which instances exist.
             self.ledger_version = version;
             self.ledger = ledger;
             return;
@@ -97,8 +97,8 @@
                 let left = entry.map(HolderEntry::demands).unwrap_or_default();
                 self.inherit_demand(now, left);
             }
-            // Nothing of this incarnation stands there: what it was granted is void, unless the
-            // store has lost it.
+            // The ledger has no entry of this incarnation, so its grants are void, unless the store
+            // has lost them.
             if !self.restoring.is_unconfirmed() {
                 for purse in self.purses.values_mut() {
                     purse.allowed_tokens = purse.settled_tokens;
@@ -108,17 +108,18 @@
         }
         self.clear_inbox(&ledger);
         self.ledger = ledger;
-        // A write on an older version can no longer take effect.
+        // A write based on an older version can no longer take effect.
         self.pending
             .retain(|pending| pending.expected_version.is_none_or(|on| on >= version));
     }
 
-    /// Begins with the demand that the predecessor wrote to the ledger: of each account, all of it and
-    /// that of its most urgent calls.
+    /// Starts from the demand that the predecessor wrote to the ledger: for each account, that of
+    /// all calls and that of its most urgent calls.
     ///
-    /// Where all instances end together nobody knows what is asked for. Accounts seem to have plenty
-    /// then, and the first calls to come, long ones that could wait among them, take the last
-    /// tokens: of a day's requests that came 12 s after such an end fewer than a quarter were served.
+    /// If all instances end together, the demand is otherwise unknown. Accounts then seem to have
+    /// plenty, and the first calls to arrive, including long ones that could wait, take the last
+    /// tokens. Without this, fewer than a quarter of the requests that came 12 s after such an end
+    /// were served.
     pub(super) fn inherit_demand(&mut self, now: Duration, left: Vec<(AccountId, u64, u64)>) {
         for (account, all, urgent) in left {
             let purse = self.purses.entry(account).or_default();
@@ -126,29 +127,29 @@
         }
     }
 
-    /// Takes in a write that took effect, with the version that it made.
+    /// Notes that a write took effect, with the version that it created.
     pub fn written(&mut self, now: Duration, version: Version, round: Round) {
         self.observe(now, version, round.ledger);
     }
 
-    /// Takes in that a write surely has not taken effect and never will.
+    /// Notes that a write has not taken effect and never will.
     pub fn not_written(&mut self, number: u64) {
         self.pending.retain(|pending| pending.number != number);
     }
 
-    /// Takes in that a write got no clear answer: it may have taken effect, or may yet.
+    /// Notes that a write got no clear answer: it may have taken effect, or may yet.
     ///
-    /// No further write is made until the ledger was seen again. While an instance is cut off
+    /// No further write is made until the ledger has been seen again. While an instance is cut off,
     /// each further write in doubt could only lower what it may spend.
     pub fn in_doubt(&mut self) {
         self.is_in_doubt = true;
     }
 
-    /// Tells whether the host should read the ledger before it asks for a write.
+    /// Returns whether the host should read the ledger before it asks for a write.
     #[must_use]
     pub fn needs_read(&self, now: Duration) -> bool {
-        // A member goes by receipts. Were it to read the ledger, which has a line for each instance, a
-        // fleet that starts together would fill the store's link with it.
+        // A member relies on receipts. If members read the ledger, which has an entry for each
+        // instance, a fleet that starts all at once would saturate the store's link.
         if self.role == Role::Member {
             return false;
         }
@@ -160,7 +161,7 @@
         self.seen_at.is_none() || self.is_in_doubt || (self.is_short && is_old)
     }
 
-    /// Tells whether the fleet is so large that one instance writes for all.
+    /// Returns whether the fleet is so large that one instance writes for all.
     #[must_use]
     pub fn is_large_fleet(&self) -> bool {
         self.overview.instances > u64::from(self.options.small_fleet)
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Returns how much slower rounds are than in a small fleet.
+    /// Returns the factor by which intervals between rounds are longer than in a small fleet.
     pub(super) fn scale(&self) -> u32 {
         if self.is_large_fleet() {
             self.options.large_scale
@@ -189,12 +190,12 @@
         self.round_at = None;
     }
 
-    /// Begins to hand everything back.
+    /// Starts to hand back all tokens.
     pub fn stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// Tells whether the ledger holds nothing for this instance that it could hand back.
+    /// Returns whether the ledger holds nothing for this instance that could be handed back.
     #[must_use]
     pub fn is_handed_back(&self) -> bool {
         self.purses
@@ -202,9 +203,9 @@
             .all(|purse| purse.unsettled() == 0 && purse.granted() <= purse.reserved_tokens)
     }
 
-    /// Returns the write that is due, if one is. At most one is under way at a time.
+    /// Returns the write that is due, if there is one. At most one may be in progress at a time.
     ///
-    /// `None` too where the ledger was never seen: the host reads it first.
+    /// Also returns `None` if the ledger was never seen: the host must read it first.
     pub fn next_round(&mut self, now: Duration, stamp: &Stamp) -> Option<Round> {
         self.note_stamp(now, stamp);
         if self.has_copy() {
@@ -224,7 +225,7 @@
         Some(self.make_round(now, stamp, ledger, self.ledger_version))
     }
 
-    /// Returns the time until the next round may be made, where tokens are short.
+    /// Returns the time until the next round may be made, if tokens are short.
     #[must_use]
     pub fn urgent_wait(&self, now: Duration) -> Option<Duration> {
         let due_at = self.round_at.map(|at| at + self.urgent_interval());
@@ -241,7 +242,7 @@
         self.round_at.is_none_or(|at| now >= at + interval)
     }
 
-    /// Takes in what stands in the ledger for this incarnation.
+    /// Applies what the ledger contains for this incarnation.
     pub(super) fn commit(&mut self, now: Duration, number: u64, sums: BTreeMap<AccountId, Sums>) {
         if number <= self.committed_number {
             return;
@@ -249,7 +250,8 @@
         self.committed_number = number;
         self.restoring.note_committed(number);
         let pending = self.pending.iter().find(|one| one.number == number);
-        // Unlocking begins when the write was made; later is safe.
+        // Unlocking is counted from the time the write was made. If that time is unknown, a later
+        // start is safe.
         self.committed_at = pending.map_or(now, |pending| pending.made_at);
         self.committed_pace = pending.map_or(self.pace(), |pending| pending.pace);
         for (account, sums) in sums {
@@ -261,7 +263,7 @@
         self.pending.retain(|pending| pending.number > number);
     }
 
-    /// Tells whether the ledger lists this incarnation, so that it can hold tokens.
+    /// Returns whether the ledger lists this incarnation, so that it can hold tokens.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         match self.role {
@@ -286,7 +288,7 @@
         }
         let is_settling = match self.role {
             Role::Writer => self.has_estate_to_settle(now),
-            // What its predecessors left is settled with its reports.
+            // The orphaned entries of its predecessors are settled with its reports.
             Role::Member => !self.is_out_of_patience(now),
         };
         if is_settling {
@@ -312,7 +314,7 @@
         })
     }
 
-    /// Makes a write on a ledger that must have the expected version.
+    /// Creates a write that is conditional on the expected version of the ledger.
     pub(super) fn make_round(
         &mut self,
         now: Duration,
@@ -357,8 +359,8 @@
     }
 }
 
-/// Adds the fleet's time of the sender's start to a report, where the sender has not heard enough
-/// peers to know it: the time now, less what passed since on the sender's own clock.
+/// Fills in the fleet clock at the sender's start if the sender has not heard from enough peers to
+/// know it: the current fleet clock minus the time elapsed since on the sender's own clock.
 fn with_fleet_time(mut report: Report, stamp: &Stamp, waited: Duration) -> Report {
     if report.start.fleet_late_ms.is_none() {
         let since_start_ms = report.stamp.unix_ms.checked_sub(report.start.unix_ms);
--- a/crates/damaskstile-escrow/src/holder/shortage.rs
+++ b/crates/damaskstile-escrow/src/holder/shortage.rs
@@ -1,4 +1,4 @@
-//! `shortage` tells why tokens could not be reserved, and what is kept for more urgent calls.
+//! Finds out why tokens could not be reserved, and what is reserved for more urgent calls.
 
 use damaskstile_core::prelude::*;
 
@@ -8,8 +8,8 @@
 use crate::shortage::Shortage;
 
 impl Holder {
-    /// Tells whether a call must leave what is left to more urgent ones of its account. Near its
-    /// end a budget pays for many short urgent calls or for a few long ones that can wait.
+    /// Returns whether a call must leave the remaining tokens to more urgent calls of its account.
+    /// Near its end a budget pays for many short urgent calls or for a few long ones that can wait.
     pub(super) fn is_kept_for_urgent(
         &self,
         now: Duration,
@@ -29,14 +29,15 @@
         self.left_tokens(account) < kept.saturating_add(tokens)
     }
 
-    /// Tells whether the ledger was seen so lately that it proves what others have.
+    /// Returns whether the ledger was seen recently enough to be evidence of what other instances
+    /// hold.
     pub(super) fn is_ledger_recent(&self, now: Duration) -> bool {
         let age = self.ledger_age(now);
         age.is_some_and(|age| age <= self.options.evidence_age)
     }
 
-    /// Tells whether no instance has so many tokens, by a recent look at the ledger. Nothing but
-    /// another purchase brings them then, so a caller need not ask again.
+    /// Returns whether no instance has as many tokens, according to a recently seen ledger. Then
+    /// only another purchase helps, so a caller need not retry.
     pub(super) fn is_exhausted(&self, now: Duration, account: &str, tokens: u64) -> bool {
         let purse = self.purses.get(account);
         let own_reserved = purse.map_or(0, |purse| purse.reserved_tokens);
@@ -47,7 +48,7 @@
     pub(super) fn shortage(&self, now: Duration, account: &str, tokens: u64) -> Shortage {
         let can_ask = self.role == Role::Member && !self.is_in_doubt;
         if !self.is_ledger_recent(now) {
-            // The answer to a report tells how the account stands.
+            // The receipt for a report will state the account's totals.
             return if can_ask {
                 Shortage::InStore
             } else {
@@ -58,7 +59,7 @@
             return Shortage::Exhausted;
         }
         let purse = self.purses.get(account);
-        // A write without an answer, or none for longer than a round, tells of an isolation.
+        // An unanswered write, or no store contact for longer than a round, indicates an isolation.
         let is_in_touch = match self.role {
             Role::Member => can_ask,
             Role::Writer => !self.is_in_doubt && self.was_touched_lately(now),
--- a/crates/damaskstile-escrow/src/ledger.rs
+++ b/crates/damaskstile-escrow/src/ledger.rs
@@ -1,4 +1,4 @@
-//! `ledger` is the stored state of all budgets of a shard.
+//! Stored state of all budgets of a shard.
 
 use damaskstile_core::identity::writer_name;
 use damaskstile_core::prelude::*;
@@ -7,34 +7,35 @@
 use crate::entry::HolderEntry;
 use crate::pace::Unlocked;
 
-/// Most that all numbers of tokens in a ledger may add up to. Far above all that is sold, and so
-/// far below the largest number that no sum of a few ledgers' numbers can overflow.
+/// Upper limit of the sum of all token numbers in a ledger. Far above all that is sold, and low
+/// enough that sums over a few ledgers cannot overflow.
 const SUM_TOKENS_MAX: u64 = 1 << 56;
 
-/// Age that a copy of the store may have.
+/// Largest age assumed for a stale copy of the store.
 const LOST_SPAN: Duration = Duration::from_secs(10);
 
-/// `Ledger` says what is spent for good and what each instance may still spend.
+/// Records the tokens that are spent and what each instance may still spend.
 ///
-/// At every version, for every account, settled and granted tokens together are at most what the
-/// account had bought when the version was written.
+/// Invariant: at every version and for every account, settled and granted tokens together do not
+/// exceed what the account had bought when the version was written.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ledger {
-    /// Newest catalogue whose sums were used. A writer that knows only an older one grants
-    /// nothing, because the sums may have been lowered since.
+    /// Newest catalogue version whose prepaid amounts were used. A writer that knows only an older
+    /// catalogue grants nothing, because the amounts may have been lowered since.
     pub catalogue_version: Version,
-    /// Tokens that count as spent.
+    /// Tokens that count as spent, by account.
     pub settled_tokens: BTreeMap<AccountId, u64>,
-    /// The instances with their grants.
+    /// Entries of the instances, with their grants.
     pub holders: BTreeMap<InstanceId, HolderEntry>,
-    /// Parts of incarnations that ended, until it is known what they can have spent.
+    /// Orphaned entries: those of ended incarnations, kept until it is known what they can have
+    /// spent.
     pub estates: BTreeMap<String, HolderEntry>,
-    /// History of the store in which it was begun, or begun anew.
+    /// History of the store in which the ledger was created or last rebuilt.
     #[serde(default, skip_serializing_if = "is_first_history")]
     pub history: History,
-    /// Instances that have not said what they hold since it was begun anew. Until then nothing
-    /// more is granted: it may be what they hold.
+    /// Instances that have not reported their holdings since the ledger was rebuilt. Until they
+    /// have, nothing more is granted, because the free tokens may be the ones that they hold.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub unconfirmed: BTreeSet<InstanceId>,
 }
@@ -51,7 +52,7 @@
         self.settled_tokens.get(account).copied().unwrap_or(0)
     }
 
-    /// Returns the tokens that are granted to instances, those that ended among them.
+    /// Returns the tokens that are granted to instances, including orphaned entries.
     #[must_use]
     pub fn granted(&self, account: &str) -> u64 {
         self.holders
@@ -74,18 +75,19 @@
             .saturating_sub(self.granted(account))
     }
 
-    /// Returns what is wrong with a ledger whatever was stored before it, if anything is.
+    /// Checks the ledger by itself; returns a description of the fault, if there is one.
     #[must_use]
     pub fn fault(&self) -> Option<&'static str> {
-        let is_absurd = self.sum_tokens().is_none_or(|sum| sum > SUM_TOKENS_MAX);
-        is_absurd.then_some("the sums are absurd")
+        let is_over_limit = self.sum_tokens().is_none_or(|sum| sum > SUM_TOKENS_MAX);
+        is_over_limit.then_some("sum of all token numbers exceeds the limit")
     }
 
-    /// Returns what is wrong with a ledger that was stored after another, if anything is.
+    /// Checks a ledger against the one stored before it; returns a description of the fault, if
+    /// there is one.
     ///
-    /// Instances only add to what counts as spent and only go on to newer catalogues. A ledger
-    /// that goes back, or has sums that cannot be added up, is another writer's, and tokens that
-    /// are spent would be handed out again on it.
+    /// Instances only increase settled tokens and only move to newer catalogues. A ledger in which
+    /// either went back, or whose sums overflow, was written by something else, and spent tokens
+    /// would be granted again from it.
     ///
     /// ```
     /// use damaskstile_escrow::Ledger;
@@ -100,19 +102,19 @@
         if let Some(fault) = self.fault() {
             Some(fault)
         } else if !is_same_history {
-            // Begun anew, it may lack what nobody remembered.
+            // A rebuilt ledger may lack entries that no instance remembered.
             None
         } else if self.catalogue_version < before.catalogue_version {
-            Some("the catalogue's version fell")
+            Some("catalogue version decreased")
         } else if before.settled_tokens.iter().any(has_fallen) {
-            Some("tokens that counted as spent do not any more")
+            Some("settled tokens of an account decreased")
         } else {
             None
         }
     }
 
-    /// Tells whether it has all that another ledger of the same line has: no sum is lower there, and
-    /// no write of an instance is missing.
+    /// Returns whether this ledger contains everything that another one of the same lineage
+    /// contains: no settled amount is lower and no write of an instance is missing.
     ///
     /// ```
     /// use damaskstile_escrow::Ledger;
@@ -142,7 +144,7 @@
             && other.holders.iter().all(has_rounds)
     }
 
-    /// Returns it as it is begun anew in a history of the store.
+    /// Returns the ledger as rebuilt in a history of the store.
     pub(crate) fn begun_in(&self, history: History) -> Self {
         Self {
             history,
@@ -151,8 +153,8 @@
         }
     }
 
-    /// Counts as spent what instances can have been granted after a copy that nobody remembers
-    /// more than.
+    /// Counts as spent what instances may have been granted after a stale copy was made, for use
+    /// when no instance remembers a newer ledger than the copy.
     pub(crate) fn write_off_lost(&mut self, prepaid_tokens: &BTreeMap<AccountId, u64>) {
         for (account, prepaid) in prepaid_tokens {
             let demands = self.holders.values();
@@ -163,13 +165,14 @@
         }
     }
 
-    /// Takes in that an instance has said what it holds.
+    /// Notes that an instance has reported its holdings.
     pub(crate) fn confirm(&mut self, instance: &str) {
         self.unconfirmed.remove(instance);
     }
 
-    /// Goes on without those that have not said what they hold. Should they have ended, all that
-    /// they are known to hold counts as spent: what they were granted later is not known.
+    /// Stops waiting for the instances that have not reported their holdings. If such an instance
+    /// has ended, all that it is known to hold counts as spent, because its later grants are not
+    /// known.
     pub(crate) fn confirm_all(&mut self) {
         for instance in std::mem::take(&mut self.unconfirmed) {
             if let Some(entry) = self.holders.get_mut(&instance) {
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Adds all numbers of tokens up; `None` where there is no such sum.
+    /// Adds up all numbers of tokens; `None` on overflow.
     fn sum_tokens(&self) -> Option<u64> {
         let entries = self.holders.values().chain(self.estates.values());
         entries
@@ -194,7 +197,7 @@
         }
     }
 
-    /// Sets the part of an incarnation that ended apart.
+    /// Moves the entry of an ended incarnation to the orphaned entries.
     pub(crate) fn close(&mut self, instance: &str) {
         if let Some(mut entry) = self.holders.remove(instance) {
             if self.unconfirmed.remove(instance) {
@@ -205,7 +208,8 @@
         }
     }
 
-    /// Settles what an incarnation that ended can have spent; the rest of its grants is free.
+    /// Settles an orphaned entry: what it can have spent counts as spent, and the rest of its
+    /// grants is free.
     pub(crate) fn settle_estate(&mut self, name: &str, unlocked: Unlocked) {
         if let Some(entry) = self.estates.remove(name) {
             for account in entry.grants_tokens.keys() {
--- a/crates/damaskstile-escrow/src/ledger_change.rs
+++ b/crates/damaskstile-escrow/src/ledger_change.rs
@@ -1,4 +1,4 @@
-//! `ledger_change` is what one write changed in the ledger, for peers.
+//! Difference that one write made to the ledger, for peers.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -7,35 +7,35 @@
 use crate::holder::Round;
 use crate::ledger::{Ledger, is_first_history};
 
-/// `LedgerChange` is what one write changed in the ledger.
+/// Difference that one write made to the ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LedgerChange {
-    /// Version that the write was made on.
+    /// Ledger version on which the write was based.
     pub follows: Version,
-    /// Version that it made.
+    /// Ledger version that the write created.
     pub version: Version,
-    /// Newest catalogue whose sums were used.
+    /// Newest catalogue version whose prepaid amounts were used.
     pub catalogue_version: Version,
     /// The writer.
     pub instance: InstanceId,
-    /// The writer's part.
+    /// The writer's entry.
     pub entry: HolderEntry,
-    /// Tokens that count as spent.
+    /// Tokens that count as spent, by account.
     pub settled_tokens: BTreeMap<AccountId, u64>,
-    /// Parts of incarnations that ended.
+    /// Orphaned entries of ended incarnations.
     pub estates: BTreeMap<String, HolderEntry>,
-    /// History of the store in which the ledger was begun.
+    /// History of the store in which the ledger was created or last rebuilt.
     #[serde(default, skip_serializing_if = "is_first_history")]
     pub history: History,
-    /// Instances that have not said what they hold since then.
+    /// Instances that have not reported their holdings since then.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub unconfirmed: BTreeSet<InstanceId>,
 }
 
 impl LedgerChange {
-    /// Makes the change that an instance's write made, with the version that came of it; `None`
-    /// where the write changed parts of other instances too. Told as a change of the writer alone,
+    /// Returns the change that an instance's write made, with the version that it created; `None`
+    /// if the write also changed entries of other instances. Sent as a change of the writer alone,
     /// it would leave peers with a ledger that was never stored.
     ///
     /// ```
--- a/crates/damaskstile-escrow/src/lib.rs
+++ b/crates/damaskstile-escrow/src/lib.rs
@@ -1,9 +1,9 @@
-//! `damaskstile-escrow` divides prepaid tokens among instances, so that each can spend its part
-//! alone and all together never spend more than was bought.
+//! Divides prepaid tokens among instances, so that each instance can spend its part without
+//! coordination and all instances together never spend more than was bought.
 //!
-//! One stored [`Ledger`] says what is spent for good and what each instance may still spend. A
-//! [`Holder`] is one instance's part: it reserves the worst case of each call before the call is
-//! sent, and writes to the ledger under the condition that nobody else has written meanwhile.
+//! One stored [`Ledger`] records the tokens that are spent and what each instance may still spend.
+//! A [`Holder`] manages one instance's part: it reserves the worst-case cost of each call before
+//! the call is sent, and writes to the ledger conditionally on the version that it last read.
 
 pub mod claim;
 pub mod demand;
--- a/crates/damaskstile-escrow/src/options.rs
+++ b/crates/damaskstile-escrow/src/options.rs
@@ -1,69 +1,76 @@
-//! `options` sets where the tokens of a budget stand.
+//! Options for dividing the tokens of a budget among instances and the store.
 
 use damaskstile_core::prelude::*;
 
-/// `EscrowOptions` sets where the tokens of a budget stand.
+/// Options for dividing the tokens of a budget among instances and the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EscrowOptions {
-    /// Time between two rounds of an instance that has something to write.
+    /// Minimum time between two rounds of an instance that has something to write.
     pub round_interval: Duration,
-    /// Instances up to which each writes to the ledger itself. So many writes a second meet a
-    /// write of another instance, 8 ms long, about once in ten times.
+    /// Largest number of instances at which each instance writes to the ledger itself. A write
+    /// takes about 8 ms; with this many writes a second, about one in ten conflicts with a write of
+    /// another instance.
     pub small_fleet: u32,
-    /// How much slower rounds are in a larger fleet, in which one instance writes for all.
+    /// Factor by which the intervals between rounds are longer in a large fleet, in which one
+    /// instance writes for all.
     pub large_scale: u32,
     /// Time between two rounds while tokens are short in a large fleet. The ledger of 80 instances
     /// is about 50 KB, so ten writes a second take 4 Mbit/s.
     pub large_urgent_interval: Duration,
-    /// Time between two rounds while tokens are short here. Longer than a call to the store
-    /// takes, so that a burst of refusals does not become a burst of calls.
+    /// Time between two rounds while tokens are short in a small fleet. Longer than a call to the
+    /// store takes, so that a burst of refused reservations does not become a burst of store calls.
     pub urgent_interval: Duration,
-    /// Demand that an instance holds at most, as a time: the longest isolation to be outlived,
-    /// about 9 s, with the time until the demand is measured.
+    /// Longest span of its demand that an instance holds tokens for: the longest isolation to
+    /// survive, about 9 s, plus the time until the demand is measured.
     pub horizon: Duration,
-    /// Part of what is left that stays in the store where an account has plenty.
+    /// Percentage of the remaining tokens that stays in the store while an account has plenty.
     pub reserve_percent: u64,
-    /// Part that stays in the store where little is left.
+    /// Percentage of the remaining tokens that stays in the store when few are left.
     pub scarce_reserve_percent: u64,
-    /// Time that what is left lasts from which on an account has plenty: longer than an isolation.
+    /// An account has plenty when its remaining tokens last at least this long at the current
+    /// demand: longer than an isolation.
     pub plenty_from: Duration,
-    /// Time that what is left lasts below which little is left.
+    /// Few tokens are left when they last no longer than this at the current demand.
     pub scarce_from: Duration,
-    /// Average calls that an instance holds tokens for, or else none at all.
+    /// Smallest number of average calls that an instance holds tokens for. If its share would pay
+    /// for fewer, it holds none.
     pub floor_calls: u64,
-    /// Average calls within the horizon from which on an instance of a large fleet holds tokens of
-    /// an account itself. With fewer, chance alone leaves it short or with tokens that nobody asks
-    /// for, and it borrows them by one round trip.
+    /// Number of average calls within the horizon from which an instance of a large fleet holds
+    /// tokens of an account itself. With fewer calls, chance alone leaves it short or with tokens
+    /// that no call asks for; it borrows them instead, which costs one round trip.
     pub held_calls: u64,
-    /// Average calls that an instance holds tokens for where all instances can hold as much.
+    /// Number of average calls that an instance holds tokens for if all instances can hold as many.
     pub plenty_calls: u64,
-    /// Part of what is out that is divided evenly, for accounts that turn up elsewhere.
+    /// Percentage of the spendable tokens that is divided evenly among the instances, for accounts
+    /// whose calls move to other instances.
     pub even_percent: u64,
-    /// Demand that an instance in touch with the store may spend ahead of its last write, as a
-    /// time: the time between two writes, and as much again for a burst.
+    /// Span of its demand that an instance with a working store connection may spend ahead of its
+    /// last write: the time between two writes, and as much again for a burst.
     pub ceiling: Duration,
-    /// Average calls that it may spend beyond that, in percent of one, so that a large call
-    /// seldom needs a round of its own.
+    /// What it may spend beyond that, in percent of an average call, so that a large call seldom
+    /// needs a round of its own.
     pub ceiling_call_percent: u64,
-    /// Part of what is left that may be lost with all instances.
+    /// Percentage of the remaining tokens that may be lost if all instances end at once.
     pub ceiling_left_percent: u64,
-    /// Part of the free tokens that is below the ceiling without any demand, so that the first
-    /// calls of an account need no round.
+    /// Percentage of the tokens that an instance should hold that lies below the ceiling even
+    /// without demand, so that the first calls of an account need no round.
     pub ceiling_grant_percent: u64,
-    /// Time since the last write that took effect after which an instance goes beyond its
-    /// ceiling: a little more than the time between two writes, so that nothing is unlocked in
-    /// touch, and less than the ceiling lasts.
+    /// Time since the last write that took effect after which an instance may spend beyond its
+    /// ceiling. A little more than the time between two writes, so that nothing is unlocked while
+    /// the store is reachable, and less than the time that the ceiling lasts.
     pub unlock_after: Duration,
-    /// Time from then on in which an isolated instance comes to its whole grant.
+    /// Time, counted from then, over which the whole grant of an isolated instance is unlocked.
     pub unlock_span: Duration,
-    /// Demand of an account's most urgent calls that its other calls leave untouched, as a time.
+    /// Span of the demand of an account's most urgent calls that is reserved for them and left
+    /// untouched by its other calls.
     pub urgent_horizon: Duration,
-    /// Error of the fleet's time that is allowed for.
+    /// Allowed error of the fleet clock.
     pub clock_margin: Duration,
-    /// Time for which a successor waits for the fleet's time before it writes its predecessor's
+    /// Time for which a successor waits for the fleet clock before it writes its predecessor's
     /// grant off as spent.
     pub estate_patience: Duration,
-    /// Age past which the ledger as last seen proves nothing about the tokens of others.
+    /// Age beyond which the last seen ledger is no evidence of the tokens that other instances
+    /// hold.
     pub evidence_age: Duration,
 }
 
--- a/crates/damaskstile-escrow/src/overview.rs
+++ b/crates/damaskstile-escrow/src/overview.rs
@@ -1,34 +1,34 @@
-//! `overview` is what an instance knows of all accounts.
+//! Totals of all accounts as one instance knows them.
 
 use damaskstile_core::prelude::*;
 
 use crate::ledger::Ledger;
 use crate::receipt::Receipt;
 
-/// `Overview` is what an instance knows of all accounts, from the ledger or from a receipt.
+/// Totals of all accounts as one instance knows them, from the ledger or from a receipt.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Overview {
-    /// Instances that the ledger lists.
+    /// Number of instances that the ledger lists.
     pub instances: u64,
-    /// The accounts.
+    /// Totals by account.
     pub accounts: BTreeMap<AccountId, AccountView>,
 }
 
-/// `AccountView` is how an account stands, seen from one instance.
+/// Totals of one account as one instance knows them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AccountView {
     /// Tokens that count as spent.
     pub settled_tokens: u64,
-    /// Tokens that are granted to instances, those that ended among them.
+    /// Tokens that are granted to instances, including orphaned entries.
     pub granted_tokens: u64,
-    /// Tokens asked for in a second at other instances.
+    /// Demand at other instances, in tokens per second.
     pub others_tokens_per_s: u64,
-    /// Part of that for their most urgent calls.
+    /// Part of that demand that comes from their most urgent calls.
     pub others_urgent_tokens_per_s: u64,
 }
 
 impl Overview {
-    /// Makes the overview that a ledger gives, seen from all instances but one.
+    /// Computes the overview from a ledger. The demand of the instance `own` is left out.
     ///
     /// ```
     /// use damaskstile_escrow::{Ledger, Overview};
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Makes the overview that a receipt gives.
+    /// Converts a receipt.
     #[must_use]
     pub fn of_receipt(receipt: &Receipt) -> Self {
         let accounts = receipt.accounts.iter().map(|(account, receipt)| {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns how an account stands.
+    /// Returns the totals of an account.
     #[must_use]
     pub fn account(&self, account: &str) -> AccountView {
         self.accounts.get(account).copied().unwrap_or_default()
--- a/crates/damaskstile-escrow/src/pace.rs
+++ b/crates/damaskstile-escrow/src/pace.rs
@@ -1,22 +1,22 @@
-//! `pace` says how fast an isolated holder comes to its whole grant.
+//! Rate at which the grant of an isolated holder is unlocked.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// `Pace` says how fast an isolated holder comes to its whole grant.
+/// Rate at which the grant of an isolated holder is unlocked beyond its ceiling.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pace {
-    /// Time after the write that gave the grant from which on it is unlocked.
+    /// Time after the write that gave the grant at which unlocking starts, in milliseconds.
     #[prost(uint64, tag = "1")]
     pub after_ms: u64,
-    /// Time in which it is unlocked.
+    /// Time from then until the whole grant is unlocked, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub span_ms: u64,
 }
 
 impl Pace {
-    /// Returns what is unlocked so long after the write that gave the grant.
+    /// Returns the part that is unlocked at a time after the write that gave the grant.
     ///
     /// ```
     /// use std::time::Duration;
@@ -38,21 +38,21 @@
     }
 }
 
-/// `Unlocked` is the part of a grant beyond the ceiling that time has unlocked.
+/// Unlocked part of a grant beyond its ceiling.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Unlocked {
     /// In thousandths, rounded up.
     pub(crate) permille: u64,
 }
 
-/// Parts of a whole.
+/// Thousandths in a whole.
 pub(crate) const PERMILLE: u64 = 1000;
 
 impl Unlocked {
-    /// All of a grant.
+    /// The whole grant.
     pub const ALL: Self = Self { permille: PERMILLE };
 
-    /// Returns the tokens that may be spent of a grant with a ceiling.
+    /// Returns how many tokens of a grant may be spent.
     #[must_use]
     pub fn of(self, ceiling_tokens: u64, grant_tokens: u64) -> u64 {
         let ceiling = ceiling_tokens.min(grant_tokens);
--- a/crates/damaskstile-escrow/src/purse.rs
+++ b/crates/damaskstile-escrow/src/purse.rs
@@ -1,16 +1,17 @@
-//! `purse` is what one instance has of one account's tokens.
+//! One instance's balance of one account.
 
 use damaskstile_core::prelude::*;
 
 use crate::demand::Demand;
 
-/// `Purse` is what one instance has of one account's tokens.
+/// One instance's balance of one account.
 ///
-/// All sums count from the start of the incarnation and only grow, except the allowance, which
-/// the instance may lower by a write of its own.
+/// Amounts are counted from the start of the incarnation and only grow, with three exceptions: the
+/// allowance, which the instance may lower by a write of its own, reservations, and transferred
+/// tokens.
 #[derive(Debug, Clone, Default)]
 pub struct Purse {
-    /// Tokens that the incarnation may spend in all, by the ledger as last seen.
+    /// Tokens that the incarnation may spend in total, according to the last seen ledger.
     pub(crate) allowed_tokens: u64,
     /// Part of the allowance that may be spent before the instance counts as isolated.
     pub(crate) ceiling_tokens: u64,
@@ -18,42 +19,43 @@
     pub(crate) used_tokens: u64,
     /// Part of the used tokens that the ledger counts as spent.
     pub(crate) settled_tokens: u64,
-    /// Tokens that peers handed over and that are not spent; the givers' grants cover them.
+    /// Unspent tokens that peers transferred to this instance. The grants of the senders cover
+    /// them.
     pub(crate) gift_tokens: u64,
-    /// Worst case of the calls under way.
+    /// Worst-case cost of the calls in progress.
     pub(crate) reserved_tokens: u64,
-    /// How fast the account asks here.
+    /// Demand of all calls of the account at this instance.
     pub(crate) demand: Demand,
-    /// How fast its most urgent calls ask here.
+    /// Demand of the account's most urgent calls at this instance.
     pub(crate) urgent_demand: Demand,
-    /// Rank of its most urgent calls; 0 is the most urgent of all.
+    /// Rank of the account's most urgent calls; 0 is the most urgent of all.
     pub(crate) urgent_rank: Option<Rank>,
-    /// Most that one call lacked since the last round.
+    /// Largest number of tokens that a single call could not reserve since the last round.
     pub(crate) wanted_tokens: u64,
-    /// Average worst case of the latest calls.
+    /// Moving average of the worst-case cost of a call.
     pub(crate) call_tokens: u64,
-    /// Until when the instance holds tokens for others to borrow.
+    /// Time until which the instance holds tokens for other instances to borrow.
     pub(crate) lends_until: Duration,
 }
 
 /// Rank of a call among those of its account; 0 is the most urgent.
 pub type Rank = u8;
 
-/// Weight of the newest call in the average, as a divisor.
+/// Reciprocal of the weight of the newest call in the moving average.
 const AVERAGE_DIVISOR: u64 = 8;
 
 impl Purse {
-    /// Returns the tokens that a finished write leaves to this instance.
+    /// Returns the tokens that the ledger grants to this instance and does not count as spent.
     pub(crate) fn granted(&self) -> u64 {
         self.allowed_tokens.saturating_sub(self.settled_tokens)
     }
 
-    /// Returns the used tokens that the ledger does not count as spent yet.
+    /// Returns the used tokens that the ledger does not yet count as spent.
     pub(crate) fn unsettled(&self) -> u64 {
         self.used_tokens.saturating_sub(self.settled_tokens)
     }
 
-    /// Returns what may still be reserved under a bound on the allowance.
+    /// Returns what may still be reserved within the given allowance.
     pub(crate) fn free(&self, allowed_tokens: u64) -> u64 {
         (allowed_tokens + self.gift_tokens)
             .saturating_sub(self.used_tokens)
@@ -76,8 +78,8 @@
         };
     }
 
-    /// Begins with the demand of this instance's predecessor: of all calls, and of those of the most
-    /// urgent rank that there is.
+    /// Starts from the predecessor's demand in tokens per second: that of all calls, and that of
+    /// the calls of `first_rank`, the most urgent rank in use.
     pub(crate) fn inherit(&mut self, now: Duration, all: u64, urgent: u64, first_rank: Rank) {
         self.demand.begin_with(now, all);
         if urgent > 0 && self.urgent_rank.is_none_or(|rank| rank == first_rank) {
@@ -86,19 +88,19 @@
         }
     }
 
-    /// Tells whether others borrow from here.
+    /// Returns whether other instances borrow from this one.
     pub(crate) fn is_lending(&self, now: Duration) -> bool {
         now < self.lends_until
     }
 
-    /// Notes tokens as used, those that peers handed over first.
+    /// Counts tokens as used, taking them first from those that peers transferred.
     pub(crate) fn add_used(&mut self, tokens: u64) {
         let of_gifts = tokens.min(self.gift_tokens);
         self.gift_tokens -= of_gifts;
         self.used_tokens += tokens - of_gifts;
     }
 
-    /// Tells whether calls of a rank are the most urgent of the account.
+    /// Returns whether calls of a rank are the most urgent of the account.
     pub(crate) fn is_urgent(&self, rank: Rank) -> bool {
         self.urgent_rank.is_none_or(|urgent| rank <= urgent)
     }
--- a/crates/damaskstile-escrow/src/receipt.rs
+++ b/crates/damaskstile-escrow/src/receipt.rs
@@ -1,32 +1,32 @@
-//! `receipt` answers a report.
+//! Answer to a report.
 
 use damaskstile_core::prelude::*;
 
 use crate::sums::Sums;
 
-/// `Receipt` tells an instance how it and the accounts stand in the ledger.
+/// Tells an instance what the ledger contains for it and for its accounts.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Receipt {
-    /// Incarnation that the ledger lists for the instance; 0 where it lists none.
+    /// Incarnation that the ledger lists for the instance; 0 if there is none.
     #[prost(fixed64, tag = "1")]
     pub incarnation: Incarnation,
-    /// Number of the incarnation's report that stands.
+    /// Number of that incarnation's latest report that took effect.
     #[prost(uint64, tag = "2")]
     pub number: u64,
     /// Version of the ledger.
     #[prost(uint64, tag = "3")]
     pub version: Version,
-    /// Instances listed.
+    /// Number of instances that the ledger lists.
     #[prost(uint64, tag = "4")]
     pub instances: u64,
-    /// How the accounts stand that the instance has to do with.
+    /// The accounts that concern the instance.
     #[prost(btree_map = "string, message", tag = "5")]
     pub accounts: BTreeMap<AccountId, AccountReceipt>,
 }
 
 impl Receipt {
-    /// Returns the tokens that the instance's predecessor was asked for in a second, of each account,
-    /// and the part of its most urgent calls.
+    /// Returns the demand of the instance's predecessor in tokens per second, by account, and the
+    /// part of its most urgent calls.
     pub(crate) fn left_demands(&self) -> Vec<(AccountId, u64, u64)> {
         let left = self.accounts.iter();
         let left = left.filter(|(_, receipt)| receipt.left_tokens_per_s > 0);
@@ -38,29 +38,29 @@
     }
 }
 
-/// `AccountReceipt` is the part of a receipt on one account.
+/// Part of a receipt about one account.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct AccountReceipt {
-    /// What the instance may spend.
+    /// What the instance may spend; `None` if nothing is stored for it.
     #[prost(message, optional, tag = "1")]
     pub own: Option<Sums>,
-    /// Tokens that count as spent in all.
+    /// Tokens that count as spent, at all instances.
     #[prost(uint64, tag = "2")]
     pub settled_tokens: u64,
     /// Tokens that are granted to all instances.
     #[prost(uint64, tag = "3")]
     pub granted_tokens: u64,
-    /// Tokens asked for in a second at other instances.
+    /// Demand at other instances, in tokens per second.
     #[prost(uint64, tag = "4")]
     pub others_tokens_per_s: u64,
-    /// Part of that for their most urgent calls.
+    /// Part of that demand that comes from their most urgent calls.
     #[prost(uint64, tag = "5")]
     pub others_urgent_tokens_per_s: u64,
-    /// Tokens that the instance's predecessor was asked for in a second, while the ledger still lists
-    /// that.
+    /// Demand of the instance's predecessor in tokens per second, while the ledger still lists the
+    /// predecessor; 0 afterwards.
     #[prost(uint64, tag = "6")]
     pub left_tokens_per_s: u64,
-    /// Part of that for its most urgent calls.
+    /// Part of that demand that comes from its most urgent calls.
     #[prost(uint64, tag = "7")]
     pub left_urgent_tokens_per_s: u64,
 }
--- a/crates/damaskstile-escrow/src/reported.rs
+++ b/crates/damaskstile-escrow/src/reported.rs
@@ -1,22 +1,23 @@
-//! `reported` is what a receipt goes by.
+//! Recipient of a receipt.
 
 use damaskstile_core::prelude::*;
 
 use crate::report::Report;
 
-/// `Reported` says whom a receipt goes to, and what it is to tell of.
+/// Recipient and scope of a receipt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reported {
     /// Address of the instance that reported.
     pub address: String,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The accounts that it reported on, where its receipt needs no others; `None` for all.
+    /// Accounts that the report named, if the receipt may be limited to them and to those of the
+    /// instance's ledger entry; `None` for all prepaid accounts.
     pub accounts: Option<Vec<AccountId>>,
 }
 
 impl Reported {
-    /// Returns what the receipt of a report goes by.
+    /// Returns the recipient and scope of the receipt for a report.
     ///
     /// ```
     /// use damaskstile_escrow::{Report, Reported};
--- a/crates/damaskstile-escrow/src/settlement.rs
+++ b/crates/damaskstile-escrow/src/settlement.rs
@@ -1,16 +1,16 @@
-//! `settlement` tells what was written off of an ended incarnation.
+//! Record of what was written off for an ended incarnation.
 
 use damaskstile_core::prelude::*;
 
-/// `Settlement` tells what was written off of an ended incarnation, for the logs.
+/// Record of what was written off for an ended incarnation, for the logs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settlement {
-    /// Instance and incarnation.
+    /// Name of the orphaned entry: instance and incarnation.
     pub estate: String,
-    /// Longest time for which it can have lived after its last write; `None` where no clock
-    /// bounds it and all of its grants count as spent.
+    /// Longest time for which the incarnation can have run after its last write; `None` if no clock
+    /// bounds it, so that all of its grants count as spent.
     pub lived: Option<Duration>,
-    /// What it was granted, and the part of that which counts as spent, by account.
+    /// Tokens granted and the part of them that counts as spent, by account.
     pub accounts: BTreeMap<AccountId, (u64, u64)>,
 }
 
--- a/crates/damaskstile-escrow/src/shortage.rs
+++ b/crates/damaskstile-escrow/src/shortage.rs
@@ -1,20 +1,20 @@
-//! `shortage` tells why tokens could not be reserved.
+//! Reasons why tokens could not be reserved.
 
-/// `Shortage` tells why tokens could not be reserved.
+/// Reason why tokens could not be reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shortage {
-    /// The account's tokens are spent: no instance has enough, by a recent look at the ledger.
+    /// The account's tokens are spent: according to a recently seen ledger, no instance has enough.
     Exhausted,
-    /// What is left is kept for more urgent calls of the account.
+    /// The remaining tokens are reserved for more urgent calls of the account.
     Reserved,
-    /// A round with the store brings them within milliseconds.
+    /// The store has the tokens; a round brings them within milliseconds.
     InStore,
-    /// Other instances may have tokens, or nobody can be asked.
+    /// The tokens may be at other instances, or the store cannot be reached.
     Elsewhere,
 }
 
 impl Shortage {
-    /// Returns the name for logs and metrics.
+    /// Returns the name used in logs and metrics.
     ///
     /// ```
     /// assert_eq!(damaskstile_escrow::Shortage::Exhausted.as_str(), "exhausted");
--- a/crates/damaskstile-escrow/src/stamp.rs
+++ b/crates/damaskstile-escrow/src/stamp.rs
@@ -1,40 +1,40 @@
-//! `stamp` says when a write was made, on clocks that outlive a process.
+//! Timestamps on clocks that outlive a process.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Difference between what two clocks say of one span past which they do not speak of the same
-/// run of a machine. Times of day step by seconds; a clock that began anew differs by far more.
+/// Largest difference between the spans measured by the boot clock and by the time of day for which
+/// two stamps count as from the same boot of a machine. The time of day may step by seconds; a boot
+/// clock that was reset differs by far more.
 const SAME_RUN: Duration = Duration::from_secs(10);
 
-/// `Stamp` says when a write was made, on clocks that outlive a process.
+/// Timestamp of a write or a start, on clocks that outlive a process.
 ///
-/// The boot clock counts on across the death of a process, also while the machine is suspended,
-/// and begins anew when the machine loses power. The fleet's time is the middle of many
-/// instances' times of day.
+/// The boot clock continues when a process ends and while the machine is suspended, and is reset
+/// when the machine loses power. The fleet clock is the median of many instances' times of day.
 #[derive(Clone, PartialEq, Eq, prost::Message, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stamp {
-    /// Name of the machine's run, if the system gives one.
+    /// Identifier of the machine's current boot, if the system provides one.
     #[prost(string, tag = "1")]
     pub boot_name: String,
-    /// Boot clock.
+    /// Boot clock in milliseconds.
     #[prost(uint64, tag = "2")]
     pub boot_ms: u64,
-    /// Own time of day.
+    /// Local time of day, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "3")]
     pub unix_ms: u64,
-    /// Fleet's time, not later than it truly was; `None` where too few peers were heard.
+    /// Lower bound of the fleet clock; `None` if too few peers were heard from.
     #[prost(uint64, optional, tag = "4")]
     pub fleet_early_ms: Option<u64>,
-    /// Fleet's time, not earlier than it truly was.
+    /// Upper bound of the fleet clock; `None` if too few peers were heard from.
     #[prost(uint64, optional, tag = "5")]
     pub fleet_late_ms: Option<u64>,
 }
 
 impl Stamp {
-    /// Returns the longest time that can have passed from this stamp to a later one of the same
-    /// machine; `None` where nothing bounds it.
+    /// Returns the longest time that can have passed between this stamp and a later one of the same
+    /// machine; `None` if nothing bounds it.
     ///
     /// ```
     /// use damaskstile_escrow::stamp::Stamp;
--- a/crates/damaskstile-escrow/src/standing.rs
+++ b/crates/damaskstile-escrow/src/standing.rs
@@ -1,13 +1,13 @@
-//! `standing` is how an account stands in a ledger.
+//! Totals of an account as recorded in a ledger.
 
-/// `Standing` is how an account stands in a ledger, in tokens.
+/// Totals of an account as recorded in a ledger, in tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[allow(clippy::struct_field_names)] // fields carry their unit
 pub struct Standing {
-    /// What the account has bought.
+    /// Tokens that the account has bought.
     pub bought_tokens: u64,
-    /// What counts as spent.
+    /// Tokens that count as spent.
     pub settled_tokens: u64,
-    /// What instances hold, those that ended among them.
+    /// Tokens granted to instances, including orphaned entries.
     pub granted_tokens: u64,
 }
--- a/crates/damaskstile-loans/src/borrower.rs
+++ b/crates/damaskstile-loans/src/borrower.rs
@@ -1,4 +1,4 @@
-//! `borrower` asks lenders for tokens and tells them when loans are over.
+//! Requests loans from lenders and reports their ends.
 
 mod ending;
 mod silent;
@@ -13,10 +13,10 @@
 use ending::Ending;
 use silent::Silent;
 
-/// Ends in one message: about 1 KB.
+/// Largest number of ends in one message: about 1 KB.
 const ENDS_MAX: usize = 64;
 
-/// `Borrower` asks lenders for tokens and tells them when loans are over.
+/// Requests loans from lenders and reports their ends.
 #[derive(Debug)]
 pub struct Borrower {
     incarnation: Incarnation,
@@ -26,7 +26,7 @@
     silent: Silent,
 }
 
-/// `Asked` is an ask whose loan is not over.
+/// A request whose loan has not ended.
 #[derive(Debug)]
 struct Asked {
     lender: InstanceId,
@@ -35,7 +35,7 @@
 }
 
 impl Borrower {
-    /// Makes a borrower that has asked nobody.
+    /// Creates a borrower without requests.
     ///
     /// ```
     /// assert!(damaskstile_loans::Borrower::new(1).is_settled());
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Makes the ask for a call's tokens, to be sent to a lender.
+    /// Creates the request for a call's tokens, to be sent to a lender.
     pub fn ask(&mut self, lender: &Candidate, account: &str, tokens: u64, rank: u8) -> LoanAsk {
         self.last_number += 1;
         let asked = Asked {
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Takes in an answer; returns whether it is news.
+    /// Accepts an answer; returns whether it changed the outcome of a request.
     pub fn hear(&mut self, from: &str, answer: &LoanAnswer) -> bool {
         self.silent.hear(from);
         let said = answer.said();
         let Some(asked) = self.asks.get_mut(&answer.number) else {
             return false;
         };
-        // A message that comes late says less than the one that overtook it.
+        // A final outcome stands: a later message was overtaken by it and says less.
         let is_final = asked.outcome.is_some_and(|had| had != LoanOutcome::Waiting);
         let is_for_another = asked.lender != from || answer.incarnation != self.incarnation;
         if is_for_another || is_final {
@@ -87,14 +87,15 @@
         is_news
     }
 
-    /// Returns what the lender said to an ask last; `None` while it has said nothing.
+    /// Returns the last outcome that the lender reported for a request; `None` before its first
+    /// answer.
     #[must_use]
     pub fn outcome(&self, number: LoanNumber) -> Option<LoanOutcome> {
         self.asks.get(&number)?.outcome
     }
 
-    /// Ends a loan whose call is over, or an ask that is given up. Where the lender said that it
-    /// lent nothing there is nothing to end.
+    /// Ends a loan whose call has finished, or a request that is given up. If the lender answered
+    /// that it lent nothing, there is nothing to end.
     pub fn end(&mut self, now: Duration, number: LoanNumber, used_tokens: u64) {
         let Some(asked) = self.asks.remove(&number) else {
             return;
@@ -113,8 +114,7 @@
         }
     }
 
-    /// Returns the ends to tell, by lender: those that were not told, and again those without a
-    /// confirmation.
+    /// Returns the ends to send, by lender: new ones, and again those without an acknowledgement.
     pub fn ends_due(&mut self, now: Duration) -> Vec<(SocketAddr, LoanEnds)> {
         self.ends.retain(|_, ending| !ending.is_hopeless(now));
         let mut due: BTreeMap<SocketAddr, LoanEnds> = BTreeMap::new();
@@ -130,7 +130,7 @@
         due.into_iter().collect()
     }
 
-    /// Takes in that a lender has heard of ends.
+    /// Accepts a lender's acknowledgement of ends.
     pub fn ends_taken(&mut self, address: SocketAddr, taken: &LoanEndsTaken) {
         if taken.incarnation != self.incarnation {
             return;
@@ -143,18 +143,18 @@
         }
     }
 
-    /// Notes that a lender has not answered in time, so that others are asked for a while.
+    /// Notes that a lender has not answered in time, so that others are asked for some time.
     pub fn note_silence(&mut self, now: Duration, lender: &str) {
         self.silent.note(now, lender);
     }
 
-    /// Tells whether a lender is passed over, since it was silent lately.
+    /// Returns whether a lender is currently skipped because it did not answer.
     #[must_use]
     pub fn is_silent(&self, now: Duration, lender: &str) -> bool {
         self.silent.is_silent(now, lender)
     }
 
-    /// Tells whether all lenders know that all loans are over.
+    /// Returns whether no requests or loans are open and no end awaits an acknowledgement.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.asks.is_empty() && self.ends.is_empty()
--- a/crates/damaskstile-loans/src/borrower/ending.rs
+++ b/crates/damaskstile-loans/src/borrower/ending.rs
@@ -1,4 +1,4 @@
-//! `ending` is the end of a loan until its lender has confirmed it.
+//! End of a loan that its lender has not acknowledged yet.
 
 use std::net::SocketAddr;
 
@@ -6,13 +6,13 @@
 
 use crate::loan::LoanEnd;
 
-/// Time without a confirmation after which an end is told again. It doubles each time.
+/// Time without an acknowledgement after which an end is sent again. It doubles each time.
 const AGAIN_AFTER: Duration = Duration::from_millis(250);
-/// Time after which an end is told no more: the lender is gone, or has long been out of reach, and
-/// counts the loan as used.
+/// Time after which an end is no longer sent: the lender has ended or has long been unreachable,
+/// and counts the loan as used.
 const TELL_FOR: Duration = Duration::from_secs(20);
 
-/// `Ending` is the end of a loan until its lender has confirmed it.
+/// End of a loan that its lender has not acknowledged yet.
 #[derive(Debug)]
 pub(super) struct Ending {
     pub address: SocketAddr,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns the end where it is due to be told.
+    /// Returns the end if it is due to be sent, and schedules the next time.
     pub(super) fn tell(&mut self, now: Duration) -> Option<LoanEnd> {
         if now < self.due_at {
             return None;
--- a/crates/damaskstile-loans/src/borrower/silent.rs
+++ b/crates/damaskstile-loans/src/borrower/silent.rs
@@ -1,18 +1,20 @@
-//! `silent` remembers lenders that did not answer.
+//! Tracks lenders that did not answer.
 //!
-//! A lender that died or is cut off answers nothing, and each call that asks it first waits in vain.
-//! One notices it by the wait of calls for tokens. So after an answer that did not come a lender is
-//! passed over for a while, longer each time, until it is heard again.
+//! A lender that ended or is cut off does not answer, and each call that asks it first waits until
+//! its request times out. So after a missing answer the lender is skipped for a time, which doubles
+//! with each further miss until the lender answers again.
 
 use damaskstile_core::prelude::*;
 
-/// Time for which a lender is passed over after the first silence: a lost datagram costs others two
-/// seconds of its account's calls, a dead lender one call in two seconds, then fewer.
+/// Time for which a lender is skipped after its first missing answer. A single lost datagram then
+/// diverts its account's calls to other lenders for two seconds; a lender that ended delays one
+/// call in two seconds, then fewer.
 const FIRST: Duration = Duration::from_secs(2);
-/// Longest such time: a lender that came back is found again within it.
+/// Longest time for which a lender is skipped, and so the longest until a lender that is back is
+/// found again.
 const LONGEST: Duration = Duration::from_secs(16);
 
-/// `Silent` remembers lenders that did not answer.
+/// Lenders that did not answer.
 #[derive(Debug, Default)]
 pub(super) struct Silent {
     lenders: BTreeMap<InstanceId, Silence>,
@@ -27,7 +29,7 @@
 impl Silent {
     pub(super) fn note(&mut self, now: Duration, lender: &str) {
         let span = match self.lenders.get(lender) {
-            // Several calls that waited at once tell of the same silence.
+            // Several calls that waited at the same time report the same missing answer.
             Some(silence) if now < silence.until => return,
             Some(silence) => (silence.span * 2).min(LONGEST),
             None => FIRST,
--- a/crates/damaskstile-loans/src/lender.rs
+++ b/crates/damaskstile-loans/src/lender.rs
@@ -1,4 +1,4 @@
-//! `lender` lends tokens that its holder may spend.
+//! Lends tokens that this instance's holder may spend.
 
 mod loan_id;
 mod waiting;
@@ -13,16 +13,17 @@
 use crate::loan::{LoanAnswer, LoanAsk, LoanOutcome};
 use waiting::Waiting;
 
-/// Time without a word of its end after which a loan counts as used: longer than calls last, and
-/// than a borrower repeats the end.
+/// Time without a report of its end after which a loan counts as used: longer than calls last, and
+/// longer than a borrower repeats the end.
 pub const LOAN_LIFE: Duration = Duration::from_mins(1);
-/// Time for which the number of an ended loan is kept. A network that turns messages round delivers
-/// an ask after its end by milliseconds; one that came later would stand open for [`LOAN_LIFE`].
+/// Time for which the number of an ended loan is kept. A network that reorders messages delivers a
+/// request after its end by milliseconds; for one that came later than this, a loan would stay open
+/// for [`LOAN_LIFE`].
 const ENDED_LIFE: Duration = Duration::from_secs(10);
-/// Time for which an ask waits for tokens from the store: borrowers wait no longer.
+/// Longest time for which a request waits for tokens from the store: borrowers wait no longer.
 const WAIT_MAX: Duration = Duration::from_millis(500);
 
-/// `Lender` lends tokens that its holder may spend.
+/// Lends tokens that this instance's holder may spend.
 #[derive(Debug, Default)]
 pub struct Lender {
     open: BTreeMap<LoanId, Open>,
@@ -31,7 +32,7 @@
     lent_loans: u64,
 }
 
-/// `Open` is a loan that is not over.
+/// A loan that has not ended.
 #[derive(Debug)]
 struct Open {
     account: AccountId,
@@ -40,7 +41,8 @@
 }
 
 impl Lender {
-    /// Answers an ask; `None` where the loan is over already, so that nothing waits for an answer.
+    /// Answers a request; `None` if the loan has already ended, so that no call waits for an
+    /// answer.
     pub fn ask(
         &mut self,
         holder: &mut Holder,
@@ -72,7 +74,7 @@
         Some(answer)
     }
 
-    /// Answers the asks that waited, where something became of them.
+    /// Tries the waiting requests again and answers those that no longer wait.
     pub fn ask_again(
         &mut self,
         holder: &mut Holder,
@@ -98,8 +100,9 @@
         id: &LoanId,
         ask: &LoanAsk,
     ) -> LoanOutcome {
-        // An account that is not known to be prepaid has no bound. A lender that has started anew knows
-        // none yet, and would lend what nobody holds: the borrower's calls run, the account overdraws.
+        // The holder sets no bound on an account that it does not know to be prepaid. A lender that
+        // has just started knows no accounts yet, and without this check would lend tokens that no
+        // instance holds, so that the account is overdrawn.
         if !holder.is_prepaid(&ask.account) {
             return LoanOutcome::Elsewhere;
         }
@@ -118,8 +121,8 @@
         }
     }
 
-    /// Takes in that a loan is over, or that nobody waits for it any more. What its borrower says
-    /// it used counts, and never more than was lent.
+    /// Ends a loan, or a request that its borrower no longer waits for. The number of used tokens
+    /// that the borrower reports counts, up to the amount lent.
     pub fn end(&mut self, holder: &mut Holder, now: Duration, id: LoanId, used_tokens: u64) {
         self.waiting.remove(&id);
         if let Some(loan) = self.open.remove(&id) {
@@ -128,8 +131,8 @@
         self.ended.insert(id, now);
     }
 
-    /// Counts loans as used whose end nobody told, and forgets ends of long ago. Returns how many
-    /// loans were counted.
+    /// Counts loans as used if no end was reported for [`LOAN_LIFE`], and forgets old ends. Returns
+    /// how many loans were counted.
     pub fn expire(&mut self, holder: &mut Holder, now: Duration) -> usize {
         let is_old = |since: Duration, life: Duration| now.saturating_sub(since) >= life;
         self.ended.retain(|_, at| !is_old(*at, ENDED_LIFE));
@@ -144,26 +147,26 @@
         before - self.open.len()
     }
 
-    /// Returns the number of loans made so far.
+    /// Returns the number of loans made since the start.
     #[must_use]
     pub fn lent_loans(&self) -> u64 {
         self.lent_loans
     }
 
-    /// Returns the number of loans that are not over.
+    /// Returns the number of loans that have not ended.
     #[must_use]
     pub fn open_loans(&self) -> usize {
         self.open.len()
     }
 
-    /// Tells whether asks wait for tokens.
+    /// Returns whether requests wait for tokens.
     #[must_use]
     pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 }
 
-/// Returns the rank of the call that an ask is for; ranks beyond those that there are come last.
+/// Returns the rank of the requested call; ranks beyond the largest count as the last.
 fn rank(ask: &LoanAsk) -> u8 {
     u8::try_from(ask.rank).unwrap_or(u8::MAX)
 }
--- a/crates/damaskstile-loans/src/lender/loan_id.rs
+++ b/crates/damaskstile-loans/src/lender/loan_id.rs
@@ -1,23 +1,21 @@
-//! `loan_id` names a loan for its lender.
+//! Identifier of a loan at its lender.
 
 use damaskstile_core::prelude::*;
 
 use crate::LoanNumber;
 
-/// `LoanId` names a loan for its lender.
+/// Identifier of a loan at its lender.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LoanId {
-    /// The borrower.
+    /// Instance that borrows.
     pub borrower: InstanceId,
-    /// Its incarnation.
+    /// Incarnation of the borrower.
     pub incarnation: Incarnation,
-    /// Number within the incarnation.
+    /// Number of the loan within the incarnation.
     pub number: LoanNumber,
 }
 
 impl LoanId {
-    /// Makes a name.
-    ///
     /// ```
     /// use damaskstile_loans::lender::LoanId;
     /// assert_eq!(LoanId::new("a", 1, 2).number, 2);
--- a/crates/damaskstile-loans/src/lender/waiting.rs
+++ b/crates/damaskstile-loans/src/lender/waiting.rs
@@ -1,4 +1,4 @@
-//! `waiting` keeps asks in the order in which they came, until there are tokens.
+//! Queue of loan requests that wait for tokens.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,11 @@
 use super::LoanId;
 use crate::loan::LoanAsk;
 
-/// Asks that may wait at once. With more, the store brings too little in any case.
+/// Largest number of requests that may wait at once. With more, the store would bring too few
+/// tokens in any case; the oldest is dropped.
 const WAITING_MAX: usize = 512;
 
-/// `WaitingAsk` is an ask that waits for tokens.
+/// A request that waits for tokens.
 #[derive(Debug)]
 pub(super) struct WaitingAsk {
     pub address: SocketAddr,
@@ -18,7 +19,7 @@
     asked_at: Duration,
 }
 
-/// `Waiting` keeps asks in the order in which they came.
+/// Requests that wait for tokens, in order of arrival.
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
     asks: VecDeque<(LoanId, WaitingAsk)>,
@@ -45,7 +46,7 @@
         self.asks.retain(|(one, _)| one != id);
     }
 
-    /// Takes out all asks, and drops those that nobody waits for any more.
+    /// Removes all requests and returns those that have not exceeded the longest wait.
     pub(super) fn take(&mut self, now: Duration, wait_max: Duration) -> Vec<(LoanId, WaitingAsk)> {
         let is_awaited = |asked: &WaitingAsk| now.saturating_sub(asked.asked_at) < wait_max;
         let all = self.asks.drain(..);
--- a/crates/damaskstile-loans/src/loan.rs
+++ b/crates/damaskstile-loans/src/loan.rs
@@ -1,4 +1,4 @@
-//! `loan` has the messages between a borrower and a lender.
+//! Messages between a borrower and a lender.
 
 mod answer;
 mod ask;
--- a/crates/damaskstile-loans/src/loan/answer.rs
+++ b/crates/damaskstile-loans/src/loan/answer.rs
@@ -1,4 +1,4 @@
-//! `answer` says what became of an ask.
+//! A lender's answer to a loan request.
 
 use damaskstile_core::prelude::*;
 use damaskstile_escrow::Shortage;
@@ -6,25 +6,26 @@
 use crate::LoanNumber;
 use crate::lender::LoanId;
 
-/// `LoanAnswer` says what became of an ask.
+/// A lender's answer to a loan request.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct LoanAnswer {
-    /// Number of the ask.
+    /// Number of the request.
     #[prost(uint64, tag = "1")]
     pub number: LoanNumber,
-    /// What became of it.
+    /// Outcome of the request, a [`LoanOutcome`].
     #[prost(enumeration = "LoanOutcome", tag = "2")]
     pub outcome: i32,
-    /// Incarnation of the borrower that asked. Its successor counts from the beginning, and an
-    /// answer that comes late would bring it what was lent to an ask of the same number.
+    /// Incarnation of the borrower that made the request. A successor numbers its requests from the
+    /// beginning, so without it a late answer would give the successor what was lent to a request
+    /// of the same number.
     #[prost(fixed64, tag = "3")]
     pub incarnation: Incarnation,
 }
 
-/// `LoanOutcome` is what a lender says to an ask.
+/// Outcome of a loan request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 pub enum LoanOutcome {
-    /// The lender has nothing and knows of nobody who has; another one may.
+    /// The lender has no tokens and knows of no instance that has; another lender may.
     Elsewhere = 0,
     /// The tokens are lent.
     Lent = 1,
@@ -32,12 +33,12 @@
     Waiting = 2,
     /// The account's tokens are spent.
     Exhausted = 3,
-    /// What is left is kept for more urgent calls of the account.
+    /// The remaining tokens are reserved for more urgent calls of the account.
     Reserved = 4,
 }
 
 impl LoanAnswer {
-    /// Makes the answer to an ask.
+    /// Creates the answer to a request.
     ///
     /// ```
     /// use damaskstile_loans::lender::LoanId;
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Returns what the lender says. A word of a later version brings no tokens.
+    /// Decodes the outcome. An outcome that only a later version knows counts as
+    /// [`LoanOutcome::Elsewhere`].
     #[must_use]
     pub fn said(&self) -> LoanOutcome {
         LoanOutcome::try_from(self.outcome).unwrap_or(LoanOutcome::Elsewhere)
--- a/crates/damaskstile-loans/src/loan/ends_taken.rs
+++ b/crates/damaskstile-loans/src/loan/ends_taken.rs
@@ -1,16 +1,16 @@
-//! `ends_taken` confirms that a lender has heard of ends.
+//! Acknowledgement of ended loans.
 
 use damaskstile_core::prelude::*;
 
 use crate::LoanNumber;
 
-/// `LoanEndsTaken` confirms that ends were taken in.
+/// Acknowledges that a lender has received the ends of loans.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct LoanEndsTaken {
     /// Numbers of the loans.
     #[prost(uint64, repeated, tag = "1")]
     pub numbers: Vec<LoanNumber>,
-    /// Incarnation of the borrower that told them.
+    /// Incarnation of the borrower that reported the ends.
     #[prost(fixed64, tag = "2")]
     pub incarnation: Incarnation,
 }
--- a/crates/damaskstile-loans/src/placement.rs
+++ b/crates/damaskstile-loans/src/placement.rs
@@ -1,4 +1,4 @@
-//! `placement` says which instances lend an account's tokens.
+//! Chooses the instances that lend an account's tokens.
 
 mod candidate;
 
@@ -9,27 +9,29 @@
 
 pub use candidate::Candidate;
 
-/// `Placement` says which instances lend an account's tokens.
+/// Chooses the instances that lend an account's tokens.
 ///
-/// Each instance ranks by a hash of its own name and the account's (rendezvous hashing), so that
-/// all instances with the same list come to the same lenders, and one that comes or goes moves only
-/// the accounts that it lends.
+/// Instances are ranked by a hash of their own name and the account's (rendezvous hashing). So all
+/// instances with the same list choose the same lenders, and an instance that joins or leaves moves
+/// only the accounts that it lends.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Placement {
     candidates: Vec<Candidate>,
 }
 
 impl Placement {
-    /// Makes the placement over the instances that are known.
+    /// Creates the placement over the known instances.
     #[must_use]
     pub fn new(candidates: Vec<Candidate>) -> Self {
         Self { candidates }
     }
 
     /// Returns the lenders of an account in the order in which an instance of a data centre asks
-    /// them: the best two of its own data centre, so that one may fail, then the best of each other.
+    /// them: the best two of its own data centre, so that one may fail, then the best of each other
+    /// data centre, by rank.
     ///
-    /// One lender in each data centre keeps the account usable where data centres lose each other.
+    /// One lender in each data centre keeps the account usable if data centres lose contact with
+    /// each other.
     ///
     /// ```
     /// use damaskstile_loans::{Candidate, Placement};
@@ -63,7 +65,8 @@
     }
 }
 
-/// Lenders that an instance asks in its own data centre: the second stands in where the first died.
+/// Number of lenders that an instance asks in its own data centre: the second replaces the first if
+/// that has ended.
 const OWN_LENDERS: usize = 2;
 
 fn rank(account: &str, candidate: &Candidate) -> u64 {
--- a/crates/damaskstile-loans/src/placement/candidate.rs
+++ b/crates/damaskstile-loans/src/placement/candidate.rs
@@ -1,24 +1,22 @@
-//! `candidate` is an instance that may lend.
+//! An instance that may lend.
 
 use std::net::SocketAddr;
 
 use damaskstile_core::ids::DataCentreId;
 use damaskstile_core::prelude::*;
 
-/// `Candidate` is an instance that may lend.
+/// An instance that may lend.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Its address for messages from peers.
+    /// Address for messages from peers.
     pub address: SocketAddr,
-    /// Data centre that it stands in.
+    /// Data centre of the instance.
     pub data_centre: DataCentreId,
 }
 
 impl Candidate {
-    /// Makes a candidate.
-    ///
     /// ```
     /// use damaskstile_loans::Candidate;
     /// let candidate = Candidate::new("a", "127.0.0.1:1".parse().unwrap(), "north");
