--- a/crates/damaskstile-escrow/src/purse.rs
+++ b/crates/damaskstile-escrow/src/balance.rs
@@ -10,7 +10,7 @@
 /// allowance, which the instance may lower by a write of its own, reservations, and transferred
 /// tokens.
 #[derive(Debug, Clone, Default)]
-pub struct Purse {
+pub struct Balance {
     /// Tokens that the incarnation may spend in total, according to the last seen ledger.
     pub(crate) allowed_tokens: u64,
     /// Part of the allowance that may be spent before the instance counts as isolated.
@@ -21,7 +21,7 @@
     pub(crate) settled_tokens: u64,
     /// Unspent tokens that peers transferred to this instance. The grants of the senders cover
     /// them.
-    pub(crate) gift_tokens: u64,
+    pub(crate) transferred_tokens: u64,
     /// Worst-case cost of the calls in progress.
     pub(crate) reserved_tokens: u64,
     /// Demand of all calls of the account at this instance.
@@ -44,7 +44,7 @@
 /// Reciprocal of the weight of the newest call in the moving average.
 const AVERAGE_DIVISOR: u64 = 8;
 
-impl Purse {
+impl Balance {
     /// Returns the tokens that the ledger grants to this instance and does not count as spent.
     pub(crate) fn granted(&self) -> u64 {
         self.allowed_tokens.saturating_sub(self.settled_tokens)
@@ -57,7 +57,7 @@
 
     /// Returns what may still be reserved within the given allowance.
     pub(crate) fn free(&self, allowed_tokens: u64) -> u64 {
-        (allowed_tokens + self.gift_tokens)
+        (allowed_tokens + self.transferred_tokens)
             .saturating_sub(self.used_tokens)
             .saturating_sub(self.reserved_tokens)
     }
@@ -95,9 +95,9 @@
 
     /// Counts tokens as used, taking them first from those that peers transferred.
     pub(crate) fn add_used(&mut self, tokens: u64) {
-        let of_gifts = tokens.min(self.gift_tokens);
-        self.gift_tokens -= of_gifts;
-        self.used_tokens += tokens - of_gifts;
+        let from_transfers = tokens.min(self.transferred_tokens);
+        self.transferred_tokens -= from_transfers;
+        self.used_tokens += tokens - from_transfers;
     }
 
     /// Returns whether calls of a rank are the most urgent of the account.
--- a/crates/damaskstile-escrow/src/entry.rs
+++ b/crates/damaskstile-escrow/src/entry.rs
@@ -3,9 +3,9 @@
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::pace::{Pace, Unlocked};
 use crate::stamp::Stamp;
 use crate::sums::Sums;
+use crate::unlock_rate::{UnlockRate, Unlocked};
 
 /// One instance's entry in the ledger.
 ///
@@ -28,7 +28,8 @@
     pub grants_tokens: BTreeMap<AccountId, u64>,
     /// Rate at which the rest of each grant is unlocked. It is stored with the grant, so that an
     /// instance that settles the grant uses the same rate as its holder did.
-    pub pace: Pace,
+    #[serde(rename = "pace")]
+    pub unlock_rate: UnlockRate,
     /// Part of each grant that may be spent before the instance counts as isolated.
     pub ceilings_tokens: BTreeMap<AccountId, u64>,
     /// Tokens of the incarnation that count as spent.
@@ -75,7 +76,7 @@
 
     /// Raises all ceilings to the grants, so that if the incarnation ends its grants count as spent
     /// regardless of how long it lived.
-    pub(crate) fn count_whole(&mut self) {
+    pub(crate) fn raise_ceilings(&mut self) {
         self.ceilings_tokens.clone_from(&self.grants_tokens);
     }
 
--- a/crates/damaskstile-escrow/src/holder.rs
+++ b/crates/damaskstile-escrow/src/holder.rs
@@ -1,29 +1,29 @@
 //! One instance's part of the budgets.
 
-mod estates;
-mod gifts;
 mod lending;
 mod merge;
+mod orphaned;
 mod pending;
 mod plan;
 mod reports;
 mod restoring;
 mod round;
 mod shortage;
+mod transfers;
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
 
+use crate::account_totals::AccountTotals;
+use crate::balance::{Balance, Rank};
 use crate::ledger::Ledger;
 use crate::options::EscrowOptions;
 use crate::overview::Overview;
-use crate::pace::Pace;
-use crate::purse::{Purse, Rank};
 use crate::report::Report;
 use crate::shortage::Shortage;
 use crate::stamp::Stamp;
-use crate::standing::Standing;
 use crate::sums::Sums;
+use crate::unlock_rate::UnlockRate;
 
 use pending::Pending;
 use reports::Outstanding;
@@ -45,7 +45,7 @@
     catalogue_version: Version,
     /// Most urgent rank in use.
     first_rank: Rank,
-    purses: BTreeMap<AccountId, Purse>,
+    balances: BTreeMap<AccountId, Balance>,
     ledger: Ledger,
     ledger_version: Version,
     /// Totals of all accounts, from the ledger or the last receipt.
@@ -66,11 +66,11 @@
     committed_number: u64,
     seen_at: Option<Duration>,
     /// Time at which the store or a receipt last confirmed the state of the ledger.
-    touched_at: Option<Duration>,
+    contact_at: Option<Duration>,
     /// Time at which that write or report was made.
     committed_at: Duration,
     /// Unlock rate that was stored with it.
-    committed_pace: Pace,
+    committed_unlock_rate: UnlockRate,
     /// Stamp of the start of this incarnation; its predecessor had ended by then.
     start: Option<Stamp>,
     started_at: Option<Duration>,
@@ -95,7 +95,7 @@
             prepaid_tokens: BTreeMap::new(),
             catalogue_version: 0,
             first_rank: 0,
-            purses: BTreeMap::new(),
+            balances: BTreeMap::new(),
             ledger: Ledger::default(),
             ledger_version: 0,
             overview: Overview::default(),
@@ -107,9 +107,9 @@
             follows: 0,
             committed_number: 0,
             seen_at: None,
-            touched_at: None,
+            contact_at: None,
             committed_at: Duration::ZERO,
-            committed_pace: Pace::default(),
+            committed_unlock_rate: UnlockRate::default(),
             start: None,
             started_at: None,
             pending: Vec::new(),
@@ -160,7 +160,7 @@
         if !self.prepaid_tokens.contains_key(account) {
             return Ok(());
         }
-        if self.is_kept_for_urgent(now, account, tokens, rank) {
+        if self.is_reserved_for_urgent(now, account, tokens, rank) {
             let is_spent = self.is_exhausted(now, account, tokens);
             return Err(if is_spent {
                 Shortage::Exhausted
@@ -169,12 +169,12 @@
             });
         }
         let bound = self.allowance(now, account);
-        let purse = self.purses.entry(account.to_owned()).or_default();
-        if purse.free(bound) >= tokens {
-            purse.reserved_tokens += tokens;
+        let balance = self.balances.entry(account.to_owned()).or_default();
+        if balance.free(bound) >= tokens {
+            balance.reserved_tokens += tokens;
             return Ok(());
         }
-        purse.wanted_tokens = purse.wanted_tokens.max(tokens);
+        balance.wanted_tokens = balance.wanted_tokens.max(tokens);
         let shortage = self.shortage(now, account, tokens);
         // If no instance has the tokens, neither a read nor a write brings any. If other instances
         // have them, a member's report brings none either.
@@ -200,7 +200,7 @@
     pub fn has_tokens(&self, now: Duration, account: &str, tokens: u64, rank: Rank) -> bool {
         !self.prepaid_tokens.contains_key(account)
             || (self.free_tokens(now, account) >= tokens
-                && !self.is_kept_for_urgent(now, account, tokens, rank))
+                && !self.is_reserved_for_urgent(now, account, tokens, rank))
     }
 
     /// Returns whether an account is prepaid.
@@ -213,16 +213,16 @@
     /// reservation is tried.
     pub fn note_demand(&mut self, now: Duration, account: &str, tokens: u64, rank: Rank) {
         if self.prepaid_tokens.contains_key(account) {
-            let purse = self.purses.entry(account.to_owned()).or_default();
-            purse.note_demand(now, tokens, rank);
+            let balance = self.balances.entry(account.to_owned()).or_default();
+            balance.note_demand(now, tokens, rank);
         }
     }
 
     /// Ends a reservation: `used_tokens` of it are spent and the rest is free again.
     pub fn release(&mut self, account: &str, reserved_tokens: u64, used_tokens: u64) {
-        if let Some(purse) = self.purses.get_mut(account) {
-            purse.reserved_tokens = purse.reserved_tokens.saturating_sub(reserved_tokens);
-            purse.add_used(used_tokens.min(reserved_tokens));
+        if let Some(balance) = self.balances.get_mut(account) {
+            balance.reserved_tokens = balance.reserved_tokens.saturating_sub(reserved_tokens);
+            balance.add_used(used_tokens.min(reserved_tokens));
         }
     }
 
@@ -230,25 +230,25 @@
     #[must_use]
     pub fn free_tokens(&self, now: Duration, account: &str) -> u64 {
         let bound = self.allowance(now, account);
-        self.purses
+        self.balances
             .get(account)
-            .map_or(0, |purse| purse.free(bound))
+            .map_or(0, |balance| balance.free(bound))
     }
 
     /// Returns the worst-case cost of the calls in progress.
     #[must_use]
     pub fn reserved_tokens(&self, account: &str) -> u64 {
-        self.purses
+        self.balances
             .get(account)
-            .map_or(0, |purse| purse.reserved_tokens)
+            .map_or(0, |balance| balance.reserved_tokens)
     }
 
     /// Returns the free tokens, including those that are not unlocked yet.
     #[must_use]
     pub fn granted_free_tokens(&self, account: &str) -> u64 {
-        self.purses
+        self.balances
             .get(account)
-            .map_or(0, |purse| purse.free(purse.allowed_tokens))
+            .map_or(0, |balance| balance.free(balance.allowed_tokens))
     }
 
     /// Returns the prepaid accounts.
@@ -258,8 +258,8 @@
 
     /// Returns the totals of an account according to the last seen ledger.
     #[must_use]
-    pub fn standing(&self, account: &str) -> Standing {
-        Standing {
+    pub fn standing(&self, account: &str) -> AccountTotals {
+        AccountTotals {
             bought_tokens: self.prepaid_tokens.get(account).copied().unwrap_or(0),
             settled_tokens: self.overview.account(account).settled_tokens,
             granted_tokens: self.overview.account(account).granted_tokens,
@@ -290,16 +290,16 @@
         self.seen_at.map(|at| now.saturating_sub(at))
     }
 
-    fn was_touched_lately(&self, now: Duration) -> bool {
-        let round_interval = self.options.round_interval * self.scale();
-        self.touched_at
+    fn had_recent_contact(&self, now: Duration) -> bool {
+        let round_interval = self.options.round_interval * self.interval_scale();
+        self.contact_at
             .is_some_and(|at| now.saturating_sub(at) <= round_interval * 3 / 2)
     }
 
     /// Returns the remaining tokens of a budget, as far as this instance knows.
     fn left_tokens(&self, account: &str) -> u64 {
         let prepaid = self.prepaid_tokens.get(account).copied().unwrap_or(0);
-        let unsettled = self.purses.get(account).map_or(0, Purse::unsettled);
+        let unsettled = self.balances.get(account).map_or(0, Balance::unsettled);
         prepaid
             .saturating_sub(self.overview.account(account).settled_tokens)
             .saturating_sub(unsettled)
@@ -309,12 +309,12 @@
     /// account, without what time unlocks.
     fn least_sums(&self, account: &str) -> Sums {
         let committed = self
-            .purses
+            .balances
             .get(account)
-            .map_or_else(Sums::default, |purse| Sums {
-                allowed_tokens: purse.allowed_tokens,
-                ceiling_tokens: purse.ceiling_tokens,
-                settled_tokens: purse.settled_tokens,
+            .map_or_else(Sums::default, |balance| Sums {
+                allowed_tokens: balance.allowed_tokens,
+                ceiling_tokens: balance.ceiling_tokens,
+                settled_tokens: balance.settled_tokens,
             });
         self.pending.iter().fold(committed, |least, pending| {
             let sums = pending.sums.get(account).copied().unwrap_or_default();
@@ -332,10 +332,10 @@
     /// it ends. An isolated instance gradually unlocks its whole grant, at a rate that is known to
     /// the instance that settles the grant.
     fn allowance(&self, now: Duration, account: &str) -> u64 {
-        let committed = self.purses.get(account).map_or(0, |purse| {
+        let committed = self.balances.get(account).map_or(0, |balance| {
             let since = now.saturating_sub(self.committed_at);
-            let unlocked = self.committed_pace.unlocked(since);
-            unlocked.of(purse.ceiling_tokens, purse.allowed_tokens)
+            let unlocked = self.committed_unlock_rate.unlocked(since);
+            unlocked.of(balance.ceiling_tokens, balance.allowed_tokens)
         });
         self.pending
             .iter()
@@ -344,9 +344,9 @@
     }
 
     /// Returns the unlock rate of the grants that are written now.
-    fn pace(&self) -> Pace {
-        Pace {
-            after_ms: unix_ms(self.options.unlock_after * self.scale()),
+    fn unlock_rate(&self) -> UnlockRate {
+        UnlockRate {
+            after_ms: unix_ms(self.options.unlock_after * self.interval_scale()),
             span_ms: unix_ms(self.options.unlock_span),
         }
     }
--- a/crates/damaskstile-escrow/src/holder/lending.rs
+++ b/crates/damaskstile-escrow/src/holder/lending.rs
@@ -13,16 +13,16 @@
     /// tokens of the account. Otherwise it counts at the lender from which its calls borrow.
     #[must_use]
     pub fn is_counted(&self, now: Duration, account: &str) -> bool {
-        let purse = self.purses.get(account);
-        purse.is_some_and(|purse| !self.is_borrowed(&self.demand_claim(now, purse)))
+        let balance = self.balances.get(account);
+        balance.is_some_and(|balance| !self.is_borrower(&self.demand_claim(now, balance)))
     }
 
     /// Records that this instance lends tokens of an account to others. It then holds tokens of the
     /// account for them, however few calls of its own there are.
     pub fn note_lending(&mut self, now: Duration, account: &str) {
         if self.prepaid_tokens.contains_key(account) {
-            let purse = self.purses.entry(account.to_owned()).or_default();
-            purse.lends_until = now + LENDING_SPAN;
+            let balance = self.balances.entry(account.to_owned()).or_default();
+            balance.lends_until = now + LENDING_SPAN;
         }
     }
 }
--- a/crates/damaskstile-escrow/src/holder/merge.rs
+++ b/crates/damaskstile-escrow/src/holder/merge.rs
@@ -4,11 +4,11 @@
 
 use super::Holder;
 use super::plan::Need;
+use crate::balance::Balance;
 use crate::claim::Claim;
 use crate::entry::HolderEntry;
 use crate::ledger::Ledger;
 use crate::overview::Overview;
-use crate::purse::Purse;
 use crate::report::Report;
 use crate::settlement::Settlement;
 use crate::stamp::Stamp;
@@ -30,14 +30,14 @@
                 return Vec::new();
             }
         } else if listed_incarnation == report.follows {
-            ledger.close(&report.instance);
+            ledger.orphan(&report.instance);
         } else {
             return Vec::new();
         }
         if report.history >= ledger.history {
             ledger.confirm(&report.instance);
         }
-        let settlements = self.settle_estates(ledger, report);
+        let settlements = self.settle_orphaned_entries(ledger, report);
         if !settlements.is_empty() {
             *totals = Overview::of_ledger(ledger, "");
         }
@@ -47,7 +47,7 @@
             incarnation: report.incarnation,
             round: report.number,
             stamp: report.stamp.clone(),
-            pace: report.pace,
+            unlock_rate: report.unlock_rate,
             address: report.address.clone(),
             data_centre: report.data_centre.clone(),
             ..HolderEntry::default()
@@ -121,8 +121,8 @@
         };
         let reachable = (used + pool).saturating_sub(needed);
         let need = Need::new(*view, prepaid, 0, claim)
-            .among(totals.instances)
-            .reaching(reachable);
+            .with_instances(totals.instances)
+            .with_reachable(reachable);
         let target = if report.is_stopping {
             0
         } else {
@@ -166,8 +166,8 @@
             .map(|account| (account.clone(), self.claim(now, account)))
             .filter(|(_, claim)| *claim != Claim::default())
             .collect();
-        for purse in self.purses.values_mut() {
-            purse.wanted_tokens = 0;
+        for balance in self.balances.values_mut() {
+            balance.wanted_tokens = 0;
         }
         Report {
             instance: self.identity.instance.clone(),
@@ -176,8 +176,8 @@
             number: self.last_round,
             stamp: stamp.clone(),
             start: self.start.clone().unwrap_or_default(),
-            is_out_of_patience: self.is_out_of_patience(now),
-            pace: self.pace(),
+            is_past_wait_limit: self.is_past_wait_limit(now),
+            unlock_rate: self.unlock_rate(),
             address: self.address.clone(),
             data_centre: self.identity.data_centre.clone(),
             is_stopping: self.is_stopping,
@@ -191,13 +191,13 @@
     /// Returns this instance's claim on an account. It gives up what it holds beyond its target and
     /// keeps what covers the calls in progress.
     pub(super) fn claim(&self, now: Duration, account: &str) -> Claim {
-        let Some(purse) = self.purses.get(account) else {
+        let Some(balance) = self.balances.get(account) else {
             return Claim::default();
         };
         let mut claim = Claim {
-            used_tokens: purse.used_tokens,
-            needed_tokens: purse.used_tokens + purse.reserved_tokens,
-            ..self.demand_claim(now, purse)
+            used_tokens: balance.used_tokens,
+            needed_tokens: balance.used_tokens + balance.reserved_tokens,
+            ..self.demand_claim(now, balance)
         };
         let need = self.need(account, claim);
         let target = if self.is_stopping {
@@ -220,17 +220,17 @@
 
     /// Returns this instance's demand of an account as a claim. If it borrows for its few calls,
     /// the demand is zero, because it counts at the lender.
-    pub(super) fn demand_claim(&self, now: Duration, purse: &Purse) -> Claim {
-        let demand = purse.demand.tokens_per_s(now);
+    pub(super) fn demand_claim(&self, now: Duration, balance: &Balance) -> Claim {
+        let demand = balance.demand.tokens_per_s(now);
         let claim = Claim {
             demand_tokens_per_s: demand,
-            urgent_tokens_per_s: purse.urgent_demand.tokens_per_s(now).min(demand),
-            call_tokens: purse.call_tokens,
-            wanted_tokens: purse.wanted_tokens,
-            is_lender: purse.is_lending(now),
+            urgent_tokens_per_s: balance.urgent_demand.tokens_per_s(now).min(demand),
+            call_tokens: balance.call_tokens,
+            wanted_tokens: balance.wanted_tokens,
+            is_lender: balance.is_lending(now),
             ..Claim::default()
         };
-        if self.is_borrowed(&claim) {
+        if self.is_borrower(&claim) {
             Claim {
                 demand_tokens_per_s: 0,
                 urgent_tokens_per_s: 0,
@@ -246,12 +246,12 @@
     pub(super) fn need(&self, account: &str, claim: Claim) -> Need {
         let view = self.overview.account(account);
         let prepaid = self.prepaid_tokens.get(account).copied().unwrap_or(0);
-        let unsettled = self.purses.get(account).map_or(0, Purse::unsettled);
+        let unsettled = self.balances.get(account).map_or(0, Balance::unsettled);
         let is_listed = self.is_listed();
-        let held = self.purses.get(account);
-        let held = held.map_or(0, |purse| purse.free(purse.allowed_tokens));
+        let held = self.balances.get(account);
+        let held = held.map_or(0, |balance| balance.free(balance.allowed_tokens));
         Need::new(view, prepaid, unsettled, claim)
-            .among(self.overview.instances + u64::from(!is_listed))
-            .reaching(held.saturating_add(view.pool(prepaid)))
+            .with_instances(self.overview.instances + u64::from(!is_listed))
+            .with_reachable(held.saturating_add(view.pool(prepaid)))
     }
 }
--- a/crates/damaskstile-escrow/src/holder/estates.rs
+++ b/crates/damaskstile-escrow/src/holder/orphaned.rs
@@ -6,10 +6,10 @@
 use super::Holder;
 use crate::entry::HolderEntry;
 use crate::ledger::Ledger;
-use crate::pace::Unlocked;
 use crate::report::Report;
 use crate::settlement::Settlement;
 use crate::stamp::Stamp;
+use crate::unlock_rate::Unlocked;
 
 impl Holder {
     /// Records the stamp of this incarnation's start, once the fleet clock is known for it.
@@ -33,25 +33,29 @@
 
     /// Returns whether this incarnation has stopped waiting for the fleet clock to settle the
     /// orphaned entries of earlier ones.
-    pub(super) fn is_out_of_patience(&self, now: Duration) -> bool {
+    pub(super) fn is_past_wait_limit(&self, now: Duration) -> bool {
         let waited = now.saturating_sub(self.started_at.unwrap_or(now));
-        waited >= self.options.estate_patience
+        waited >= self.options.fleet_clock_wait_limit
     }
 
     /// Settles the orphaned entries of earlier incarnations of an instance, as far as it is known
     /// when they ended: each had ended when the reporting one started.
-    pub(super) fn settle_estates(&self, ledger: &mut Ledger, report: &Report) -> Vec<Settlement> {
-        let names: Vec<String> = estates_of(ledger, &report.instance)
+    pub(super) fn settle_orphaned_entries(
+        &self,
+        ledger: &mut Ledger,
+        report: &Report,
+    ) -> Vec<Settlement> {
+        let names: Vec<String> = orphaned_entries_of(ledger, &report.instance)
             .map(|(name, _)| name.clone())
             .collect();
         let mut settlements = Vec::new();
         for name in names {
-            let estate = &ledger.estates[&name];
+            let entry = &ledger.orphaned_entries[&name];
             let start = Some(&report.start);
-            let settled = self.estate_unlocked(start, report.is_out_of_patience, estate);
+            let settled = self.orphaned_unlocked(start, report.is_past_wait_limit, entry);
             if let Some((lived, unlocked)) = settled {
-                let accounts = estate.grants_tokens.iter().map(|(account, granted)| {
-                    let spent = estate.spent_bound(account, unlocked);
+                let accounts = entry.grants_tokens.iter().map(|(account, granted)| {
+                    let spent = entry.spent_bound(account, unlocked);
                     (account.clone(), (*granted, spent))
                 });
                 settlements.push(Settlement {
@@ -59,7 +63,7 @@
                     lived,
                     accounts: accounts.collect(),
                 });
-                ledger.settle_estate(&name, unlocked);
+                ledger.settle_orphaned(&name, unlocked);
             }
         }
         settlements
@@ -68,37 +72,37 @@
     /// Returns the longest time for which an ended incarnation can have run after its last write,
     /// if that is known, and the part of its grants that was unlocked by then; `None` while that
     /// may still become known.
-    fn estate_unlocked(
+    fn orphaned_unlocked(
         &self,
         start: Option<&Stamp>,
-        is_out_of_patience: bool,
-        estate: &HolderEntry,
+        is_past_wait_limit: bool,
+        entry: &HolderEntry,
     ) -> Option<(Option<Duration>, Unlocked)> {
         let start = start?;
-        if let Some(passed) = estate.stamp.until(start) {
+        if let Some(passed) = entry.stamp.until(start) {
             let lived = passed + self.options.clock_margin;
-            return Some((Some(lived), estate.pace.unlocked(lived)));
+            return Some((Some(lived), entry.unlock_rate.unlocked(lived)));
         }
-        let is_hopeless = is_out_of_patience || estate.stamp.fleet_early_ms.is_none();
-        is_hopeless.then_some((None, Unlocked::ALL))
+        let is_unbounded = is_past_wait_limit || entry.stamp.fleet_early_ms.is_none();
+        is_unbounded.then_some((None, Unlocked::ALL))
     }
 
-    pub(super) fn has_estate_to_settle(&self, now: Duration) -> bool {
-        let is_out_of_patience = self.is_out_of_patience(now);
-        estates_of(&self.ledger, &self.identity.instance).any(|(_, estate)| {
-            self.estate_unlocked(self.start.as_ref(), is_out_of_patience, estate)
+    pub(super) fn has_orphaned_to_settle(&self, now: Duration) -> bool {
+        let is_past_wait_limit = self.is_past_wait_limit(now);
+        orphaned_entries_of(&self.ledger, &self.identity.instance).any(|(_, entry)| {
+            self.orphaned_unlocked(self.start.as_ref(), is_past_wait_limit, entry)
                 .is_some()
         })
     }
 }
 
-fn estates_of<'a>(
+fn orphaned_entries_of<'a>(
     ledger: &'a Ledger,
     instance: &str,
 ) -> impl Iterator<Item = (&'a String, &'a HolderEntry)> {
     let own = format!("{instance}/");
     ledger
-        .estates
+        .orphaned_entries
         .iter()
         .filter(move |(name, _)| name.starts_with(&own))
 }
--- a/crates/damaskstile-escrow/src/holder/pending.rs
+++ b/crates/damaskstile-escrow/src/holder/pending.rs
@@ -2,8 +2,8 @@
 
 use damaskstile_core::prelude::*;
 
-use crate::pace::Pace;
 use crate::sums::Sums;
+use crate::unlock_rate::UnlockRate;
 
 /// A write or a report whose outcome is unknown.
 #[derive(Debug, Clone)]
@@ -13,14 +13,14 @@
     /// at any version.
     pub expected_version: Option<Version>,
     pub made_at: Duration,
-    pub pace: Pace,
+    pub unlock_rate: UnlockRate,
     /// Smallest amounts that it leaves of each account if it takes effect.
     pub sums: BTreeMap<AccountId, Sums>,
 }
 
 impl Pending {
     pub(super) fn allowed(&self, now: Duration, account: &str) -> u64 {
-        let unlocked = self.pace.unlocked(now.saturating_sub(self.made_at));
+        let unlocked = self.unlock_rate.unlocked(now.saturating_sub(self.made_at));
         let sums = self.sums.get(account).copied().unwrap_or_default();
         unlocked.of(sums.ceiling_tokens, sums.allowed_tokens)
     }
--- a/crates/damaskstile-escrow/src/holder/plan.rs
+++ b/crates/damaskstile-escrow/src/holder/plan.rs
@@ -40,14 +40,14 @@
         }
     }
 
-    pub(super) fn among(self, instances: u64) -> Self {
+    pub(super) fn with_instances(self, instances: u64) -> Self {
         Self {
             instances: instances.max(1),
             ..self
         }
     }
 
-    pub(super) fn reaching(self, reachable_tokens: u64) -> Self {
+    pub(super) fn with_reachable(self, reachable_tokens: u64) -> Self {
         Self {
             reachable_tokens,
             ..self
@@ -85,7 +85,7 @@
         let all = need.demand_of_all();
         let reserve_percent = self.reserve_percent(need.left_tokens, all);
         let spendable = need.left_tokens * (PERCENT - reserve_percent) / PERCENT;
-        if self.is_borrowed(&need.claim) {
+        if self.is_borrower(&need.claim) {
             // Its share would pay for too few calls to be useful, and would add an item to the
             // ledger.
             return wanted;
@@ -124,7 +124,7 @@
     /// This holds in a large fleet for an instance that sees few calls of the account and does not
     /// lend it. Otherwise, in a fleet of 295 instances with 40 accounts, each instance had an item
     /// in the ledger for nearly every account, 1.3 MB in all.
-    pub(super) fn is_borrowed(&self, claim: &Claim) -> bool {
+    pub(super) fn is_borrower(&self, claim: &Claim) -> bool {
         let horizon_s = self.options.horizon.as_secs();
         let of_horizon = claim.demand_tokens_per_s.saturating_mul(horizon_s);
         let of_calls = claim.call_tokens.saturating_mul(self.options.held_calls);
@@ -139,7 +139,7 @@
     pub(super) fn ahead_tokens(&self, need: &Need, target: u64) -> u64 {
         let options = &self.options;
         let own = need.claim.demand_tokens_per_s;
-        let ceiling = options.ceiling * self.scale();
+        let ceiling = options.ceiling * self.interval_scale();
         let until_next = u128::from(own) * ceiling.as_millis() / 1000;
         let until_next = u64::try_from(until_next).unwrap_or(u64::MAX);
         let of_left = need.left_tokens * options.ceiling_left_percent / PERCENT;
--- a/crates/damaskstile-escrow/src/holder/reports.rs
+++ b/crates/damaskstile-escrow/src/holder/reports.rs
@@ -12,8 +12,8 @@
 use crate::ledger::Ledger;
 use crate::overview::Overview;
 use crate::receipt::{AccountReceipt, Receipt};
+use crate::receipt_scope::ReceiptScope;
 use crate::report::Report;
-use crate::reported::Reported;
 use crate::stamp::Stamp;
 use crate::sums::Sums;
 
@@ -86,7 +86,7 @@
                 return is_due.then(|| outstanding.report.clone());
             }
         }
-        if !self.is_round_due(now) || !(self.is_short || self.is_worth_a_round(now)) {
+        if !self.is_round_due(now) || !(self.is_short || self.needs_round(now)) {
             return None;
         }
         self.round_at = Some(now);
@@ -104,7 +104,7 @@
             number: report.number,
             expected_version: None,
             made_at: now,
-            pace: report.pace,
+            unlock_rate: report.unlock_rate,
             sums: sums.collect(),
         });
         self.outstanding = Some(Outstanding {
@@ -124,7 +124,7 @@
         });
         if is_entered {
             let totals = Overview::of_ledger(&self.ledger, "");
-            return Some(self.receipt(&totals, &report.instance, &Reported::of(&report)));
+            return Some(self.receipt(&totals, &report.instance, &ReceiptScope::of(&report)));
         }
         let is_newer = self.inbox.get(&report.instance).is_none_or(|(_, before)| {
             before.incarnation != report.incarnation || before.number < report.number
@@ -138,7 +138,10 @@
 
     /// Returns the receipts for the instances whose reports a write entered, with their addresses.
     #[must_use]
-    pub fn receipts(&self, reported: &BTreeMap<InstanceId, Reported>) -> Vec<(String, Receipt)> {
+    pub fn receipts(
+        &self,
+        reported: &BTreeMap<InstanceId, ReceiptScope>,
+    ) -> Vec<(String, Receipt)> {
         let totals = Overview::of_ledger(&self.ledger, "");
         reported
             .iter()
@@ -149,7 +152,7 @@
     /// Creates a receipt about the accounts that the instance reported on or has an entry for. A
     /// receipt about all accounts would be as large as there are accounts, times the number of
     /// reports per second.
-    fn receipt(&self, totals: &Overview, instance: &str, reported: &Reported) -> Receipt {
+    fn receipt(&self, totals: &Overview, instance: &str, reported: &ReceiptScope) -> Receipt {
         let entry = self.ledger.holders.get(instance);
         let is_predecessor = entry.is_some_and(|entry| entry.incarnation != reported.incarnation);
         let of_entry = entry.into_iter().flat_map(HolderEntry::token_sums);
@@ -173,8 +176,8 @@
                 others_urgent_tokens_per_s: view
                     .others_urgent_tokens_per_s
                     .saturating_sub(own_urgent),
-                left_tokens_per_s: if is_predecessor { own_demand } else { 0 },
-                left_urgent_tokens_per_s: if is_predecessor { own_urgent } else { 0 },
+                predecessor_tokens_per_s: if is_predecessor { own_demand } else { 0 },
+                predecessor_urgent_tokens_per_s: if is_predecessor { own_urgent } else { 0 },
             };
             (account.clone(), receipt)
         });
@@ -196,13 +199,13 @@
         self.overview = Overview::of_receipt(receipt);
         let is_first = self.seen_at.is_none();
         self.seen_at = Some(now);
-        self.touched_at = Some(now);
+        self.contact_at = Some(now);
         if receipt.incarnation != self.identity.incarnation {
             // The report named a different predecessor from the one that the ledger lists; the next
             // report names the listed one.
             self.follows = receipt.incarnation;
             if is_first {
-                self.inherit_demand(now, receipt.left_demands());
+                self.inherit_demand(now, receipt.predecessor_demands());
             }
             self.outstanding = None;
             self.is_in_doubt = false;
@@ -219,7 +222,7 @@
         }
         // Accounts that the receipt does not name have nothing stored for this instance.
         let own = |account: &AccountId| receipt.accounts.get(account)?.own;
-        let accounts = self.purses.keys().chain(receipt.accounts.keys());
+        let accounts = self.balances.keys().chain(receipt.accounts.keys());
         let sums = accounts.map(|account| (account.clone(), own(account).unwrap_or_default()));
         let sums = sums.collect();
         self.commit(now, receipt.number, sums);
--- a/crates/damaskstile-escrow/src/holder/restoring.rs
+++ b/crates/damaskstile-escrow/src/holder/restoring.rs
@@ -22,7 +22,7 @@
 /// granted.
 const CONFIRM_TIME_MAX: Duration = Duration::from_secs(3);
 /// Interval at which to check whether another instance has rebuilt the ledger.
-const LOOK_INTERVAL: Duration = Duration::from_millis(300);
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// State of the rebuild of the ledger after the store was restored from an older copy.
 #[derive(Debug, Default)]
@@ -34,15 +34,15 @@
     /// Number of the first report made in the current history.
     confirm_number: Option<u64>,
     /// Newest ledger version that any peer reported to remember.
-    told_version: Version,
+    newest_peer_version: Version,
     /// The stale copy of the ledger, with its version in the store.
-    copy: Option<(Version, Ledger)>,
+    stale_copy: Option<(Version, Ledger)>,
     /// Time at which the stale copy was first seen. Until then, peers that remember a newer ledger
     /// could not write either.
-    copy_at: Duration,
-    looked_at: Duration,
+    stale_copy_at: Duration,
+    checked_at: Duration,
     /// Time at which a ledger of the current history was first seen.
-    begun_at: Option<Duration>,
+    rebuilt_seen_at: Option<Duration>,
 }
 
 impl Restoring {
@@ -66,19 +66,19 @@
     }
 
     /// Notes that a ledger of the current history was seen.
-    pub(super) fn note_begun(&mut self, now: Duration) {
-        self.copy = None;
-        self.begun_at.get_or_insert(now);
+    pub(super) fn note_rebuilt(&mut self, now: Duration) {
+        self.stale_copy = None;
+        self.rebuilt_seen_at.get_or_insert(now);
     }
 
     /// Returns whether it is time to check if another instance has rebuilt the ledger.
-    pub(super) fn needs_look(&self, now: Duration) -> bool {
-        self.copy.is_some() && now.saturating_sub(self.looked_at) >= LOOK_INTERVAL
+    pub(super) fn needs_check(&self, now: Duration) -> bool {
+        self.stale_copy.is_some() && now.saturating_sub(self.checked_at) >= CHECK_INTERVAL
     }
 
-    fn may_begin(&self, now: Duration, known_version: Version) -> bool {
-        let waited = now.saturating_sub(self.copy_at);
-        let is_newest = known_version >= self.told_version;
+    fn may_rebuild(&self, now: Duration, known_version: Version) -> bool {
+        let waited = now.saturating_sub(self.stale_copy_at);
+        let is_newest = known_version >= self.newest_peer_version;
         (waited >= GATHER_TIME && is_newest) || waited >= GATHER_TIME_MAX
     }
 }
@@ -103,7 +103,7 @@
             } else {
                 history
             },
-            told_version: self.restoring.told_version,
+            newest_peer_version: self.restoring.newest_peer_version,
             ..Restoring::default()
         };
         // The outstanding report was made in the previous history.
@@ -115,46 +115,51 @@
 
     /// Notes which ledger version a peer remembers.
     pub fn hear_ledger_version(&mut self, version: Version) {
-        self.restoring.told_version = self.restoring.told_version.max(version);
+        self.restoring.newest_peer_version = self.restoring.newest_peer_version.max(version);
     }
 
     /// Keeps a ledger of an earlier history as a stale copy; returns whether it is one.
-    pub(super) fn take_copy(&mut self, now: Duration, version: Version, ledger: &Ledger) -> bool {
+    pub(super) fn keep_stale_copy(
+        &mut self,
+        now: Duration,
+        version: Version,
+        ledger: &Ledger,
+    ) -> bool {
         // A store without a ledger is handled like a stale copy unless it is in its first history:
         // either the fleet starts for the first time, or the copy predates the first ledger.
         let is_copy = ledger.history < self.restoring.history;
         if is_copy {
-            if self.restoring.copy.is_none() {
-                self.restoring.copy_at = now;
+            if self.restoring.stale_copy.is_none() {
+                self.restoring.stale_copy_at = now;
             }
-            self.restoring.copy = Some((version, ledger.clone()));
-            self.restoring.looked_at = now;
+            self.restoring.stale_copy = Some((version, ledger.clone()));
+            self.restoring.checked_at = now;
             self.is_in_doubt = false;
         }
         is_copy
     }
 
-    pub(super) fn has_copy(&self) -> bool {
-        self.restoring.copy.is_some()
+    pub(super) fn has_stale_copy(&self) -> bool {
+        self.restoring.stale_copy.is_some()
     }
 
     /// Returns the write that rebuilds the ledger, once this instance may make it.
-    pub(super) fn begin_anew(&mut self, now: Duration, stamp: &Stamp) -> Option<Round> {
-        if !self.restoring.may_begin(now, self.ledger_version) {
+    pub(super) fn rebuild_ledger(&mut self, now: Duration, stamp: &Stamp) -> Option<Round> {
+        if !self.restoring.may_rebuild(now, self.ledger_version) {
             return None;
         }
-        let (version, copy) = self.restoring.copy.as_ref()?;
+        let (version, stale_copy) = self.restoring.stale_copy.as_ref()?;
         let version = *version;
         let remembers = self.seen_at.is_some();
-        let base = if remembers && self.ledger.is_after(copy) {
+        let base = if remembers && self.ledger.is_after(stale_copy) {
             &self.ledger
         } else {
-            copy
+            stale_copy
         };
         if self.catalogue_version < base.catalogue_version {
             return None;
         }
-        let mut ledger = base.begun_in(self.restoring.history);
+        let mut ledger = base.rebuilt_in(self.restoring.history);
         if !remembers {
             ledger.write_off_lost(&self.prepaid_tokens);
         }
@@ -170,8 +175,8 @@
     /// Allows the rest to be granted again once the instances that have not reported their holdings
     /// have had enough time to.
     pub(super) fn open_pool(&self, now: Duration, ledger: &mut Ledger) {
-        let begun_at = self.restoring.begun_at;
-        if begun_at.is_some_and(|at| now.saturating_sub(at) >= CONFIRM_TIME_MAX) {
+        let rebuilt_seen_at = self.restoring.rebuilt_seen_at;
+        if rebuilt_seen_at.is_some_and(|at| now.saturating_sub(at) >= CONFIRM_TIME_MAX) {
             ledger.confirm_all();
         }
     }
--- a/crates/damaskstile-escrow/src/holder/round.rs
+++ b/crates/damaskstile-escrow/src/holder/round.rs
@@ -6,20 +6,20 @@
 use super::Holder;
 use super::pending::Pending;
 use super::reports::Role;
+use crate::balance::Balance;
 use crate::entry::HolderEntry;
 use crate::ledger::Ledger;
 use crate::ledger_change::LedgerChange;
 use crate::overview::Overview;
-use crate::purse::Purse;
+use crate::receipt_scope::ReceiptScope;
 use crate::report::Report;
-use crate::reported::Reported;
 use crate::settlement::Settlement;
 use crate::stamp::Stamp;
 use crate::sums::Sums;
 
 /// Divisor of a grant: a change of more than this part of the grant is worth a write. With smaller
 /// changes, every instance would write in every round.
-const WORTH_PART: u64 = 8;
+const WORTHWHILE_CHANGE_DIVISOR: u64 = 8;
 
 /// One conditional write to the ledger.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -33,14 +33,14 @@
     /// Write-offs for ended incarnations that the write includes.
     pub settlements: Vec<Settlement>,
     /// The peers whose reports the write enters.
-    pub reported: BTreeMap<InstanceId, Reported>,
+    pub reported: BTreeMap<InstanceId, ReceiptScope>,
 }
 
 impl Holder {
     /// Accepts the ledger as read from the store. Version 0 means that there is none.
     pub fn observe(&mut self, now: Duration, version: Version, ledger: Ledger) {
-        self.touched_at = Some(now);
-        self.take_ledger(now, version, ledger);
+        self.contact_at = Some(now);
+        self.accept_ledger(now, version, ledger);
     }
 
     /// Accepts a ledger change that a peer reports as written; returns whether it was based on the
@@ -53,19 +53,19 @@
         let version = change.version;
         let mut ledger = self.ledger.clone();
         change.apply(&mut ledger);
-        self.take_ledger(now, version, ledger);
+        self.accept_ledger(now, version, ledger);
         true
     }
 
-    fn take_ledger(&mut self, now: Duration, version: Version, ledger: Ledger) {
-        if self.take_copy(now, version, &ledger) {
+    fn accept_ledger(&mut self, now: Duration, version: Version, ledger: Ledger) {
+        if self.keep_stale_copy(now, version, &ledger) {
             return;
         }
         self.enter_history(ledger.history);
         if version < self.ledger_version {
             return;
         }
-        self.restoring.note_begun(now);
+        self.restoring.note_rebuilt(now);
         let is_first = self.seen_at.is_none();
         if self.role == Role::Member && !is_first {
             // A member relies on receipts; it uses the ledger only to know which instances exist.
@@ -87,7 +87,7 @@
         let entry = ledger.holders.get(own);
         let standing = entry.filter(|entry| entry.incarnation == self.identity.incarnation);
         if let Some(entry) = standing {
-            let accounts = self.purses.keys().chain(entry.grants_tokens.keys());
+            let accounts = self.balances.keys().chain(entry.grants_tokens.keys());
             let sums = accounts.map(|account| (account.clone(), entry.sums(account)));
             let (round, sums) = (entry.round, sums.collect());
             self.commit(now, round, sums);
@@ -100,9 +100,9 @@
             // The ledger has no entry of this incarnation, so its grants are void, unless the store
             // has lost them.
             if !self.restoring.is_unconfirmed() {
-                for purse in self.purses.values_mut() {
-                    purse.allowed_tokens = purse.settled_tokens;
-                    purse.ceiling_tokens = purse.settled_tokens;
+                for balance in self.balances.values_mut() {
+                    balance.allowed_tokens = balance.settled_tokens;
+                    balance.ceiling_tokens = balance.settled_tokens;
                 }
             }
         }
@@ -122,8 +122,8 @@
     /// were served.
     pub(super) fn inherit_demand(&mut self, now: Duration, left: Vec<(AccountId, u64, u64)>) {
         for (account, all, urgent) in left {
-            let purse = self.purses.entry(account).or_default();
-            purse.inherit(now, all, urgent, self.first_rank);
+            let balance = self.balances.entry(account).or_default();
+            balance.inherit(now, all, urgent, self.first_rank);
         }
     }
 
@@ -145,7 +145,7 @@
         self.is_in_doubt = true;
     }
 
-    /// Returns whether the host should read the ledger before it asks for a write.
+    /// Returns whether the host should read the ledger before it calls [`Self::next_round`].
     #[must_use]
     pub fn needs_read(&self, now: Duration) -> bool {
         // A member relies on receipts. If members read the ledger, which has an entry for each
@@ -153,10 +153,10 @@
         if self.role == Role::Member {
             return false;
         }
-        if self.restoring.needs_look(now) {
+        if self.restoring.needs_check(now) {
             return true;
         }
-        let read_interval = self.options.round_interval * self.scale();
+        let read_interval = self.options.round_interval * self.interval_scale();
         let is_old = self.ledger_age(now).is_none_or(|age| age >= read_interval);
         self.seen_at.is_none() || self.is_in_doubt || (self.is_short && is_old)
     }
@@ -177,9 +177,9 @@
     }
 
     /// Returns the factor by which intervals between rounds are longer than in a small fleet.
-    pub(super) fn scale(&self) -> u32 {
+    pub(super) fn interval_scale(&self) -> u32 {
         if self.is_large_fleet() {
-            self.options.large_scale
+            self.options.large_interval_scale
         } else {
             1
         }
@@ -198,9 +198,9 @@
     /// Returns whether the ledger holds nothing for this instance that could be handed back.
     #[must_use]
     pub fn is_handed_back(&self) -> bool {
-        self.purses
+        self.balances
             .values()
-            .all(|purse| purse.unsettled() == 0 && purse.granted() <= purse.reserved_tokens)
+            .all(|balance| balance.unsettled() == 0 && balance.granted() <= balance.reserved_tokens)
     }
 
     /// Returns the write that is due, if there is one. At most one may be in progress at a time.
@@ -208,15 +208,15 @@
     /// Also returns `None` if the ledger was never seen: the host must read it first.
     pub fn next_round(&mut self, now: Duration, stamp: &Stamp) -> Option<Round> {
         self.note_stamp(now, stamp);
-        if self.has_copy() {
-            return self.begin_anew(now, stamp);
+        if self.has_stale_copy() {
+            return self.rebuild_ledger(now, stamp);
         }
         self.seen_at?;
         if self.is_in_doubt || self.catalogue_version < self.ledger.catalogue_version {
             return None;
         }
-        let is_worth = !self.inbox.is_empty() || self.is_worth_a_round(now);
-        if !self.is_round_due(now) || !is_worth {
+        let has_changes = !self.inbox.is_empty() || self.needs_round(now);
+        if !self.is_round_due(now) || !has_changes {
             return None;
         }
         self.round_at = Some(now);
@@ -237,7 +237,7 @@
         let interval = if self.is_short || self.is_stopping {
             self.urgent_interval()
         } else {
-            self.options.round_interval * self.scale()
+            self.options.round_interval * self.interval_scale()
         };
         self.round_at.is_none_or(|at| now >= at + interval)
     }
@@ -253,12 +253,13 @@
         // Unlocking is counted from the time the write was made. If that time is unknown, a later
         // start is safe.
         self.committed_at = pending.map_or(now, |pending| pending.made_at);
-        self.committed_pace = pending.map_or(self.pace(), |pending| pending.pace);
+        self.committed_unlock_rate =
+            pending.map_or(self.unlock_rate(), |pending| pending.unlock_rate);
         for (account, sums) in sums {
-            let purse = self.purses.entry(account).or_default();
-            purse.allowed_tokens = sums.allowed_tokens;
-            purse.ceiling_tokens = sums.ceiling_tokens;
-            purse.settled_tokens = sums.settled_tokens;
+            let balance = self.balances.entry(account).or_default();
+            balance.allowed_tokens = sums.allowed_tokens;
+            balance.ceiling_tokens = sums.ceiling_tokens;
+            balance.settled_tokens = sums.settled_tokens;
         }
         self.pending.retain(|pending| pending.number > number);
     }
@@ -276,7 +277,7 @@
         }
     }
 
-    pub(super) fn is_worth_a_round(&self, now: Duration) -> bool {
+    pub(super) fn needs_round(&self, now: Duration) -> bool {
         if !self.is_listed() {
             return !self.is_stopping;
         }
@@ -287,30 +288,30 @@
             return true;
         }
         let is_settling = match self.role {
-            Role::Writer => self.has_estate_to_settle(now),
+            Role::Writer => self.has_orphaned_to_settle(now),
             // The orphaned entries of its predecessors are settled with its reports.
-            Role::Member => !self.is_out_of_patience(now),
+            Role::Member => !self.is_past_wait_limit(now),
         };
         if is_settling {
             return true;
         }
         self.prepaid_tokens.iter().any(|(account, prepaid)| {
-            let empty = Purse::default();
-            let purse = self.purses.get(account).unwrap_or(&empty);
-            let free = purse.free(purse.allowed_tokens);
-            let claim = self.demand_claim(now, purse);
+            let empty = Balance::default();
+            let balance = self.balances.get(account).unwrap_or(&empty);
+            let free = balance.free(balance.allowed_tokens);
+            let claim = self.demand_claim(now, balance);
             let need = self.need(account, claim);
             let target = self.target_tokens(&need);
             let change = free.abs_diff(target);
-            let is_change = change > target / WORTH_PART;
+            let is_change = change > target / WORTHWHILE_CHANGE_DIVISOR;
             let pool = self.overview.account(account).pool(*prepaid);
             let is_possible = target < free || pool > 0;
             let ahead = self.ahead_tokens(&need, target);
-            let below_ceiling = purse.free(purse.ceiling_tokens);
+            let below_ceiling = balance.free(balance.ceiling_tokens);
             let is_ceiling_near = below_ceiling < ahead.min(free) * 3 / 4;
             (is_change && is_possible && change > 0)
                 || is_ceiling_near
-                || purse.unsettled() > purse.granted() / WORTH_PART
+                || balance.unsettled() > balance.granted() / WORTHWHILE_CHANGE_DIVISOR
         })
     }
 
@@ -332,7 +333,7 @@
             let waited = now.saturating_sub(*received_at);
             let report = with_fleet_time(report.clone(), stamp, waited);
             settlements.extend(self.merge(&mut ledger, &mut totals, &report));
-            let of = Reported::of(&report);
+            let of = ReceiptScope::of(&report);
             reported.insert(report.instance, of);
         }
         let entry = ledger.holders.get(&self.identity.instance);
@@ -346,7 +347,7 @@
             number: own.number,
             expected_version: Some(expected_version),
             made_at: now,
-            pace: own.pace,
+            unlock_rate: own.unlock_rate,
             sums,
         });
         Round {
--- a/crates/damaskstile-escrow/src/holder/shortage.rs
+++ b/crates/damaskstile-escrow/src/holder/shortage.rs
@@ -4,26 +4,26 @@
 
 use super::Holder;
 use super::reports::Role;
-use crate::purse::Rank;
+use crate::balance::Rank;
 use crate::shortage::Shortage;
 
 impl Holder {
     /// Returns whether a call must leave the remaining tokens to more urgent calls of its account.
     /// Near its end a budget pays for many short urgent calls or for a few long ones that can wait.
-    pub(super) fn is_kept_for_urgent(
+    pub(super) fn is_reserved_for_urgent(
         &self,
         now: Duration,
         account: &str,
         tokens: u64,
         rank: Rank,
     ) -> bool {
-        let Some(purse) = self.purses.get(account) else {
+        let Some(balance) = self.balances.get(account) else {
             return false;
         };
-        if purse.is_urgent(rank) {
+        if balance.is_urgent(rank) {
             return false;
         }
-        let urgent = purse.urgent_demand.tokens_per_s(now)
+        let urgent = balance.urgent_demand.tokens_per_s(now)
             + self.overview.account(account).others_urgent_tokens_per_s;
         let kept = urgent.saturating_mul(self.options.urgent_horizon.as_secs());
         self.left_tokens(account) < kept.saturating_add(tokens)
@@ -39,8 +39,8 @@
     /// Returns whether no instance has as many tokens, according to a recently seen ledger. Then
     /// only another purchase helps, so a caller need not retry.
     pub(super) fn is_exhausted(&self, now: Duration, account: &str, tokens: u64) -> bool {
-        let purse = self.purses.get(account);
-        let own_reserved = purse.map_or(0, |purse| purse.reserved_tokens);
+        let balance = self.balances.get(account);
+        let own_reserved = balance.map_or(0, |balance| balance.reserved_tokens);
         let left = self.left_tokens(account).saturating_sub(own_reserved);
         self.is_ledger_recent(now) && tokens > left
     }
@@ -58,14 +58,14 @@
         if self.is_exhausted(now, account, tokens) {
             return Shortage::Exhausted;
         }
-        let purse = self.purses.get(account);
+        let balance = self.balances.get(account);
         // An unanswered write, or no store contact for longer than a round, indicates an isolation.
         let is_in_touch = match self.role {
             Role::Member => can_ask,
-            Role::Writer => !self.is_in_doubt && self.was_touched_lately(now),
+            Role::Writer => !self.is_in_doubt && self.had_recent_contact(now),
         };
         let prepaid = self.prepaid_tokens.get(account).copied().unwrap_or(0);
-        let held = purse.map_or(0, |purse| purse.free(purse.allowed_tokens));
+        let held = balance.map_or(0, |balance| balance.free(balance.allowed_tokens));
         let pool = self.overview.account(account).pool(prepaid);
         if is_in_touch && tokens <= held + pool {
             return Shortage::InStore;
--- a/crates/damaskstile-escrow/src/holder/gifts.rs
+++ b/crates/damaskstile-escrow/src/holder/transfers.rs
@@ -6,7 +6,7 @@
 
 /// Divisor of the free tokens that may be transferred at once. The sender's own callers come first,
 /// and a peer that needs more asks again.
-const GIFT_DIVISOR: u64 = 2;
+const TRANSFER_DIVISOR: u64 = 2;
 
 impl Holder {
     /// Transfers tokens out; returns how many. They count as used here from now on, so that a lost
@@ -21,12 +21,12 @@
     /// assert_eq!(holder.give(Duration::ZERO, "account", 100), 0);
     /// ```
     pub fn give(&mut self, now: Duration, account: &str, wanted_tokens: u64) -> u64 {
-        let spare = self.free_tokens(now, account) / GIFT_DIVISOR;
+        let spare = self.free_tokens(now, account) / TRANSFER_DIVISOR;
         if wanted_tokens == 0 || spare < wanted_tokens {
             return 0;
         }
-        if let Some(purse) = self.purses.get_mut(account) {
-            purse.add_used(wanted_tokens);
+        if let Some(balance) = self.balances.get_mut(account) {
+            balance.add_used(wanted_tokens);
         }
         wanted_tokens
     }
@@ -34,21 +34,23 @@
     /// Accepts tokens that a peer transferred. The host makes sure that no transfer is accepted
     /// twice.
     pub fn take(&mut self, account: &str, tokens: u64) {
-        let purse = self.purses.entry(account.to_owned()).or_default();
-        purse.gift_tokens += tokens;
+        let balance = self.balances.entry(account.to_owned()).or_default();
+        balance.transferred_tokens += tokens;
     }
 
     /// Takes all tokens that peers transferred and that are not needed here, so that they can be
     /// returned when the instance stops.
     pub fn take_back_gifts(&mut self) -> BTreeMap<AccountId, u64> {
-        let mut gifts = BTreeMap::new();
-        for (account, purse) in &mut self.purses {
-            let spare = purse.gift_tokens.saturating_sub(purse.reserved_tokens);
+        let mut transfers = BTreeMap::new();
+        for (account, balance) in &mut self.balances {
+            let spare = balance
+                .transferred_tokens
+                .saturating_sub(balance.reserved_tokens);
             if spare > 0 {
-                purse.gift_tokens -= spare;
-                gifts.insert(account.clone(), spare);
+                balance.transferred_tokens -= spare;
+                transfers.insert(account.clone(), spare);
             }
         }
-        gifts
+        transfers
     }
 }
--- a/crates/damaskstile-escrow/src/ledger.rs
+++ b/crates/damaskstile-escrow/src/ledger.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry::HolderEntry;
-use crate::pace::Unlocked;
+use crate::unlock_rate::Unlocked;
 
 /// Upper limit of the sum of all token numbers in a ledger. Far above all that is sold, and low
 /// enough that sums over a few ledgers cannot overflow.
 const SUM_TOKENS_MAX: u64 = 1 << 56;
 
 /// Largest age assumed for a stale copy of the store.
-const LOST_SPAN: Duration = Duration::from_secs(10);
+const STALE_COPY_AGE_MAX: Duration = Duration::from_secs(10);
 
 /// Records the tokens that are spent and what each instance may still spend.
 ///
@@ -30,7 +30,8 @@
     pub holders: BTreeMap<InstanceId, HolderEntry>,
     /// Orphaned entries: those of ended incarnations, kept until it is known what they can have
     /// spent.
-    pub estates: BTreeMap<String, HolderEntry>,
+    #[serde(rename = "estates")]
+    pub orphaned_entries: BTreeMap<String, HolderEntry>,
     /// History of the store in which the ledger was created or last rebuilt.
     #[serde(default, skip_serializing_if = "is_first_history")]
     pub history: History,
@@ -57,7 +58,7 @@
     pub fn granted(&self, account: &str) -> u64 {
         self.holders
             .values()
-            .chain(self.estates.values())
+            .chain(self.orphaned_entries.values())
             .filter_map(|holder| holder.grants_tokens.get(account))
             .sum()
     }
@@ -130,7 +131,7 @@
             self.holders.get(instance).is_some_and(|own| {
                 let is_succeeded = || {
                     other
-                        .estates
+                        .orphaned_entries
                         .contains_key(&writer_name(instance, own.incarnation))
                 };
                 if own.incarnation == entry.incarnation {
@@ -145,7 +146,7 @@
     }
 
     /// Returns the ledger as rebuilt in a history of the store.
-    pub(crate) fn begun_in(&self, history: History) -> Self {
+    pub(crate) fn rebuilt_in(&self, history: History) -> Self {
         Self {
             history,
             unconfirmed: self.holders.keys().cloned().collect(),
@@ -159,7 +160,9 @@
         for (account, prepaid) in prepaid_tokens {
             let demands = self.holders.values();
             let demands = demands.filter_map(|entry| entry.demand_tokens_per_s.get(account));
-            let lost = demands.sum::<u64>().saturating_mul(LOST_SPAN.as_secs());
+            let lost = demands
+                .sum::<u64>()
+                .saturating_mul(STALE_COPY_AGE_MAX.as_secs());
             let lost = lost.min(self.pool(account, *prepaid));
             self.settle(account, lost);
         }
@@ -176,14 +179,14 @@
     pub(crate) fn confirm_all(&mut self) {
         for instance in std::mem::take(&mut self.unconfirmed) {
             if let Some(entry) = self.holders.get_mut(&instance) {
-                entry.count_whole();
+                entry.raise_ceilings();
             }
         }
     }
 
     /// Adds up all numbers of tokens; `None` on overflow.
     fn sum_tokens(&self) -> Option<u64> {
-        let entries = self.holders.values().chain(self.estates.values());
+        let entries = self.holders.values().chain(self.orphaned_entries.values());
         entries
             .flat_map(HolderEntry::token_sums)
             .chain([&self.settled_tokens])
@@ -198,20 +201,20 @@
     }
 
     /// Moves the entry of an ended incarnation to the orphaned entries.
-    pub(crate) fn close(&mut self, instance: &str) {
+    pub(crate) fn orphan(&mut self, instance: &str) {
         if let Some(mut entry) = self.holders.remove(instance) {
             if self.unconfirmed.remove(instance) {
-                entry.count_whole();
+                entry.raise_ceilings();
             }
             let name = writer_name(instance, entry.incarnation);
-            self.estates.insert(name, entry);
+            self.orphaned_entries.insert(name, entry);
         }
     }
 
     /// Settles an orphaned entry: what it can have spent counts as spent, and the rest of its
     /// grants is free.
-    pub(crate) fn settle_estate(&mut self, name: &str, unlocked: Unlocked) {
-        if let Some(entry) = self.estates.remove(name) {
+    pub(crate) fn settle_orphaned(&mut self, name: &str, unlocked: Unlocked) {
+        if let Some(entry) = self.orphaned_entries.remove(name) {
             for account in entry.grants_tokens.keys() {
                 self.settle(account, entry.spent_bound(account, unlocked));
             }
--- a/crates/damaskstile-escrow/src/ledger_change.rs
+++ b/crates/damaskstile-escrow/src/ledger_change.rs
@@ -24,7 +24,8 @@
     /// Tokens that count as spent, by account.
     pub settled_tokens: BTreeMap<AccountId, u64>,
     /// Orphaned entries of ended incarnations.
-    pub estates: BTreeMap<String, HolderEntry>,
+    #[serde(rename = "estates")]
+    pub orphaned_entries: BTreeMap<String, HolderEntry>,
     /// History of the store in which the ledger was created or last rebuilt.
     #[serde(default, skip_serializing_if = "is_first_history")]
     pub history: History,
@@ -55,7 +56,7 @@
             instance: instance.to_owned(),
             entry: ledger.holders.get(instance)?.clone(),
             settled_tokens: ledger.settled_tokens.clone(),
-            estates: ledger.estates.clone(),
+            orphaned_entries: ledger.orphaned_entries.clone(),
             history: ledger.history,
             unconfirmed: ledger.unconfirmed.clone(),
         })
@@ -64,7 +65,7 @@
     pub(crate) fn apply(self, ledger: &mut Ledger) {
         ledger.catalogue_version = self.catalogue_version;
         ledger.settled_tokens = self.settled_tokens;
-        ledger.estates = self.estates;
+        ledger.orphaned_entries = self.orphaned_entries;
         ledger.history = self.history;
         ledger.unconfirmed = self.unconfirmed;
         ledger.holders.insert(self.instance, self.entry);
--- a/crates/damaskstile-escrow/src/lib.rs
+++ b/crates/damaskstile-escrow/src/lib.rs
@@ -5,6 +5,8 @@
 //! A [`Holder`] manages one instance's part: it reserves the worst-case cost of each call before
 //! the call is sent, and writes to the ledger conditionally on the version that it last read.
 
+pub mod account_totals;
+pub mod balance;
 pub mod claim;
 pub mod demand;
 pub mod entry;
@@ -13,17 +15,17 @@
 pub mod ledger_change;
 pub mod options;
 pub mod overview;
-pub mod pace;
-pub mod purse;
 pub mod receipt;
+pub mod receipt_scope;
 pub mod report;
-pub mod reported;
 pub mod settlement;
 pub mod shortage;
 pub mod stamp;
-pub mod standing;
 pub mod sums;
+pub mod unlock_rate;
 
+pub use account_totals::AccountTotals;
+pub use balance::Rank;
 pub use claim::Claim;
 pub use entry::HolderEntry;
 pub use holder::{Holder, Role, Round};
@@ -31,13 +33,11 @@
 pub use ledger_change::LedgerChange;
 pub use options::EscrowOptions;
 pub use overview::{AccountView, Overview};
-pub use pace::Pace;
-pub use purse::Rank;
 pub use receipt::{AccountReceipt, Receipt};
+pub use receipt_scope::ReceiptScope;
 pub use report::Report;
-pub use reported::Reported;
 pub use settlement::Settlement;
 pub use shortage::Shortage;
 pub use stamp::Stamp;
-pub use standing::Standing;
 pub use sums::Sums;
+pub use unlock_rate::UnlockRate;
--- a/crates/damaskstile-escrow/src/options.rs
+++ b/crates/damaskstile-escrow/src/options.rs
@@ -13,7 +13,7 @@
     pub small_fleet: u32,
     /// Factor by which the intervals between rounds are longer in a large fleet, in which one
     /// instance writes for all.
-    pub large_scale: u32,
+    pub large_interval_scale: u32,
     /// Time between two rounds while tokens are short in a large fleet. The ledger of 80 instances
     /// is about 50 KB, so ten writes a second take 4 Mbit/s.
     pub large_urgent_interval: Duration,
@@ -68,7 +68,7 @@
     pub clock_margin: Duration,
     /// Time for which a successor waits for the fleet clock before it writes its predecessor's
     /// grant off as spent.
-    pub estate_patience: Duration,
+    pub fleet_clock_wait_limit: Duration,
     /// Age beyond which the last seen ledger is no evidence of the tokens that other instances
     /// hold.
     pub evidence_age: Duration,
@@ -79,7 +79,7 @@
         Self {
             round_interval: Duration::from_secs(1),
             small_fleet: 16,
-            large_scale: 1,
+            large_interval_scale: 1,
             large_urgent_interval: Duration::from_millis(80),
             urgent_interval: Duration::from_millis(20),
             horizon: Duration::from_secs(12),
@@ -99,7 +99,7 @@
             unlock_span: Duration::from_millis(7_500),
             urgent_horizon: Duration::from_secs(8),
             clock_margin: Duration::from_millis(300),
-            estate_patience: Duration::from_secs(6),
+            fleet_clock_wait_limit: Duration::from_secs(6),
             evidence_age: Duration::from_secs(3),
         }
     }
--- a/crates/damaskstile-escrow/src/overview.rs
+++ b/crates/damaskstile-escrow/src/overview.rs
@@ -49,7 +49,11 @@
         for (account, settled) in &ledger.settled_tokens {
             with(account, &|view| view.settled_tokens += settled);
         }
-        for entry in ledger.holders.values().chain(ledger.estates.values()) {
+        for entry in ledger
+            .holders
+            .values()
+            .chain(ledger.orphaned_entries.values())
+        {
             for (account, grant) in &entry.grants_tokens {
                 with(account, &|view| view.granted_tokens += grant);
             }
--- a/crates/damaskstile-escrow/src/receipt.rs
+++ b/crates/damaskstile-escrow/src/receipt.rs
@@ -27,12 +27,12 @@
 impl Receipt {
     /// Returns the demand of the instance's predecessor in tokens per second, by account, and the
     /// part of its most urgent calls.
-    pub(crate) fn left_demands(&self) -> Vec<(AccountId, u64, u64)> {
+    pub(crate) fn predecessor_demands(&self) -> Vec<(AccountId, u64, u64)> {
         let left = self.accounts.iter();
-        let left = left.filter(|(_, receipt)| receipt.left_tokens_per_s > 0);
+        let left = left.filter(|(_, receipt)| receipt.predecessor_tokens_per_s > 0);
         left.map(|(account, receipt)| {
-            let urgent = receipt.left_urgent_tokens_per_s;
-            (account.clone(), receipt.left_tokens_per_s, urgent)
+            let urgent = receipt.predecessor_urgent_tokens_per_s;
+            (account.clone(), receipt.predecessor_tokens_per_s, urgent)
         })
         .collect()
     }
@@ -59,8 +59,8 @@
     /// Demand of the instance's predecessor in tokens per second, while the ledger still lists the
     /// predecessor; 0 afterwards.
     #[prost(uint64, tag = "6")]
-    pub left_tokens_per_s: u64,
+    pub predecessor_tokens_per_s: u64,
     /// Part of that demand that comes from its most urgent calls.
     #[prost(uint64, tag = "7")]
-    pub left_urgent_tokens_per_s: u64,
+    pub predecessor_urgent_tokens_per_s: u64,
 }
--- a/crates/damaskstile-escrow/src/reported.rs
+++ b/crates/damaskstile-escrow/src/receipt_scope.rs
@@ -6,7 +6,7 @@
 
 /// Recipient and scope of a receipt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reported {
+pub struct ReceiptScope {
     /// Address of the instance that reported.
     pub address: String,
     /// Its incarnation.
@@ -16,12 +16,12 @@
     pub accounts: Option<Vec<AccountId>>,
 }
 
-impl Reported {
+impl ReceiptScope {
     /// Returns the recipient and scope of the receipt for a report.
     ///
     /// ```
-    /// use damaskstile_escrow::{Report, Reported};
-    /// assert_eq!(Reported::of(&Report::default()).accounts, None);
+    /// use damaskstile_escrow::{ReceiptScope, Report};
+    /// assert_eq!(ReceiptScope::of(&Report::default()).accounts, None);
     /// ```
     #[must_use]
     pub fn of(report: &Report) -> Self {
--- a/crates/damaskstile-escrow/src/report.rs
+++ b/crates/damaskstile-escrow/src/report.rs
@@ -3,8 +3,8 @@
 use damaskstile_core::prelude::*;
 
 use crate::claim::Claim;
-use crate::pace::Pace;
 use crate::stamp::Stamp;
+use crate::unlock_rate::UnlockRate;
 
 /// Request of an instance to change its entry in the ledger, entered by itself or by a peer.
 ///
@@ -35,10 +35,10 @@
     /// Whether the sender has stopped waiting for the fleet clock to settle the orphaned entries of
     /// its earlier incarnations.
     #[prost(bool, tag = "7")]
-    pub is_out_of_patience: bool,
+    pub is_past_wait_limit: bool,
     /// Rate at which the sender unlocks its grants.
     #[prost(message, required, tag = "8")]
-    pub pace: Pace,
+    pub unlock_rate: UnlockRate,
     /// Address for messages from peers.
     #[prost(string, tag = "9")]
     pub address: String,
--- a/crates/damaskstile-escrow/src/pace.rs
+++ b/crates/damaskstile-escrow/src/unlock_rate.rs
@@ -6,7 +6,7 @@
 /// Rate at which the grant of an isolated holder is unlocked beyond its ceiling.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Pace {
+pub struct UnlockRate {
     /// Time after the write that gave the grant at which unlocking starts, in milliseconds.
     #[prost(uint64, tag = "1")]
     pub after_ms: u64,
@@ -15,14 +15,14 @@
     pub span_ms: u64,
 }
 
-impl Pace {
+impl UnlockRate {
     /// Returns the part that is unlocked at a time after the write that gave the grant.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use damaskstile_escrow::Pace;
-    /// let pace = Pace { after_ms: 2_000, span_ms: 4_000 };
-    /// let after = |ms| pace.unlocked(Duration::from_millis(ms));
+    /// use damaskstile_escrow::UnlockRate;
+    /// let unlock_rate = UnlockRate { after_ms: 2_000, span_ms: 4_000 };
+    /// let after = |ms| unlock_rate.unlocked(Duration::from_millis(ms));
     /// assert_eq!(after(2_000).of(100, 300), 100);
     /// assert_eq!(after(4_000).of(100, 300), 200);
     /// assert_eq!(after(9_000).of(100, 300), 300);
--- a/crates/damaskstile-escrow/tests/holder.rs
+++ b/crates/damaskstile-escrow/tests/holder.rs
@@ -1,4 +1,4 @@
-//! Where tokens stand, what a shortage is called, and what becomes of writes in doubt.
+//! How a holder divides tokens, classifies shortages and handles writes in doubt.
 
 mod support;
 
@@ -8,7 +8,7 @@
 
 const ACCOUNT: &str = "a";
 const PREPAID_TOKENS: u64 = 1_000_000;
-/// Part that stays in the store, as the options have it.
+/// Default of `EscrowOptions::reserve_percent`.
 const RESERVE_PERCENT: u64 = 15;
 
 fn holder(instance: &str, incarnation: u64) -> Holder {
@@ -18,7 +18,7 @@
     holder
 }
 
-/// Makes the stamp of a machine that lost power and started again.
+/// Returns the stamp of a machine that lost power and restarted.
 fn stamp_after_power_loss(ms: u64) -> Stamp {
     Stamp {
         boot_ms: 77,
@@ -30,7 +30,7 @@
     holder.next_round(at(ms), &stamp(ms))
 }
 
-/// Makes a holder whose first write took effect as version 1.
+/// Returns a holder whose first write took effect as version 1.
 fn started(instance: &str) -> (Holder, Round) {
     let mut holder = holder(instance, 1);
     holder.observe(at(0), 0, Ledger::default());
@@ -49,9 +49,9 @@
 
 #[test]
 fn a_write_in_doubt_never_leaves_more_than_either_outcome() {
-    // Symptom: an account gets more than it bought. Sequence: a write that lowers a grant takes
-    // effect, its answer is lost, and the instance goes on with the larger grant while another
-    // takes the difference. Cause: no answer was taken for no effect.
+    // Guards against overspending: a write that lowers a grant takes effect and its answer is lost.
+    // If the instance took no answer for no effect, it would keep the larger grant while another
+    // instance takes the difference.
 
     // Arrange
     let (mut holder, _) = started("one");
@@ -71,9 +71,10 @@
 }
 
 #[test]
-fn an_isolated_instance_comes_to_its_whole_grant() {
-    // Symptom: an account that is bound to one instance is refused all through an isolation
-    // although that instance holds its tokens. Cause: only what lies below the ceiling is spent.
+fn an_isolated_instance_unlocks_its_whole_grant() {
+    // Guards against an isolated instance that spends only up to its ceiling: an account whose
+    // calls all go to one instance would be refused throughout the isolation, although that
+    // instance holds its tokens.
 
     // Arrange
     let (mut holder, _) = started("one");
@@ -94,14 +95,14 @@
 }
 
 #[test]
-fn a_late_write_is_recognised_and_an_outdated_one_is_forgotten() {
+fn a_write_in_doubt_is_dropped_once_another_write_took_effect() {
     // Arrange
     let (mut holder, first) = started("one");
     holder.note_demand(at(100), ACCOUNT, 10, 0);
     let round = next_round(&mut holder, 2_000).unwrap();
     holder.in_doubt();
 
-    // Act: another instance wrote first, so the write in doubt can never take effect.
+    // Act: another instance wrote first, so the write in doubt can no longer take effect.
     let mut other = first.ledger.clone();
     other.catalogue_version = 1;
     holder.observe(at(3_000), 2, other);
@@ -112,7 +113,8 @@
     assert!(next_round(&mut holder, 3_050).is_some_and(|next| next.number > round.number));
 }
 
-/// Makes a successor that starts at a time and sees its predecessor's last write.
+/// Starts a successor at a given time, shows it its predecessor's last write and returns the ledger
+/// that it writes.
 fn successor_settles(round: &Round, ms: u64, stamp: &Stamp) -> Ledger {
     let mut successor = holder("one", 2);
     successor.observe(at(ms), 2, round.ledger.clone());
@@ -120,7 +122,7 @@
     next.ledger
 }
 
-/// Makes the last write of an instance that has demand, with a ceiling below its grant.
+/// Returns the last write of an instance with demand; its ceiling is below its grant.
 fn last_write() -> Round {
     let (mut holder, _) = started("one");
     holder.note_demand(at(100), ACCOUNT, 400_000, 0);
@@ -129,8 +131,8 @@
 
 #[test]
 fn a_successor_gets_back_what_its_predecessor_cannot_have_spent() {
-    // Symptom: after all instances restarted, accounts with money left are refused. Cause: all
-    // that was granted to the ended incarnations counted as spent.
+    // Guards against counting all grants of ended incarnations as spent: after a restart of all
+    // instances, accounts with tokens left would be refused.
 
     // Arrange
     let round = last_write();
@@ -138,20 +140,20 @@
 
     // Act
     let killed = successor_settles(&round, 2_300, &stamp(2_300));
-    let powered_off = successor_settles(&round, 2_300, &stamp_after_power_loss(2_300));
+    let after_power_loss = successor_settles(&round, 2_300, &stamp_after_power_loss(2_300));
 
     // Assert
     let ceiling = entry.ceilings_tokens[ACCOUNT];
     assert!(ceiling < entry.grants_tokens[ACCOUNT]);
     assert_eq!(killed.settled(ACCOUNT), ceiling);
-    assert_eq!(powered_off.settled(ACCOUNT), ceiling);
+    assert_eq!(after_power_loss.settled(ACCOUNT), ceiling);
 }
 
 #[test]
-fn a_successor_that_cannot_tell_the_time_gets_nothing_back() {
-    // Symptom: an account gets more than it bought. Sequence: an instance is isolated for long,
-    // spends its whole grant and loses power; its successor takes the rest beyond the ceiling
-    // back. Cause: nothing bounded the time that the instance was alone.
+fn a_successor_without_a_usable_clock_gets_nothing_back() {
+    // Guards against overspending: an instance is isolated for long, spends its whole grant and
+    // loses power. If nothing bounds the time that it was alone, its successor must not take back
+    // the part beyond the ceiling.
 
     // Arrange
     let round = last_write();
@@ -171,26 +173,27 @@
 }
 
 #[test]
-fn a_shortage_is_final_only_where_no_instance_can_have_the_tokens() {
+fn a_shortage_is_final_only_if_no_instance_can_have_the_tokens() {
     // Arrange
     let (mut holder, _) = started("one");
     let free = holder.free_tokens(at(60_000), ACCOUNT);
 
     // Act and assert
-    let ask = |holder: &mut Holder, now, tokens| holder.try_reserve(at(now), ACCOUNT, tokens, 0);
+    let reserve =
+        |holder: &mut Holder, now, tokens| holder.try_reserve(at(now), ACCOUNT, tokens, 0);
     assert_eq!(
-        ask(&mut holder, 10, PREPAID_TOKENS + 1),
+        reserve(&mut holder, 10, PREPAID_TOKENS + 1),
         Err(Shortage::Exhausted)
     );
-    assert_eq!(ask(&mut holder, 10, free + 1), Err(Shortage::InStore));
+    assert_eq!(reserve(&mut holder, 10, free + 1), Err(Shortage::InStore));
     assert_eq!(
-        ask(&mut holder, 60_000, PREPAID_TOKENS + 1),
+        reserve(&mut holder, 60_000, PREPAID_TOKENS + 1),
         Err(Shortage::Elsewhere)
     );
 }
 
 #[test]
-fn a_stopped_instance_hands_back_all_but_what_runs() {
+fn a_stopped_instance_hands_back_all_but_reservations_in_use() {
     // Arrange
     let (mut holder, _) = started("one");
     holder.try_reserve(at(10), ACCOUNT, 500, 0).unwrap();
@@ -213,10 +216,10 @@
 
 #[test]
 fn the_last_tokens_go_to_the_most_urgent_calls() {
-    // Symptom: after a loss of power an account's short questions are refused for the rest of its
-    // time, although a tenth of its tokens would pay for all of them. Sequence: long revisions
-    // that could wait take what is left. Cause: whoever came first got the last tokens.
-    // The load is that of short questions of 1,000 tokens beside revisions of 9,000.
+    // Guards against serving calls in order of arrival: long revisions that could wait would take
+    // what is left after a loss of power, and short questions would be refused for the rest of the
+    // account's time, although a tenth of the tokens would pay for all of them. The load is that of
+    // short questions of 1,000 tokens beside revisions of 9,000.
 
     // Arrange
     let (mut holder, _) = started("one");
@@ -231,17 +234,17 @@
     let urgent = holder.try_reserve(at(4_010), ACCOUNT, 9_000, 0);
     let other = holder.try_reserve(at(4_010), ACCOUNT, 9_000, 1);
 
-    // Assert: 300,000 tokens a second of urgent demand for 8 s are more than what is left.
+    // Assert: 8 s of urgent demand at 300,000 tokens per second exceed the remaining tokens.
     assert_eq!(urgent, Ok(()));
     assert_eq!(other, Err(Shortage::Reserved));
 }
 
 #[test]
-fn a_call_that_no_tokens_are_left_for_is_told_so_though_some_are_kept_for_others() {
-    // Symptom: callers come back again and again and are refused each time. Sequence: an account
-    // is spent but for a few hundred tokens; a large call that is not among its most urgent is
-    // told to come back, since what is left is kept. Cause: whether tokens are kept was asked
-    // before whether any are left.
+fn exhaustion_takes_precedence_over_reservation_for_urgent_calls() {
+    // Guards against callers that retry in vain: an account has a few hundred tokens left, and a
+    // large call that is not among its most urgent must be told that they do not suffice, instead
+    // of being told to retry because they are reserved. Exhaustion must be checked before
+    // reservation.
 
     // Arrange: an isolated instance has spent its whole grant and then sees the ledger again.
     let (mut holder, round) = started("one");
@@ -262,13 +265,13 @@
 }
 
 #[test]
-fn a_successor_keeps_the_last_tokens_for_urgent_calls_from_its_first_call_on() {
-    // Symptom: of the requests that come 12 s after all instances were killed, fewer than a quarter
-    // are served. Sequence: an isolation and then the kill leave little of each budget; the first
-    // calls to come, long ones among them, take it at once. Cause: a successor knew nothing of what
-    // was asked for before, so any first call counted as the most urgent, and any rest as plenty.
+fn a_successor_reserves_the_last_tokens_for_urgent_calls_at_once() {
+    // Guards against a successor that does not know the earlier demand: fewer than a quarter of the
+    // requests that came 12 s after all instances were killed were served. An isolation and the
+    // kill had left little of each budget. Any first call counted as the most urgent and any rest
+    // as plenty, so the first calls, long ones among them, took it at once.
 
-    // Arrange: a predecessor whose urgent calls ask for all that is left in eight seconds.
+    // Arrange: a predecessor whose urgent calls request all remaining tokens within eight seconds.
     let (mut before, _) = started("one");
     for call in 0..40 {
         before.note_demand(at(call * 100), ACCOUNT, 30_000, 0);
@@ -284,41 +287,45 @@
     after.note_demand(at(9_020), ACCOUNT, 9_000, 0);
     let urgent = after.try_reserve(at(9_020), ACCOUNT, 9_000, 0);
 
-    // Assert: the urgent call waits for the tokens that its store has.
+    // Assert: the urgent call waits for the tokens in the store.
     assert_eq!(other, Err(Shortage::Reserved));
     assert_eq!(urgent, Err(Shortage::InStore));
 }
 
 #[test]
-fn tokens_that_were_handed_over_are_gone_here_and_spent_first_there() {
-    // Symptom: an account gets more than it bought. Cause: giver and taker spend the same tokens.
+fn transferred_tokens_leave_the_sender_and_are_spent_first() {
+    // Guards against overspending: sender and receiver of a transfer must not spend the same
+    // tokens.
 
     // Arrange
-    let (mut giver, _) = started("one");
-    let mut taker = holder("two", 1);
-    let before = giver.free_tokens(at(10), ACCOUNT);
+    let (mut sender, _) = started("one");
+    let mut receiver = holder("two", 1);
+    let before = sender.free_tokens(at(10), ACCOUNT);
 
     // Act
-    let gift = giver.give(at(10), ACCOUNT, before / 2);
-    taker.take(ACCOUNT, gift);
-    taker.try_reserve(at(10), ACCOUNT, gift, 0).unwrap();
-    taker.release(ACCOUNT, gift, gift);
+    let transferred = sender.give(at(10), ACCOUNT, before / 2);
+    receiver.take(ACCOUNT, transferred);
+    receiver
+        .try_reserve(at(10), ACCOUNT, transferred, 0)
+        .unwrap();
+    receiver.release(ACCOUNT, transferred, transferred);
 
     // Assert
-    assert_eq!(gift, before / 2);
-    assert_eq!(giver.free_tokens(at(10), ACCOUNT), before - gift);
-    assert_eq!(taker.free_tokens(at(10), ACCOUNT), 0);
-    // What the taker spent was the giver's, so it settles nothing of its own.
-    taker.observe(at(20), 0, Ledger::default());
-    let round = next_round(&mut taker, 20).unwrap();
+    assert_eq!(transferred, before / 2);
+    assert_eq!(sender.free_tokens(at(10), ACCOUNT), before - transferred);
+    assert_eq!(receiver.free_tokens(at(10), ACCOUNT), 0);
+    // The receiver spent the sender's tokens, so it settles nothing itself.
+    receiver.observe(at(20), 0, Ledger::default());
+    let round = next_round(&mut receiver, 20).unwrap();
     assert_eq!(round.ledger.settled(ACCOUNT), 0);
 }
 
 #[test]
-fn an_ended_incarnation_is_settled_by_its_own_pace_with_room_for_the_clocks_error() {
-    // Symptom: an account gets more than it bought. Sequence: an instance in a small fleet is
-    // isolated and dies; its successor starts in a larger one, where isolated instances wait
-    // longer. Cause: the successor goes by its own pace, or takes the clocks for exact.
+fn settling_uses_the_stored_unlock_rate_and_the_clock_margin() {
+    // Guards against overspending: an instance in a small fleet is isolated and ends, and its
+    // successor starts in a larger fleet, where isolated instances wait longer. The successor must
+    // settle with the unlock rate stored with the grant, and must allow for the error of the
+    // clocks.
 
     // Arrange
     let round = last_write();
@@ -329,7 +336,7 @@
         let other = damaskstile_escrow::HolderEntry::default();
         crowded.ledger.holders.insert(format!("i{index}"), other);
     }
-    // The write was made at 1,500 ms. The grant is unlocked from 1,200 ms after it on.
+    // The write was made at 1,500 ms. The grant is unlocked from 1,200 ms after it.
     let since_ms = 4_000;
     let margin_ms = 300;
 
@@ -344,10 +351,10 @@
 }
 
 #[test]
-fn a_boot_clock_that_began_anew_proves_nothing() {
-    // Symptom: an account gets more than it bought. Sequence: an instance writes soon after its
-    // machine started, is isolated for long, loses power, and its successor starts when the new
-    // boot clock shows a little more. Cause: readings of two runs were taken for one.
+fn a_reset_boot_clock_bounds_no_time() {
+    // Guards against overspending: an instance writes soon after its machine started, is isolated
+    // for long and loses power, and its successor starts when the new boot clock shows slightly
+    // more. Readings of different boots must not be compared.
 
     // Arrange
     let before = stamp(1_000);
@@ -362,9 +369,8 @@
 
 #[test]
 fn an_instance_with_an_older_catalogue_grants_itself_nothing() {
-    // Symptom: an account whose sum was lowered gets more than it has. Sequence: one instance
-    // knows the new sum, another was cut off and still has the old one. Cause: whoever writes
-    // goes by the sum that it knows.
+    // Guards against overspending: a prepaid amount was lowered, and an instance that was cut off
+    // still has the old one. It must not write with it.
 
     // Arrange
     let (_, round) = started("one");
@@ -378,3 +384,37 @@
     // Assert
     assert_eq!(next_round(&mut behind, 100), None);
 }
+
+#[test]
+fn the_stored_ledger_keeps_its_field_names() {
+    // Guards against renamed fields in stored data, which instances of other versions refuse.
+
+    // Act
+    let (_, round) = started("one");
+    let ledger = serde_json::to_value(&round.ledger).unwrap();
+
+    // Assert
+    let names = |value: &serde_json::Value| -> Vec<String> {
+        value.as_object().unwrap().keys().cloned().collect()
+    };
+    assert_eq!(
+        names(&ledger),
+        ["catalogue_version", "estates", "holders", "settled_tokens"]
+    );
+    assert_eq!(
+        names(&ledger["holders"]["one"]),
+        [
+            "address",
+            "ceilings_tokens",
+            "data_centre",
+            "demand_tokens_per_s",
+            "grants_tokens",
+            "incarnation",
+            "pace",
+            "round",
+            "settled_tokens",
+            "stamp",
+            "urgent_tokens_per_s"
+        ]
+    );
+}
--- a/crates/damaskstile-escrow/tests/reports.rs
+++ b/crates/damaskstile-escrow/tests/reports.rs
@@ -1,16 +1,18 @@
-//! In a large fleet one instance writes to the ledger, and the others report to it.
+//! Reports of members to the one writer of a large fleet.
 
 mod support;
 
 use damaskstile_core::prelude::*;
-use damaskstile_escrow::{EscrowOptions, Holder, Ledger, Report, Reported, Role, Shortage, Stamp};
+use damaskstile_escrow::{
+    EscrowOptions, Holder, Ledger, ReceiptScope, Report, Role, Shortage, Stamp,
+};
 use support::{at, stamp};
 
-/// Instances of a grown deployment of today.
+/// Instances of a medium-sized deployment.
 const INSTANCES: usize = 73;
 const ACCOUNT: &str = "a";
 const PREPAID_TOKENS: u64 = 10_000_000;
-/// Worst case of a long call.
+/// Worst-case cost of a long call.
 const CALL_TOKENS: u64 = 9_200;
 
 fn holder(instance: &str, incarnation: u64) -> Holder {
@@ -20,7 +22,8 @@
     holder
 }
 
-/// Makes the stamp of a machine that lost power and hears too few peers to know the fleet's time.
+/// Returns the stamp of a machine that lost power and hears from too few peers to know the fleet
+/// clock.
 fn stamp_of_a_fresh_machine(ms: u64) -> Stamp {
     Stamp {
         boot_ms: 5,
@@ -30,7 +33,7 @@
     }
 }
 
-/// `Fleet` is a writer and members whose messages all arrive.
+/// A writer and members whose messages all arrive.
 struct Fleet {
     writer: Holder,
     members: BTreeMap<InstanceId, Holder>,
@@ -60,7 +63,7 @@
         fleet
     }
 
-    /// Has all members report, and the writer enter the reports.
+    /// Lets all members report and the writer enter the reports.
     fn round(&mut self, ms: u64) {
         for member in self.members.values_mut() {
             if let Some(report) = member.next_report(at(ms), &stamp(ms)) {
@@ -93,15 +96,15 @@
     holder.set_role(Role::Member);
 }
 
-fn ask(holder: &mut Holder, ms: u64) -> Result<(), Shortage> {
+fn reserve_call(holder: &mut Holder, ms: u64) -> Result<(), Shortage> {
     holder.note_demand(at(ms), ACCOUNT, CALL_TOKENS, 0);
     holder.try_reserve(at(ms), ACCOUNT, CALL_TOKENS, 0)
 }
 
 #[test]
 fn one_write_serves_all_instances() {
-    // Symptom: 20,000 calls to the store on a day of 81 instances, and nearly every write is
-    // refused, since another came first. Cause: all instances write to one object.
+    // Guards against all instances writing to one object: with 81 instances this took 20,000 store
+    // calls a day, and nearly every write was refused because another one came first.
 
     // Arrange
     let mut fleet = Fleet::new(INSTANCES - 1);
@@ -110,9 +113,9 @@
     fleet.round(1_100);
     fleet.round(2_200);
 
-    // Act: every instance gets its first call, and lacks the tokens for it.
+    // Act: every instance receives its first call and lacks the tokens for it.
     for member in fleet.members.values_mut() {
-        assert_eq!(ask(member, 3_200), Err(Shortage::InStore));
+        assert_eq!(reserve_call(member, 3_200), Err(Shortage::InStore));
     }
     let writes = fleet.writes;
     fleet.round(3_300);
@@ -120,15 +123,15 @@
     // Assert
     assert_eq!(fleet.writes, writes + 1);
     for member in fleet.members.values_mut() {
-        assert_eq!(ask(member, 3_310), Ok(()));
+        assert_eq!(reserve_call(member, 3_310), Ok(()));
     }
     assert!(fleet.writer.ledger().granted(ACCOUNT) <= PREPAID_TOKENS);
 }
 
 #[test]
-fn an_isolated_member_comes_to_its_whole_grant_and_reports_nothing_new() {
-    // Symptom: members that are isolated spend no more than what lies below their ceilings.
-    // Cause: each new report begins the unlocking anew.
+fn an_isolated_member_unlocks_its_whole_grant_without_new_reports() {
+    // Guards against restarting the unlocking with each new report: isolated members would spend
+    // only up to their ceilings.
 
     // Arrange
     let mut fleet = Fleet::new(INSTANCES - 1);
@@ -138,7 +141,7 @@
     fleet.round(1_100);
     let writer_grant = fleet.writer.ledger().holders["m03"].grants_tokens[ACCOUNT];
 
-    // Act: nothing arrives any more, while calls go on.
+    // Act: no messages arrive any more, while calls continue.
     let member = fleet.member(3);
     let mut reports = BTreeSet::new();
     for ms in (1_200..20_000).step_by(100) {
@@ -154,15 +157,15 @@
 }
 
 #[test]
-fn a_report_of_an_ended_incarnation_that_arrives_late_changes_nothing() {
-    // Symptom: an account gets more than it bought. Sequence: a process dies, its successor is
-    // listed, and then its last report arrives. Cause: the report replaced the successor's part
-    // of the ledger, which it goes on spending.
+fn a_late_report_of_an_ended_incarnation_changes_nothing() {
+    // Guards against overspending: a process ends, its successor is listed, and then the last
+    // report of the ended process arrives. It must not replace the successor's entry, which the
+    // successor continues to spend from.
 
     // Arrange
     let mut fleet = Fleet::new(20);
     fleet.round(0);
-    let _ = ask(fleet.member(0), 900);
+    let _ = reserve_call(fleet.member(0), 900);
     let late = fleet.member(0).next_report(at(1_100), &stamp(1_100));
     let mut successor = holder("m00", 2);
     successor.observe(at(1_200), fleet.version, fleet.writer.ledger().clone());
@@ -184,14 +187,14 @@
 
 #[test]
 fn what_members_held_comes_back_after_all_lost_power() {
-    // Symptom: after all lost power, a quarter of the calls is served. Sequence: most instances
-    // have their tokens as gifts of a few; a gift counts as spent by its giver, so all that was
-    // handed out is lost. Cause: the ledger knew nothing of what members held.
+    // Guards against the loss of members' tokens in a power failure: if the ledger knows nothing of
+    // what members hold, most instances have their tokens by transfer from a few. Transfers count
+    // as spent by their senders, so all of them were lost, and a quarter of the calls was served.
 
     // Arrange
     let mut fleet = Fleet::new(INSTANCES - 1);
     fleet.round(0);
-    // So many calls that each member holds tokens itself.
+    // Enough calls for each member to hold tokens itself.
     for member in fleet.members.values_mut() {
         (0..9).for_each(|_| member.note_demand(at(900), ACCOUNT, CALL_TOKENS, 0));
     }
@@ -199,7 +202,7 @@
     let before = fleet.writer.ledger().clone();
     let granted = before.granted(ACCOUNT);
 
-    // Act: all start again; only the writer hears enough peers to know the fleet's time.
+    // Act: all instances restart; only the writer hears from enough peers to know the fleet clock.
     let mut writer = holder("writer", 2);
     writer.observe(at(2_600), fleet.version, before.clone());
     for index in 0..INSTANCES - 1 {
@@ -217,7 +220,7 @@
 
     // Assert
     let lost = round.ledger.settled(ACCOUNT);
-    assert!(round.ledger.estates.is_empty());
+    assert!(round.ledger.orphaned_entries.is_empty());
     assert_eq!(round.settlements.len(), INSTANCES);
     assert!(lost > 0 && lost < granted / 2, "{lost} of {granted}");
 }
@@ -242,7 +245,7 @@
 }
 
 #[test]
-fn a_report_without_an_answer_is_sent_again_as_it_was() {
+fn an_unanswered_report_is_resent_unchanged() {
     // Arrange
     let mut fleet = Fleet::new(INSTANCES - 1);
     let member = fleet.member(0);
@@ -260,8 +263,8 @@
     assert_eq!(again, first);
 }
 
-/// Makes a fleet in which the first member holds most of the account's tokens, for a demand that
-/// ends then.
+/// Returns a fleet whose first member holds most of the account's tokens, for a demand that then
+/// ends.
 fn fleet_with_a_rich_member() -> Fleet {
     let mut fleet = Fleet::new(20);
     fleet.round(0);
@@ -271,7 +274,7 @@
     fleet
 }
 
-/// Has another member take what is there of the account's tokens.
+/// Lets another member take the remaining tokens of the account.
 fn another_member_takes_the_rest(fleet: &mut Fleet, ms: u64) {
     let member = fleet.member(1);
     (0..220).for_each(|_| member.note_demand(at(ms), ACCOUNT, CALL_TOKENS, 0));
@@ -280,8 +283,9 @@
     fleet.write(ms + 1_100);
 }
 
-/// Has the first member lack tokens, so that it reports although it has no answer yet.
-fn report_of_a_lack(fleet: &mut Fleet, ms: u64) -> Report {
+/// Makes the first member short of tokens, so that it reports although its last report has no
+/// answer yet.
+fn report_of_a_shortage(fleet: &mut Fleet, ms: u64) -> Report {
     let member = fleet.member(0);
     let tokens = member.free_tokens(at(ms), ACCOUNT) + 1_000;
     assert_eq!(
@@ -297,10 +301,10 @@
 }
 
 #[test]
-fn a_report_that_a_later_one_overtook_changes_nothing() {
-    // Symptom: an account gets more than it bought. Sequence: a report is held up, the next one
-    // gives tokens up, another instance takes them, and then the first report arrives, in which
-    // they were kept. Cause: reports were entered in the order in which they came.
+fn a_report_overtaken_by_a_later_one_changes_nothing() {
+    // Guards against overspending: a report is delayed, the next one gives up tokens, another
+    // instance takes them, and then the first report arrives, which still keeps them. Reports must
+    // not be entered in order of arrival.
 
     // Arrange
     let mut fleet = fleet_with_a_rich_member();
@@ -308,7 +312,7 @@
         .member(0)
         .next_report(at(2_200), &stamp(2_200))
         .unwrap();
-    let later = report_of_a_lack(&mut fleet, 4_400);
+    let later = report_of_a_shortage(&mut fleet, 4_400);
     assert!(later.claims[ACCOUNT].kept_tokens < held_up.claims[ACCOUNT].kept_tokens);
     let number = later.number;
     assert!(fleet.writer.take_report(at(4_410), later).is_none());
@@ -325,10 +329,10 @@
 }
 
 #[test]
-fn a_report_keeps_no_more_than_one_before_it_that_has_no_answer() {
-    // Symptom: an account gets more than it bought. Sequence: a report gives tokens up and is
-    // entered, its receipt gets lost, another instance takes the tokens, and the next report
-    // keeps them. Cause: a member went by the last receipt alone.
+fn a_report_keeps_no_more_than_an_earlier_unanswered_one() {
+    // Guards against overspending: a report gives up tokens and is entered, its receipt is lost,
+    // another instance takes the tokens, and the next report keeps them. A member must not rely on
+    // the last receipt alone.
 
     // Arrange
     let mut fleet = fleet_with_a_rich_member();
@@ -346,7 +350,7 @@
     // Act
     let member = fleet.member(0);
     (0..400).for_each(|_| member.note_demand(at(9_300), ACCOUNT, CALL_TOKENS, 0));
-    let second = report_of_a_lack(&mut fleet, 9_400);
+    let second = report_of_a_shortage(&mut fleet, 9_400);
     assert!(fleet.writer.take_report(at(9_410), second).is_none());
     fleet.write(10_300);
 
@@ -354,7 +358,7 @@
     assert!(is_within_what_was_bought(&fleet));
 }
 
-/// Returns what a member of a fleet holds that sees a few calls of the account.
+/// Returns what a member that sees a few calls of the account holds.
 fn held_with_few_calls(lends: bool) -> u64 {
     let mut fleet = Fleet::new(INSTANCES - 1);
     fleet.round(0);
@@ -370,22 +374,24 @@
 }
 
 #[test]
-fn an_instance_that_sees_few_calls_of_an_account_holds_nothing_unless_it_lends() {
-    // Symptom: with 295 instances and 40 accounts the ledger has 600 KB. All read it at once after
-    // an outage, which takes 1.4 s of a link of 1,000 Mbit/s, and none of them is done in time.
-    // Cause: each instance had a line for nearly every account, for a call in ten seconds or more.
+fn an_instance_with_few_calls_holds_nothing_unless_it_lends() {
+    // Guards against a ledger with an item for nearly every account at each instance. With 295
+    // instances and 40 accounts it had 600 KB for accounts with one call in ten seconds or more per
+    // instance. All instances read it at once after an outage, which took 1.4 s of a 1,000 Mbit/s
+    // link, and none of them finished in time.
 
     // Act
     let held = held_with_few_calls(false);
     let lent = held_with_few_calls(true);
 
-    // Assert: a lender holds some calls' tokens, so that those who ask need not wait for the store.
+    // Assert: a lender holds the tokens of some calls, so that borrowers need not wait for the
+    // store.
     assert_eq!(held, 0);
     assert!(lent >= 2 * CALL_TOKENS, "{lent}");
 }
 
 #[test]
-fn the_ledger_of_a_large_fleet_is_small_enough_for_all_to_read_at_once() {
+fn the_ledger_of_a_large_fleet_is_small_enough_to_read_at_once() {
     // Arrange: 295 instances, 40 accounts, and a call of each account at each instance.
     let accounts: Vec<String> = (0..40).map(|index| format!("account{index:03}")).collect();
     let prepaid: BTreeMap<String, u64> = accounts
@@ -413,7 +419,7 @@
     }
     fleet.round(2_300);
 
-    // Assert: 390 such instances read it within half a second over 1,000 Mbit/s.
+    // Assert: 390 such instances can read it within half a second over 1,000 Mbit/s.
     let bytes = serde_json::to_vec(fleet.writer.ledger()).unwrap().len();
     assert!(bytes < 150_000, "{bytes}");
     assert!(
@@ -423,8 +429,8 @@
     );
 }
 
-/// Returns the tokens of a scarce account that nobody could use, after so many lenders were asked
-/// for calls until nobody was served any more.
+/// Returns the tokens of a scarce account that no call could use, after the given number of lenders
+/// were asked for calls until none was served any more.
 fn stranded_tokens(lenders: usize, seed: u64) -> u64 {
     let bought = CALL_TOKENS * 20;
     let mut fleet = Fleet::new(INSTANCES - 1);
@@ -454,8 +460,8 @@
 }
 
 #[test]
-fn the_last_tokens_of_an_account_do_not_strand_in_pieces_that_no_call_fits_into() {
-    // Guards against: parts of a call that each instance keeps while others keep the rest.
+fn the_last_tokens_do_not_strand_in_parts_smaller_than_a_call() {
+    // Guards against instances that each keep a part of a call's tokens while others keep the rest.
     for (lenders, seed) in [(2, 1), (6, 2), (6, 3), (12, 4), (12, 5)] {
         // Act
         let stranded = stranded_tokens(lenders, seed);
@@ -469,8 +475,8 @@
 }
 
 #[test]
-fn a_receipt_names_the_accounts_of_its_instance_and_no_others() {
-    // Guards against: a writer whose link is full of receipts, each with all accounts that there are.
+fn a_receipt_names_only_the_accounts_of_its_instance() {
+    // Guards against receipts that name all accounts and fill the writer's link.
 
     // Arrange
     const ACCOUNTS: u64 = 1_000;
@@ -489,7 +495,7 @@
     // Act
     let member = fleet.member(0);
     member.note_lending(at(2_000), ACCOUNT);
-    let _ = ask(member, 2_000);
+    let _ = reserve_call(member, 2_000);
     let report = member.next_report(at(2_200), &stamp(2_200)).unwrap();
     let earlier = Report {
         takes_short_receipts: false,
@@ -497,26 +503,26 @@
     };
     let receipts = [report, earlier].map(|report| {
         let name = report.instance.clone();
-        let reported = [(name, Reported::of(&report))];
+        let reported = [(name, ReceiptScope::of(&report))];
         fleet.writer.receipts(&reported.into()).remove(0).1
     });
 
-    // Assert: an instance of an earlier version goes by all accounts.
+    // Assert: an instance of an earlier version needs all accounts.
     assert_eq!(receipts[0].accounts.keys().collect::<Vec<_>>(), [ACCOUNT]);
     assert_eq!(receipts[1].accounts.len(), prepaid.len());
 }
 
 #[test]
-fn a_member_begins_with_its_predecessors_demand_though_it_reads_no_ledger() {
-    // Guards against: a fleet that reads the whole ledger at every instance when all start together,
-    // and one in which nobody knows what is asked for.
+fn a_member_inherits_demand_without_reading_the_ledger() {
+    // Guards against a fleet whose instances all read the whole ledger when they start together,
+    // and against one in which no instance knows the demand.
 
-    // Arrange: a predecessor that lends stands in the ledger with its demand.
+    // Arrange: the ledger lists a predecessor that lends, with its demand.
     let mut fleet = Fleet::new(INSTANCES - 1);
     fleet.round(0);
     for ms in [1_100, 2_200, 3_300] {
         fleet.member(0).note_lending(at(ms), ACCOUNT);
-        let _ = ask(fleet.member(0), ms);
+        let _ = reserve_call(fleet.member(0), ms);
         fleet.round(ms + 50);
     }
     let identity = fleet.members.keys().next().unwrap().clone();
--- a/crates/damaskstile-escrow/tests/rewinds.rs
+++ b/crates/damaskstile-escrow/tests/rewinds.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy of itself: spend never exceeds what was bought.
+//! A store that is restored from an older copy of itself: spend never exceeds what was bought.
 
 mod support;
 
@@ -6,16 +6,16 @@
 use damaskstile_escrow::{EscrowOptions, Holder, Ledger, Role, Stamp};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use support::world::{Fate, INSTANCES, Step, World};
+use support::world::{Fate, INSTANCES, Simulation, Step};
 use support::{at, stamp};
 
-/// Steps of one case.
+/// Steps of one proptest case.
 const STEPS: usize = 120;
-/// Cases that run always.
+/// Default number of cases.
 const CASES: u32 = 400;
-/// Variable that sets another number of cases, for longer runs by hand.
+/// Environment variable that sets another number of cases, for longer manual runs.
 const CASES_VARIABLE: &str = "DAMASKSTILE_CASES";
-/// Writes that a copy lacks at most.
+/// Largest number of writes that a stale copy lacks.
 const LOST_WRITES: usize = 8;
 const ACCOUNT: &str = "a";
 const PREPAID_TOKENS: u64 = 10_000;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Draws what happens, with or without restarts.
+/// Generates steps, with or without restarts.
 fn steps(has_restarts: bool) -> impl Strategy<Value = Vec<Step>> {
     let fate = prop_oneof![
         4 => Just(Fate::Answered),
@@ -46,12 +46,14 @@
             .prop_map(|(index, fate)| Step::Write(index, fate)),
         5 => (0..INSTANCES, 0..INSTANCES, fate)
             .prop_map(|(from, to, fate)| Step::Report(from, to, fate)),
-        2 => (0..16_usize).prop_map(Step::Mail),
+        2 => (0..16_usize).prop_map(Step::DeliverMessage),
         1 => (0..INSTANCES).prop_map(Step::Read),
-        1 => (0..8_usize).prop_map(Step::Deliver),
+        1 => (0..8_usize).prop_map(Step::DeliverWrite),
         1 => (0..9_000_u64).prop_map(Step::Isolation),
         1 => (0..INSTANCES, 0..INSTANCES, 0..2_usize, 1..900_u64, any::<bool>()).prop_map(
-            |(from, to, account, tokens, is_lost)| Step::Give(from, to, account, tokens, is_lost)
+            |(from, to, account, tokens, is_lost)| {
+                Step::Transfer(from, to, account, tokens, is_lost)
+            }
         ),
         1 => (0..2_usize, 1..3_000_u64).prop_map(|(account, tokens)| Step::TopUp(account, tokens)),
         2 => (1..LOST_WRITES, 0..6_u64)
@@ -68,25 +70,26 @@
 }
 
 #[test]
-fn spend_never_exceeds_what_was_bought_where_the_store_loses_writes() {
-    // Guards against: grants that the store has lost and hands out again beside their holders.
+fn spend_never_exceeds_what_was_bought_if_the_store_loses_writes() {
+    // Guards against grants that the store has lost and grants again while their holders still
+    // spend them.
     proptest!(config(11), |(steps in steps(false))| {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.take(step);
-            world.check_spend();
+            simulation.take(step);
+            simulation.check_spend();
         }
     });
 }
 
 #[test]
-fn it_does_not_where_instances_end_around_that_time_either() {
-    // Guards against: what ended instances were granted after the copy was made.
+fn spend_never_exceeds_what_was_bought_if_instances_restart_too() {
+    // Guards against ignoring what ended instances were granted after the copy was made.
     proptest!(config(13), |(steps in steps(true))| {
-        let mut world = World::new().telling_all();
+        let mut simulation = Simulation::new().sending_to_all();
         for step in &steps {
-            world.take(step);
-            world.check_spend();
+            simulation.take(step);
+            simulation.check_spend();
         }
     });
 }
@@ -99,7 +102,7 @@
     holder
 }
 
-/// Has a holder ask for tokens and write; returns the ledger and its version.
+/// Lets a holder request tokens and write; returns the ledger and its version.
 fn write(holder: &mut Holder, ms: u64, tokens: u64, version: Version) -> (Version, Ledger) {
     holder.note_demand(at(ms), ACCOUNT, tokens, 0);
     let _ = holder.try_reserve(at(ms), ACCOUNT, tokens, 0);
@@ -109,13 +112,13 @@
     (version, ledger)
 }
 
-/// Version of a history.
+/// Returns the version with a given revision in a history.
 fn version(history: u64, revision: u64) -> Version {
     (history << 40) | revision
 }
 
 #[test]
-fn a_ledger_from_before_a_grant_is_begun_anew_with_it() {
+fn a_ledger_older_than_a_grant_is_rebuilt_with_the_grant() {
     // Arrange: a grant that the store loses.
     let mut one = holder("one", 1);
     one.observe(at(0), 0, Ledger::default());
@@ -137,7 +140,7 @@
 }
 
 #[test]
-fn whoever_remembers_an_older_ledger_waits_for_the_one_that_remembers_the_newest() {
+fn an_instance_with_an_older_ledger_waits_for_one_with_the_newest() {
     // Arrange
     let mut one = holder("one", 1);
     one.observe(at(0), 0, Ledger::default());
@@ -153,14 +156,14 @@
     let early = other.next_round(at(4_000), &stamp(4_000));
     let late = other.next_round(at(6_100), &stamp(6_100));
 
-    // Assert: should nobody else do it, it does.
+    // Assert: if no other instance rebuilds the ledger, it does so itself.
     assert!(early.is_none());
     assert!(late.is_some());
 }
 
 #[test]
-fn nothing_more_is_granted_until_all_have_said_what_they_hold() {
-    // Arrange: one of two holders begins the ledger anew.
+fn nothing_more_is_granted_until_all_have_reported_their_holdings() {
+    // Arrange: one of two holders rebuilds the ledger.
     let (mut one, mut other, ledger) = two_holders();
     one.enter_history(2);
     one.observe(at(3_000), version(2, 4), ledger);
@@ -169,7 +172,7 @@
     let begun = round.ledger.clone();
     one.written(at(4_000), version(2, 5), round);
 
-    // Act: it wants more, before the other one is heard, and after.
+    // Act: it requests more tokens, before and after the other one has reported.
     one.note_demand(at(4_200), ACCOUNT, 4_000, 0);
     let _ = one.try_reserve(at(4_200), ACCOUNT, 4_000, 0);
     let closed = one.next_round(at(5_200), &stamp(5_200)).unwrap();
@@ -188,8 +191,9 @@
 }
 
 #[test]
-fn a_fleet_that_remembers_nothing_counts_what_may_have_been_granted_as_spent() {
-    // Guards against: all instances that end with the store, and successors that trust an old copy.
+fn a_fleet_without_memory_counts_possible_grants_as_spent() {
+    // Guards against successors that trust a stale copy after all instances ended together with the
+    // store.
 
     // Arrange
     let mut one = holder("one", 1);
@@ -214,10 +218,11 @@
 }
 
 #[test]
-fn whoever_remembers_nothing_waits_for_others_once_the_ledger_can_be_read() {
-    // Guards against: a fresh instance that has waited all through a time in which none could write.
+fn an_instance_without_memory_waits_after_the_ledger_is_readable() {
+    // Guards against counting the time in which no instance could write as waiting time of a new
+    // instance.
 
-    // Arrange: one that has heard of a newer ledger, while the stored one cannot be read.
+    // Arrange: an instance that knows of a newer ledger while the stored one cannot be read.
     let mut one = holder("one", 1);
     one.observe(at(0), 0, Ledger::default());
     let (_, copy) = write(&mut one, 800, 500, version(1, 3));
@@ -236,7 +241,7 @@
 }
 
 #[test]
-fn a_ledger_that_lists_an_ended_incarnation_is_not_after_one_that_lists_its_successor() {
+fn a_ledger_of_an_ended_incarnation_is_not_after_its_successors() {
     // Arrange
     let mut one = holder("one", 1);
     one.observe(at(0), 0, Ledger::default());
@@ -255,7 +260,7 @@
     assert!(!before.is_after(&after));
 }
 
-/// Makes two holders that the ledger lists; returns them with it.
+/// Returns two holders that the ledger lists, and the ledger.
 fn two_holders() -> (Holder, Holder, Ledger) {
     let mut one = holder("one", 1);
     one.observe(at(0), 0, Ledger::default());
@@ -268,8 +273,8 @@
 }
 
 #[test]
-fn grants_that_the_begun_ledger_lacks_stay_with_their_holder_until_it_has_said_so() {
-    // Arrange: the copy is from before the other one was listed, and nobody else is there.
+fn a_holder_keeps_grants_that_the_rebuilt_ledger_lacks() {
+    // Arrange: the copy was made before the other holder was listed.
     let (_, mut other, _) = two_holders();
     let mut one = holder("one", 1);
     one.observe(at(0), 0, Ledger::default());
@@ -292,10 +297,11 @@
 }
 
 #[test]
-fn a_report_from_before_the_return_does_not_say_what_its_sender_holds_now() {
-    // Guards against: a late report that opens the pool before its sender was heard.
+fn a_report_from_before_the_restore_confirms_no_holdings() {
+    // Guards against a late report that allows new grants before its sender has reported its
+    // present holdings.
 
-    // Arrange: a report that is under way as the store returns.
+    // Arrange: a report that is in flight when the store is restored.
     let (mut one, mut other, ledger) = two_holders();
     other.set_role(Role::Member);
     other.note_demand(at(2_900), ACCOUNT, 3_000, 0);
--- a/crates/damaskstile-escrow/tests/support/mod.rs
+++ b/crates/damaskstile-escrow/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Times and stamps of the tests, and a world of holders before one store.
+//! Times and stamps for tests, and a simulation of holders that share a store.
 
 #![allow(dead_code)] // each test uses a part
 
@@ -8,12 +8,12 @@
 
 use damaskstile_escrow::Stamp;
 
-/// Returns a time of the decisions.
+/// Returns the time at `ms` milliseconds.
 pub fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Makes the stamp of a machine that stays up and hears its peers.
+/// Returns the stamp of a machine that stays up and hears from its peers.
 pub fn stamp(ms: u64) -> Stamp {
     Stamp {
         boot_name: String::new(),
--- a/crates/damaskstile-escrow/tests/support/world.rs
+++ b/crates/damaskstile-escrow/tests/support/world.rs
@@ -1,82 +1,84 @@
-//! Several holders before one store, and what may go wrong between them.
+//! Simulation of several holders that share a store, with the faults that may occur between them.
 
 use std::time::Duration;
 
 use damaskstile_core::prelude::*;
 use damaskstile_escrow::{
-    EscrowOptions, Holder, Ledger, LedgerChange, Receipt, Report, Reported, Role, Round, Stamp,
+    EscrowOptions, Holder, Ledger, LedgerChange, Receipt, ReceiptScope, Report, Role, Round, Stamp,
 };
 
-/// Accounts of the cases.
+/// Simulated accounts.
 pub const ACCOUNTS: [&str; 2] = ["a", "b"];
-/// Instances of the cases.
+/// Number of simulated instances.
 pub const INSTANCES: usize = 4;
-/// Instances from which on rounds are slower, so that the pace changes while grants stand.
+/// Size of a small fleet. Below the number of instances, so that the unlock rate changes while
+/// grants are held.
 const SMALL_FLEET: u32 = 2;
-/// Bits of a version below the history.
+/// Number of bits of a version below the history.
 const REVISION_BITS: u32 = 40;
-/// Digests that arrive in one step.
+/// Number of digests that arrive in one step.
 const DIGESTS: usize = 4;
 
-/// `Step` is one thing that happens.
+/// One event of the simulation.
 #[derive(Debug, Clone)]
 pub enum Step {
     /// An instance reserves tokens for a call.
     Reserve(usize, usize, u64),
-    /// The oldest call of an instance ends with a part of its reservation used.
+    /// The oldest call of an instance finishes with a percentage of its reservation used.
     Finish(usize, u64),
-    /// An instance writes, and the store and the network do as `Fate` says.
+    /// An instance writes, with the given fate of the write.
     Write(usize, Fate),
-    /// An instance sends what it has to write to another, as `Fate` says of the message.
+    /// An instance sends a report to another, with the given fate of the message.
     Report(usize, usize, Fate),
-    /// A message between instances arrives that was held up.
-    Mail(usize),
+    /// A delayed message between instances arrives.
+    DeliverMessage(usize),
     /// An instance reads the ledger.
     Read(usize),
-    /// A write that is still under way reaches the store.
-    Deliver(usize),
-    /// An instance's process is killed, or it loses power, and it comes back with nothing.
+    /// A delayed write reaches the store.
+    DeliverWrite(usize),
+    /// An instance's process is killed, or its machine loses power (`true`), and it restarts
+    /// without state.
     Restart(usize, bool),
-    /// Time goes by, in which nobody reaches the store.
+    /// Time elapses in which no instance reaches the store.
     Isolation(u64),
-    /// Too few peers are heard to know the fleet's time, or enough again.
-    Deafness(usize, bool),
-    /// An instance hands tokens to another; the message may get lost.
-    Give(usize, usize, usize, u64, bool),
+    /// Too few peers are heard from to know the fleet clock (`true`), or enough again.
+    FleetClockLoss(usize, bool),
+    /// An instance transfers tokens to another; the message may get lost.
+    Transfer(usize, usize, usize, u64, bool),
     /// An account buys more.
     TopUp(usize, u64),
-    /// The store comes back as it was some writes ago, and has made up for some versions since.
+    /// The store is restored to its state some writes ago and has used some revisions since.
     Rewind(usize, u64),
 }
 
-/// What becomes of a call or a message.
+/// Fate of a call or a message.
 #[derive(Debug, Clone, Copy)]
 pub enum Fate {
     /// It arrives, and so does its answer.
     Answered,
     /// It arrives, and its answer does not.
     AnswerLost,
-    /// The write arrives later or never.
+    /// It arrives later or never.
     Held,
-    /// The write is refused without effect.
+    /// It is refused without effect.
     Refused,
 }
 
-/// `Message` is under way between two instances.
+/// A message in flight between two instances.
 #[derive(Debug)]
 enum Message {
     /// To the instance that writes.
     Report(usize, Box<Report>),
-    /// To the instance that asked.
+    /// To the instance that reported.
     Receipt(usize, Receipt),
 }
 
 #[derive(Debug, Default)]
 struct Store {
     history: History,
-    /// Number of the last change.
+    /// Revision of the last change.
     revision: u64,
-    /// The ledger with the number of its last change, after each write.
+    /// The ledgers after each write, with their revisions.
     ledgers: Vec<(u64, Ledger)>,
     held: Vec<Round>,
 }
@@ -94,7 +96,7 @@
         self.standing().1
     }
 
-    /// Returns the version of the ledger, as an answer of this history names it.
+    /// Returns the version of the ledger, as an answer of the current history states it.
     fn version(&self) -> Version {
         match self.standing().0 {
             0 => 0,
@@ -102,14 +104,14 @@
         }
     }
 
-    /// Takes a write whose condition holds: the store compares revisions, and knows no histories.
+    /// Applies a write whose condition holds. The store compares revisions and knows no histories.
     fn write(&mut self, round: &Round) -> bool {
         let (standing, ledger) = self.standing();
         if revision(round.expected_version) != standing {
             return false;
         }
-        // An instance must never take another's true write for another writer's.
-        // What is of an earlier history is taken for a copy, whatever it holds.
+        // An instance must never mistake another's valid write for that of a different writer. A
+        // ledger of an earlier history counts as a stale copy, whatever it contains.
         if round.ledger.history == ledger.history && ledger.history == self.history {
             assert_eq!(round.ledger.fault_after(&ledger), None);
         }
@@ -126,52 +128,52 @@
     }
 }
 
-/// `World` is some holders, the store and all that is under way between them.
+/// Holders, a store and all messages in flight between them.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     now: Duration,
     store: Store,
     holders: Vec<Holder>,
     incarnation: u64,
-    mail: Vec<Message>,
-    /// History that each instance last heard from the store itself.
+    in_flight: Vec<Message>,
+    /// History that each instance last learned from the store itself.
     known_histories: [History; INSTANCES],
-    /// Whether all peers hear of each write.
-    tells_all: bool,
+    /// Whether all peers receive each write.
+    sends_to_all: bool,
     calls: Vec<VecDeque<(usize, u64)>>,
     prepaid: BTreeMap<AccountId, u64>,
     catalogue_version: Version,
-    /// Difference of an instance's boot clock; a loss of power changes it.
+    /// Offsets of the instances' boot clocks; a loss of power changes them.
     boot_offsets_ms: [u64; INSTANCES],
-    is_deaf: [bool; INSTANCES],
-    /// What targets truly ran, by account: the truth to compare with.
+    is_fleet_clock_lost: [bool; INSTANCES],
+    /// Tokens that targets actually used, by account, to compare the ledger with.
     spent: [u64; 2],
 }
 
-impl World {
-    /// Makes a world in which nothing has happened.
+impl Simulation {
+    /// Creates a simulation in its initial state.
     pub fn new() -> Self {
         let prepaid = ACCOUNTS.map(|name| (name.to_owned(), 10_000));
-        let mut world = Self {
+        let mut simulation = Self {
             now: Duration::ZERO,
             store: Store::default(),
             holders: Vec::new(),
             incarnation: 0,
-            mail: Vec::new(),
+            in_flight: Vec::new(),
             known_histories: [0; INSTANCES],
-            tells_all: false,
+            sends_to_all: false,
             calls: vec![VecDeque::new(); INSTANCES],
             prepaid: BTreeMap::from(prepaid),
             catalogue_version: 1,
             boot_offsets_ms: [70_000, 9_000, 500_000, 0],
-            is_deaf: [false; INSTANCES],
+            is_fleet_clock_lost: [false; INSTANCES],
             spent: [0; 2],
         };
         for index in 0..INSTANCES {
-            let holder = world.new_holder(index);
-            world.holders.push(holder);
+            let holder = simulation.new_holder(index);
+            simulation.holders.push(holder);
         }
-        world
+        simulation
     }
 
     fn new_holder(&mut self, index: usize) -> Holder {
@@ -179,7 +181,7 @@
         let identity = Identity::new(&format!("i{index}"), self.incarnation, "north");
         let options = EscrowOptions {
             small_fleet: SMALL_FLEET,
-            large_scale: 2,
+            large_interval_scale: 2,
             ..EscrowOptions::default()
         };
         let mut holder = Holder::new(identity, &index.to_string(), options);
@@ -187,42 +189,42 @@
         holder
     }
 
-    /// Has one thing happen.
+    /// Applies one step.
     pub fn take(&mut self, step: &Step) {
         self.now += Duration::from_millis(300);
-        self.tell_digests();
+        self.send_digests();
         match *step {
             Step::Reserve(index, account, tokens) => self.reserve(index, account, tokens),
             Step::Finish(index, part) => self.finish(index, part),
             Step::Write(index, fate) => self.write(index, fate),
             Step::Report(from, to, fate) => self.report(from, to, fate),
-            Step::Mail(index) => {
-                if !self.mail.is_empty() {
-                    let message = self.mail.remove(index % self.mail.len());
+            Step::DeliverMessage(index) => {
+                if !self.in_flight.is_empty() {
+                    let message = self.in_flight.remove(index % self.in_flight.len());
                     self.deliver(message);
                 }
             }
             Step::Read(index) => self.read(index),
-            Step::Deliver(index) => {
+            Step::DeliverWrite(index) => {
                 if !self.store.held.is_empty() {
                     let round = self.store.held.remove(index % self.store.held.len());
                     self.store.write(&round);
                 }
             }
             Step::Isolation(ms) => self.now += Duration::from_millis(ms),
-            Step::Deafness(index, is_deaf) => self.is_deaf[index] = is_deaf,
+            Step::FleetClockLoss(index, is_lost) => self.is_fleet_clock_lost[index] = is_lost,
             Step::Restart(index, is_power_loss) => {
                 if is_power_loss {
                     let offset = &mut self.boot_offsets_ms[index];
                     *offset = offset.wrapping_mul(31).wrapping_add(7_919) % 1_000_000;
                 }
-                // All that ran is spent in full, since nobody was there to count.
+                // All calls in progress are spent in full, since no process counted their use.
                 for (account, tokens) in std::mem::take(&mut self.calls[index]) {
                     self.spent[account] += tokens;
                 }
                 self.holders[index] = self.new_holder(index);
             }
-            Step::Give(from, to, account, tokens, is_lost) => {
+            Step::Transfer(from, to, account, tokens, is_lost) => {
                 let account = ACCOUNTS[account];
                 let given = self.holders[from].give(self.now, account, tokens);
                 if !is_lost {
@@ -265,15 +267,15 @@
         self.holders[index].observe(self.now, version, ledger);
     }
 
-    /// Has an instance take in which history an answer of the store is of.
+    /// Tells an instance the history that an answer of the store belongs to.
     fn note_history(&mut self, index: usize) {
         let history = self.store.history;
         self.known_histories[index] = history;
         self.holders[index].enter_history(history);
     }
 
-    /// Has some instances hear what others know of the ledger and the store's history.
-    fn tell_digests(&mut self) {
+    /// Sends some instances the ledger version and store history that others know.
+    fn send_digests(&mut self) {
         let draw = usize::try_from(self.now.as_millis() / 300).unwrap();
         for number in 0..DIGESTS {
             let from = (draw + number) % INSTANCES;
@@ -303,7 +305,7 @@
     fn send(&mut self, message: Message, fate: Fate) {
         match fate {
             Fate::Answered => self.deliver(message),
-            Fate::Held => self.mail.push(message),
+            Fate::Held => self.in_flight.push(message),
             Fate::AnswerLost | Fate::Refused => {}
         }
     }
@@ -322,8 +324,8 @@
         }
     }
 
-    /// Sends the receipts of a write; some get lost and some are held up.
-    fn send_receipts(&mut self, index: usize, reported: &BTreeMap<InstanceId, Reported>) {
+    /// Sends the receipts for a write; some get lost and some are delayed.
+    fn send_receipts(&mut self, index: usize, reported: &BTreeMap<InstanceId, ReceiptScope>) {
         let fates = [Fate::Answered, Fate::Answered, Fate::Held, Fate::AnswerLost];
         let count = fates.len();
         let receipts = self.holders[index].receipts(reported);
@@ -343,7 +345,8 @@
         let Some(round) = self.holders[index].next_round(self.now, &stamp) else {
             return;
         };
-        // The adapter makes no write on a version of another history than it knows.
+        // The store adapter makes no write based on a version of a history other than the one that
+        // it knows.
         if round.expected_version > 0
             && round.expected_version >> REVISION_BITS != self.known_histories[index]
         {
@@ -382,7 +385,7 @@
         }
     }
 
-    /// Tells the next instance of a write, and sometimes one more.
+    /// Sends a write to the next instance, to two, or to all peers.
     fn spread(&mut self, index: usize, round: &Round) {
         let version = self.store.version();
         let instance = format!("i{index}");
@@ -390,7 +393,7 @@
             return;
         };
         let peers = match version.is_multiple_of(2) {
-            _ if self.tells_all => INSTANCES - 1,
+            _ if self.sends_to_all => INSTANCES - 1,
             true => 1,
             false => 2,
         };
@@ -400,12 +403,13 @@
         }
     }
 
-    /// Makes the stamp of an instance. Its own time of day may be off by seconds; the fleet's
-    /// time is off by less than the margin that is allowed for.
+    /// Returns the stamp of an instance. Its own time of day may be off by seconds; the fleet clock
+    /// is off by less than the allowed margin.
     fn stamp(&self, index: usize) -> Stamp {
         let now_ms = u64::try_from(self.now.as_millis()).unwrap() + 1_000_000;
         let step_ms = now_ms / 1_000 % 4 * 1_000;
-        let fleet_ms = (!self.is_deaf[index]).then_some(now_ms + now_ms / 300 % 3 * 100);
+        let fleet_ms =
+            (!self.is_fleet_clock_lost[index]).then_some(now_ms + now_ms / 300 % 3 * 100);
         Stamp {
             boot_name: String::new(),
             boot_ms: now_ms + self.boot_offsets_ms[index],
@@ -415,7 +419,7 @@
         }
     }
 
-    /// Checks that the ledger covers all that ran, and is covered by what was bought.
+    /// Checks that the ledger covers all tokens used and does not exceed what was bought.
     pub fn check(&self) {
         for (index, account) in ACCOUNTS.iter().enumerate() {
             let prepaid = self.prepaid[*account];
@@ -427,13 +431,13 @@
         }
     }
 
-    /// Has all peers hear of each write from now on.
-    pub fn telling_all(mut self) -> Self {
-        self.tells_all = true;
+    /// Sends each write to all peers from now on.
+    pub fn sending_to_all(mut self) -> Self {
+        self.sends_to_all = true;
         self
     }
 
-    /// Checks that what ran is covered by what was bought, whatever the ledger says.
+    /// Checks that the tokens used do not exceed what was bought, whatever the ledger says.
     pub fn check_spend(&self) {
         for (index, account) in ACCOUNTS.iter().enumerate() {
             let prepaid = self.prepaid[*account];
--- a/crates/damaskstile-escrow/tests/together.rs
+++ b/crates/damaskstile-escrow/tests/together.rs
@@ -1,16 +1,16 @@
-//! Several holders before one store whose answers get lost: spend never exceeds what was bought.
+//! Several holders and one store whose answers get lost: spend never exceeds what was bought.
 
 mod support;
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use support::world::{Fate, INSTANCES, Step, World};
+use support::world::{Fate, INSTANCES, Simulation, Step};
 
-/// Steps of one case.
+/// Steps of one proptest case.
 const STEPS: usize = 120;
-/// Cases that run always: enough to meet every pair of faults many times within a second.
+/// Default number of cases: enough to meet every pair of faults many times, within a second.
 const CASES: u32 = 400;
-/// Variable that sets another number of cases, for longer runs by hand.
+/// Environment variable that sets another number of cases, for longer manual runs.
 const CASES_VARIABLE: &str = "DAMASKSTILE_CASES";
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -28,17 +28,19 @@
             .prop_map(|(index, fate)| Step::Write(index, fate)),
         5 => (0..INSTANCES, 0..INSTANCES, fate)
             .prop_map(|(from, to, fate)| Step::Report(from, to, fate)),
-        2 => (0..16_usize).prop_map(Step::Mail),
+        2 => (0..16_usize).prop_map(Step::DeliverMessage),
         1 => (0..INSTANCES).prop_map(Step::Read),
-        1 => (0..8_usize).prop_map(Step::Deliver),
+        1 => (0..8_usize).prop_map(Step::DeliverWrite),
         2 => (0..INSTANCES, any::<bool>())
             .prop_map(|(index, is_power_loss)| Step::Restart(index, is_power_loss)),
         1 => (0..9_000_u64).prop_map(Step::Isolation),
         2 => (0..INSTANCES, 0..INSTANCES, 0..2_usize, 1..900_u64, any::<bool>()).prop_map(
-            |(from, to, account, tokens, is_lost)| Step::Give(from, to, account, tokens, is_lost)
+            |(from, to, account, tokens, is_lost)| {
+                Step::Transfer(from, to, account, tokens, is_lost)
+            }
         ),
         1 => (0..INSTANCES, any::<bool>())
-            .prop_map(|(index, is_deaf)| Step::Deafness(index, is_deaf)),
+            .prop_map(|(index, is_lost)| Step::FleetClockLoss(index, is_lost)),
         1 => (0..2_usize, 1..3_000_u64).prop_map(|(account, tokens)| Step::TopUp(account, tokens)),
     ];
     prop::collection::vec(step, STEPS)
@@ -54,10 +56,10 @@
         ..Config::default()
     };
     proptest!(config, |(steps in steps())| {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.take(step);
-            world.check();
+            simulation.take(step);
+            simulation.check();
         }
     });
 }
--- a/crates/damaskstile-loans/src/borrower.rs
+++ b/crates/damaskstile-loans/src/borrower.rs
@@ -1,7 +1,7 @@
 //! Requests loans from lenders and reports their ends.
 
-mod ending;
-mod silent;
+mod pending_end;
+mod unresponsive;
 
 use std::net::SocketAddr;
 
@@ -10,8 +10,8 @@
 use crate::LoanNumber;
 use crate::loan::{LoanAnswer, LoanAsk, LoanEnd, LoanEnds, LoanEndsTaken, LoanOutcome};
 use crate::placement::Candidate;
-use ending::Ending;
-use silent::Silent;
+use pending_end::PendingEnd;
+use unresponsive::UnresponsiveLenders;
 
 /// Largest number of ends in one message: about 1 KB.
 const ENDS_MAX: usize = 64;
@@ -21,14 +21,14 @@
 pub struct Borrower {
     incarnation: Incarnation,
     last_number: LoanNumber,
-    asks: BTreeMap<LoanNumber, Asked>,
-    ends: BTreeMap<LoanNumber, Ending>,
-    silent: Silent,
+    requests: BTreeMap<LoanNumber, OpenRequest>,
+    ends: BTreeMap<LoanNumber, PendingEnd>,
+    unresponsive: UnresponsiveLenders,
 }
 
 /// A request whose loan has not ended.
 #[derive(Debug)]
-struct Asked {
+struct OpenRequest {
     lender: InstanceId,
     address: SocketAddr,
     outcome: Option<LoanOutcome>,
@@ -45,21 +45,21 @@
         Self {
             incarnation,
             last_number: 0,
-            asks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             ends: BTreeMap::new(),
-            silent: Silent::default(),
+            unresponsive: UnresponsiveLenders::default(),
         }
     }
 
     /// Creates the request for a call's tokens, to be sent to a lender.
     pub fn ask(&mut self, lender: &Candidate, account: &str, tokens: u64, rank: u8) -> LoanAsk {
         self.last_number += 1;
-        let asked = Asked {
+        let request = OpenRequest {
             lender: lender.instance.clone(),
             address: lender.address,
             outcome: None,
         };
-        self.asks.insert(self.last_number, asked);
+        self.requests.insert(self.last_number, request);
         LoanAsk {
             number: self.last_number,
             account: account.to_owned(),
@@ -71,19 +71,21 @@
 
     /// Accepts an answer; returns whether it changed the outcome of a request.
     pub fn hear(&mut self, from: &str, answer: &LoanAnswer) -> bool {
-        self.silent.hear(from);
+        self.unresponsive.clear(from);
         let said = answer.said();
-        let Some(asked) = self.asks.get_mut(&answer.number) else {
+        let Some(request) = self.requests.get_mut(&answer.number) else {
             return false;
         };
         // A final outcome stands: a later message was overtaken by it and says less.
-        let is_final = asked.outcome.is_some_and(|had| had != LoanOutcome::Waiting);
-        let is_for_another = asked.lender != from || answer.incarnation != self.incarnation;
+        let is_final = request
+            .outcome
+            .is_some_and(|had| had != LoanOutcome::Waiting);
+        let is_for_another = request.lender != from || answer.incarnation != self.incarnation;
         if is_for_another || is_final {
             return false;
         }
-        let is_news = asked.outcome != Some(said);
-        asked.outcome = Some(said);
+        let is_news = request.outcome != Some(said);
+        request.outcome = Some(said);
         is_news
     }
 
@@ -91,17 +93,17 @@
     /// answer.
     #[must_use]
     pub fn outcome(&self, number: LoanNumber) -> Option<LoanOutcome> {
-        self.asks.get(&number)?.outcome
+        self.requests.get(&number)?.outcome
     }
 
     /// Ends a loan whose call has finished, or a request that is given up. If the lender answered
     /// that it lent nothing, there is nothing to end.
     pub fn end(&mut self, now: Duration, number: LoanNumber, used_tokens: u64) {
-        let Some(asked) = self.asks.remove(&number) else {
+        let Some(request) = self.requests.remove(&number) else {
             return;
         };
         let may_be_lent = matches!(
-            asked.outcome,
+            request.outcome,
             None | Some(LoanOutcome::Lent | LoanOutcome::Waiting)
         );
         if may_be_lent {
@@ -110,18 +112,19 @@
                 used_tokens,
             };
             self.ends
-                .insert(number, Ending::new(now, asked.address, end));
+                .insert(number, PendingEnd::new(now, request.address, end));
         }
     }
 
     /// Returns the ends to send, by lender: new ones, and again those without an acknowledgement.
     pub fn ends_due(&mut self, now: Duration) -> Vec<(SocketAddr, LoanEnds)> {
-        self.ends.retain(|_, ending| !ending.is_hopeless(now));
+        self.ends
+            .retain(|_, pending_end| !pending_end.is_expired(now));
         let mut due: BTreeMap<SocketAddr, LoanEnds> = BTreeMap::new();
-        for ending in self.ends.values_mut() {
-            let ends = &mut due.entry(ending.address).or_default().ends;
+        for pending_end in self.ends.values_mut() {
+            let ends = &mut due.entry(pending_end.address).or_default().ends;
             if ends.len() < ENDS_MAX
-                && let Some(end) = ending.tell(now)
+                && let Some(end) = pending_end.take_due(now)
             {
                 ends.push(end);
             }
@@ -136,8 +139,8 @@
             return;
         }
         for number in &taken.numbers {
-            let ending = self.ends.get(number);
-            if ending.is_some_and(|ending| ending.address == address) {
+            let pending_end = self.ends.get(number);
+            if pending_end.is_some_and(|pending_end| pending_end.address == address) {
                 self.ends.remove(number);
             }
         }
@@ -145,18 +148,18 @@
 
     /// Notes that a lender has not answered in time, so that others are asked for some time.
     pub fn note_silence(&mut self, now: Duration, lender: &str) {
-        self.silent.note(now, lender);
+        self.unresponsive.note_no_answer(now, lender);
     }
 
     /// Returns whether a lender is currently skipped because it did not answer.
     #[must_use]
     pub fn is_silent(&self, now: Duration, lender: &str) -> bool {
-        self.silent.is_silent(now, lender)
+        self.unresponsive.is_backed_off(now, lender)
     }
 
     /// Returns whether no requests or loans are open and no end awaits an acknowledgement.
     #[must_use]
     pub fn is_settled(&self) -> bool {
-        self.asks.is_empty() && self.ends.is_empty()
+        self.requests.is_empty() && self.ends.is_empty()
     }
 }
--- a/crates/damaskstile-loans/src/borrower/ending.rs
+++ b/crates/damaskstile-loans/src/borrower/pending_end.rs
@@ -7,43 +7,43 @@
 use crate::loan::LoanEnd;
 
 /// Time without an acknowledgement after which an end is sent again. It doubles each time.
-const AGAIN_AFTER: Duration = Duration::from_millis(250);
+const RESEND_AFTER: Duration = Duration::from_millis(250);
 /// Time after which an end is no longer sent: the lender has ended or has long been unreachable,
 /// and counts the loan as used.
-const TELL_FOR: Duration = Duration::from_secs(20);
+const RESEND_FOR: Duration = Duration::from_secs(20);
 
 /// End of a loan that its lender has not acknowledged yet.
 #[derive(Debug)]
-pub(super) struct Ending {
+pub(super) struct PendingEnd {
     pub address: SocketAddr,
     end: LoanEnd,
     ended_at: Duration,
     due_at: Duration,
-    pause: Duration,
+    interval: Duration,
 }
 
-impl Ending {
+impl PendingEnd {
     pub(super) fn new(now: Duration, address: SocketAddr, end: LoanEnd) -> Self {
         Self {
             address,
             end,
             ended_at: now,
             due_at: now,
-            pause: AGAIN_AFTER,
+            interval: RESEND_AFTER,
         }
     }
 
     /// Returns the end if it is due to be sent, and schedules the next time.
-    pub(super) fn tell(&mut self, now: Duration) -> Option<LoanEnd> {
+    pub(super) fn take_due(&mut self, now: Duration) -> Option<LoanEnd> {
         if now < self.due_at {
             return None;
         }
-        self.due_at = now + self.pause;
-        self.pause *= 2;
+        self.due_at = now + self.interval;
+        self.interval *= 2;
         Some(self.end)
     }
 
-    pub(super) fn is_hopeless(&self, now: Duration) -> bool {
-        now.saturating_sub(self.ended_at) >= TELL_FOR
+    pub(super) fn is_expired(&self, now: Duration) -> bool {
+        now.saturating_sub(self.ended_at) >= RESEND_FOR
     }
 }
--- a/crates/damaskstile-loans/src/lender.rs
+++ b/crates/damaskstile-loans/src/lender.rs
@@ -26,7 +26,7 @@
 /// Lends tokens that this instance's holder may spend.
 #[derive(Debug, Default)]
 pub struct Lender {
-    open: BTreeMap<LoanId, Open>,
+    open: BTreeMap<LoanId, OpenLoan>,
     waiting: Waiting,
     ended: BTreeMap<LoanId, Duration>,
     lent_loans: u64,
@@ -34,7 +34,7 @@
 
 /// A loan that has not ended.
 #[derive(Debug)]
-struct Open {
+struct OpenLoan {
     account: AccountId,
     tokens: u64,
     lent_at: Duration,
@@ -49,7 +49,7 @@
         now: Duration,
         id: LoanId,
         address: SocketAddr,
-        ask: &LoanAsk,
+        request: &LoanAsk,
     ) -> Option<LoanAnswer> {
         if self.ended.contains_key(&id) {
             return None;
@@ -59,15 +59,15 @@
         }
         let is_first = !self.waiting.contains(&id);
         if is_first {
-            holder.note_lending(now, &ask.account);
-            if !ask.is_counted {
-                holder.note_demand(now, &ask.account, ask.tokens, rank(ask));
+            holder.note_lending(now, &request.account);
+            if !request.is_counted {
+                holder.note_demand(now, &request.account, request.tokens, rank(request));
             }
         }
-        let outcome = self.lend(holder, now, &id, ask);
+        let outcome = self.lend(holder, now, &id, request);
         let answer = LoanAnswer::new(&id, outcome);
         if outcome == LoanOutcome::Waiting && is_first {
-            self.waiting.add(now, id, address, ask.clone());
+            self.waiting.add(now, id, address, request.clone());
         } else if outcome != LoanOutcome::Waiting {
             self.waiting.remove(&id);
         }
@@ -81,13 +81,13 @@
         now: Duration,
     ) -> Vec<(SocketAddr, LoanAnswer)> {
         let mut answers = Vec::new();
-        for (id, asked) in self.waiting.take(now, WAIT_MAX) {
-            let outcome = self.lend(holder, now, &id, &asked.ask);
+        for (id, waiting) in self.waiting.take(now, WAIT_MAX) {
+            let outcome = self.lend(holder, now, &id, &waiting.request);
             if outcome == LoanOutcome::Waiting {
-                self.waiting.put_back(id, asked);
+                self.waiting.put_back(id, waiting);
             } else {
                 let answer = LoanAnswer::new(&id, outcome);
-                answers.push((asked.address, answer));
+                answers.push((waiting.address, answer));
             }
         }
         answers
@@ -98,20 +98,20 @@
         holder: &mut Holder,
         now: Duration,
         id: &LoanId,
-        ask: &LoanAsk,
+        request: &LoanAsk,
     ) -> LoanOutcome {
         // The holder sets no bound on an account that it does not know to be prepaid. A lender that
         // has just started knows no accounts yet, and without this check would lend tokens that no
         // instance holds, so that the account is overdrawn.
-        if !holder.is_prepaid(&ask.account) {
+        if !holder.is_prepaid(&request.account) {
             return LoanOutcome::Elsewhere;
         }
-        match holder.try_reserve(now, &ask.account, ask.tokens, rank(ask)) {
+        match holder.try_reserve(now, &request.account, request.tokens, rank(request)) {
             Ok(()) => {
                 self.lent_loans += 1;
-                let loan = Open {
-                    account: ask.account.clone(),
-                    tokens: ask.tokens,
+                let loan = OpenLoan {
+                    account: request.account.clone(),
+                    tokens: request.tokens,
                     lent_at: now,
                 };
                 self.open.insert(id.clone(), loan);
@@ -167,6 +167,6 @@
 }
 
 /// Returns the rank of the requested call; ranks beyond the largest count as the last.
-fn rank(ask: &LoanAsk) -> u8 {
-    u8::try_from(ask.rank).unwrap_or(u8::MAX)
+fn rank(request: &LoanAsk) -> u8 {
+    u8::try_from(request.rank).unwrap_or(u8::MAX)
 }
--- a/crates/damaskstile-loans/src/lender/waiting.rs
+++ b/crates/damaskstile-loans/src/lender/waiting.rs
@@ -13,51 +13,56 @@
 
 /// A request that waits for tokens.
 #[derive(Debug)]
-pub(super) struct WaitingAsk {
+pub(super) struct WaitingRequest {
     pub address: SocketAddr,
-    pub ask: LoanAsk,
-    asked_at: Duration,
+    pub request: LoanAsk,
+    requested_at: Duration,
 }
 
 /// Requests that wait for tokens, in order of arrival.
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
-    asks: VecDeque<(LoanId, WaitingAsk)>,
+    requests: VecDeque<(LoanId, WaitingRequest)>,
 }
 
 impl Waiting {
-    pub(super) fn add(&mut self, now: Duration, id: LoanId, address: SocketAddr, ask: LoanAsk) {
-        if self.asks.len() >= WAITING_MAX {
-            self.asks.pop_front();
+    pub(super) fn add(&mut self, now: Duration, id: LoanId, address: SocketAddr, request: LoanAsk) {
+        if self.requests.len() >= WAITING_MAX {
+            self.requests.pop_front();
         }
-        let waiting = WaitingAsk {
+        let waiting = WaitingRequest {
             address,
-            ask,
-            asked_at: now,
+            request,
+            requested_at: now,
         };
-        self.asks.push_back((id, waiting));
+        self.requests.push_back((id, waiting));
     }
 
     pub(super) fn contains(&self, id: &LoanId) -> bool {
-        self.asks.iter().any(|(one, _)| one == id)
+        self.requests.iter().any(|(one, _)| one == id)
     }
 
     pub(super) fn remove(&mut self, id: &LoanId) {
-        self.asks.retain(|(one, _)| one != id);
+        self.requests.retain(|(one, _)| one != id);
     }
 
     /// Removes all requests and returns those that have not exceeded the longest wait.
-    pub(super) fn take(&mut self, now: Duration, wait_max: Duration) -> Vec<(LoanId, WaitingAsk)> {
-        let is_awaited = |asked: &WaitingAsk| now.saturating_sub(asked.asked_at) < wait_max;
-        let all = self.asks.drain(..);
-        all.filter(|(_, asked)| is_awaited(asked)).collect()
+    pub(super) fn take(
+        &mut self,
+        now: Duration,
+        wait_max: Duration,
+    ) -> Vec<(LoanId, WaitingRequest)> {
+        let is_awaited =
+            |request: &WaitingRequest| now.saturating_sub(request.requested_at) < wait_max;
+        let all = self.requests.drain(..);
+        all.filter(|(_, request)| is_awaited(request)).collect()
     }
 
-    pub(super) fn put_back(&mut self, id: LoanId, asked: WaitingAsk) {
-        self.asks.push_back((id, asked));
+    pub(super) fn put_back(&mut self, id: LoanId, request: WaitingRequest) {
+        self.requests.push_back((id, request));
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.asks.is_empty()
+        self.requests.is_empty()
     }
 }
--- a/crates/damaskstile-loans/src/lib.rs
+++ b/crates/damaskstile-loans/src/lib.rs
@@ -12,14 +12,14 @@
 //! - A loan is a reservation of its lender's [`Holder`](damaskstile_escrow::Holder), as if the call
 //!   ran there. So it lies within what the ledger allows the lender to spend. If the lender ends,
 //!   settling its orphaned entry counts all that it could have reserved by then.
-//! - A loan has a number within its borrower's incarnation. A lender answers a repeated request with
-//!   the same loan, and does not answer a request whose end it has received. A borrower accepts one
-//!   final answer to each request of its own incarnation, while it waits for it; so each loan is
-//!   spent by one call, once.
-//! - A lender takes tokens back only if the borrower reports that the call has finished and how much
-//!   it used, and at most what was lent. Without that report the whole loan counts as used after
-//!   [`LOAN_LIFE`](lender::LOAN_LIFE), on the lender's monotonic clock. A borrower that was suspended
-//!   for longer may still spend its loan, because it is counted already.
+//! - A loan has a number within its borrower's incarnation. A lender answers a repeated request
+//!   with the same loan, and does not answer a request whose end it has received. A borrower
+//!   accepts one final answer to each request of its own incarnation, while it waits for it; so
+//!   each loan is spent by one call, once.
+//! - A lender takes tokens back only if the borrower reports that the call has finished and how
+//!   much it used, and at most what was lent. Without that report the whole loan counts as used
+//!   after [`LOAN_LIFE`](lender::LOAN_LIFE), on the lender's monotonic clock. A borrower that was
+//!   suspended for longer may still spend its loan, because it is counted already.
 //! - A lost message blocks tokens for at most that long: a request that is given up is ended like a
 //!   call that used nothing, and an end is repeated until it is acknowledged.
 //!
--- a/crates/damaskstile-loans/src/loan.rs
+++ b/crates/damaskstile-loans/src/loan.rs
@@ -1,11 +1,11 @@
 //! Messages between a borrower and a lender.
 
 mod answer;
-mod ask;
 mod end;
-mod ends_taken;
+mod ends_ack;
+mod request;
 
 pub use answer::{LoanAnswer, LoanOutcome};
-pub use ask::LoanAsk;
 pub use end::{LoanEnd, LoanEnds};
-pub use ends_taken::LoanEndsTaken;
+pub use ends_ack::LoanEndsTaken;
+pub use request::LoanAsk;
--- a/crates/damaskstile-loans/tests/loans.rs
+++ b/crates/damaskstile-loans/tests/loans.rs
@@ -1,4 +1,4 @@
-//! What a lender and a borrower do with each other's words.
+//! How a lender and a borrower handle each other's messages.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 const ACCOUNT: &str = "a";
 const PREPAID_TOKENS: u64 = 1_000_000;
 const CALL_TOKENS: u64 = 9_000;
-/// Instances and data centres of a large deployment of today.
+/// Instances and data centres of a large deployment.
 const INSTANCES: usize = 295;
 const DATA_CENTRES: usize = 5;
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Makes a holder that has tokens of the account by itself.
+/// Returns a holder that holds tokens of the account itself.
 fn holder() -> Holder {
     let identity = Identity::new("lender", 1, "north");
     let mut holder = Holder::new(identity, "", EscrowOptions::default());
@@ -56,7 +56,7 @@
     holder
 }
 
-fn ask(number: u64) -> LoanAsk {
+fn request(number: u64) -> LoanAsk {
     LoanAsk {
         number,
         account: ACCOUNT.to_owned(),
@@ -71,14 +71,14 @@
 }
 
 fn lend(lender: &mut Lender, holder: &mut Holder, ms: u64, number: u64) -> Option<LoanOutcome> {
-    let answer = lender.ask(holder, at(ms), id(number), address(1), &ask(number));
+    let answer = lender.ask(holder, at(ms), id(number), address(1), &request(number));
     answer.map(|answer| answer.said())
 }
 
 #[test]
-fn an_ask_that_comes_twice_gets_one_loan() {
-    // Symptom: an account's tokens are lent and nobody spends them. Sequence: an answer is late, so
-    // the borrower asks again. Cause: each ask got a loan of its own.
+fn a_repeated_request_gets_one_loan() {
+    // Guards against tokens that are lent and never spent: an answer is late, the borrower repeats
+    // its request, and each request would get a loan.
 
     // Arrange
     let (mut lender, mut holder) = (Lender::default(), holder());
@@ -93,9 +93,9 @@
 }
 
 #[test]
-fn what_a_call_did_not_use_is_free_again_and_an_ask_that_comes_after_the_end_gets_nothing() {
-    // Symptom: tokens are missing for a minute. Sequence: a borrower gives up, and tells so; the
-    // network delivers its second ask after that. Cause: the ask got a loan that nobody ends.
+fn unused_tokens_return_and_a_request_after_the_end_gets_nothing() {
+    // Guards against tokens that are blocked for a minute: a borrower gives up and reports the end,
+    // and the network then delivers its repeated request, which would get a loan that nobody ends.
 
     // Arrange
     let (mut lender, mut holder) = (Lender::default(), holder());
@@ -114,9 +114,9 @@
 
 #[test]
 fn a_lender_that_does_not_know_the_account_lends_nothing() {
-    // Symptom: an account gets more than it bought, a second after all instances were killed.
-    // Sequence: a lender starts anew and is asked before it has read which accounts are prepaid.
-    // Cause: an account that is not known to be prepaid has no bound, so any ask was granted.
+    // Guards against overspending just after all instances were killed: a lender restarts and is
+    // asked before it has read which accounts are prepaid. The holder sets no bound on an account
+    // that it does not know to be prepaid, so any request would be granted.
 
     // Arrange
     let mut lender = Lender::default();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_loan_whose_end_nobody_tells_counts_as_used() {
+fn a_loan_without_a_reported_end_counts_as_used() {
     // Arrange
     let (mut lender, mut holder) = (Lender::default(), holder());
     lend(&mut lender, &mut holder, 10, 1);
@@ -144,7 +144,7 @@
     let expired = lender.expire(&mut holder, at(10) + LOAN_LIFE);
     lender.end(&mut holder, at(20) + LOAN_LIFE, id(1), 0);
 
-    // Assert: a word that comes later brings nothing back.
+    // Assert: an end that is reported later returns nothing.
     assert_eq!((expired, lender.open_loans()), (1, 0));
     assert_eq!(holder.reserved_tokens(ACCOUNT), 0);
     let claimed = holder.next_round(at(20) + LOAN_LIFE, &stamp()).unwrap();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn an_ask_waits_for_the_store_and_is_answered_once_there_are_tokens() {
+fn a_request_waits_for_the_store_and_is_answered_with_tokens() {
     // Arrange: the lender has nothing yet.
     let mut lender = Lender::default();
     let identity = Identity::new("lender", 1, "north");
@@ -177,9 +177,9 @@
 }
 
 #[test]
-fn an_answer_to_an_ask_that_was_given_up_brings_nothing_and_its_end_is_told_until_confirmed() {
-    // Symptom: two calls spend one loan. Sequence: a call gives up its ask; the answer comes late.
-    // Cause: the answer was kept for whichever call asks next.
+fn a_late_answer_brings_nothing_and_ends_repeat_until_acknowledged() {
+    // Guards against two calls that spend one loan: a call gives up its request and the answer
+    // comes late. It must not be kept for the next call.
 
     // Arrange
     let mut borrower = Borrower::new(7);
@@ -189,7 +189,7 @@
     // Act
     let lender = candidate(1).instance;
     let is_news = borrower.hear(&lender, &LoanAnswer::new(&id(number), LoanOutcome::Lent));
-    let told = [50, 60, 400].map(|ms| borrower.ends_due(at(ms)).len());
+    let sent = [50, 60, 400].map(|ms| borrower.ends_due(at(ms)).len());
     let taken = |incarnation| LoanEndsTaken {
         numbers: vec![number],
         incarnation,
@@ -202,15 +202,15 @@
     // Assert
     assert!(!is_news);
     assert_eq!(borrower.outcome(number), None);
-    assert_eq!(told, [1, 0, 1]);
+    assert_eq!(sent, [1, 0, 1]);
     assert!(!is_settled_by_another && borrower.is_settled());
 }
 
 #[test]
-fn an_answer_to_the_incarnation_before_brings_nothing() {
-    // Symptom: an account gets more than it bought. Sequence: a borrower asks for a short call's
-    // tokens and is killed; its successor asks for a long call's, and numbers begin anew; the answer
-    // to the first ask comes late. Cause: answers did not say which incarnation they were for.
+fn an_answer_to_an_earlier_incarnation_brings_nothing() {
+    // Guards against overspending: a borrower requests a short call's tokens and is killed. Its
+    // successor requests a long call's tokens under the same number, and then the answer to the
+    // first request arrives. Answers must name the incarnation that they are for.
 
     // Arrange
     let mut successor = Borrower::new(8);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_lender_that_was_silent_is_passed_over_for_longer_each_time_until_it_is_heard() {
+fn an_unresponsive_lender_is_skipped_for_doubling_times() {
     // Arrange
     let mut borrower = Borrower::new(7);
     let is_silent = |borrower: &Borrower, ms| borrower.is_silent(at(ms), "i001");
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn all_instances_of_a_data_centre_ask_the_same_lenders_and_few_move_with_an_instance() {
+fn lenders_are_the_same_in_a_data_centre_and_few_accounts_move() {
     // Arrange
     let before = Placement::new(candidates());
     let left: Vec<Candidate> = candidates().into_iter().skip(1).collect();
--- a/crates/damaskstile-loans/tests/together.rs
+++ b/crates/damaskstile-loans/tests/together.rs
@@ -1,5 +1,5 @@
-//! Lenders and borrowers whose messages get lost, held up, doubled and turned round, whose
-//! processes die and whose store loses answers: spend never exceeds what was bought.
+//! Lenders and borrowers whose messages are lost, delayed, duplicated and reordered, whose
+//! processes end and whose store loses answers: spend never exceeds what was bought.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,53 +17,55 @@
 const ACCOUNT: &str = "a";
 const PREPAID_TOKENS: u64 = 2_500;
 const INSTANCES: usize = 4;
-/// Steps of one case.
+/// Steps of one proptest case.
 const STEPS: usize = 240;
-/// Cases that run always: enough to meet every pair of faults many times within a second.
+/// Default number of cases: enough to meet every pair of faults many times, within a second.
 const CASES: u32 = 400;
-/// Variable that sets another number of cases, for longer runs by hand.
+/// Environment variable that sets another number of cases, for longer manual runs.
 const CASES_VARIABLE: &str = "DAMASKSTILE_CASES";
 
-/// `Step` is one thing that happens.
+/// One event of the simulation.
 #[derive(Debug, Clone)]
 enum Step {
-    /// An instance asks another for a call's tokens.
+    /// An instance requests a call's tokens from another.
     Borrow(usize, usize, u64),
-    /// A call of its own, at an instance that holds tokens.
+    /// An instance that holds tokens reserves them for a call itself.
     Reserve(usize, u64),
-    /// The oldest call of an instance ends with a part of its tokens used.
+    /// The oldest call of an instance finishes with a percentage of its tokens used.
     Finish(usize, u64),
-    /// An instance no longer waits for its oldest ask.
+    /// An instance gives up its oldest request.
     GiveUp(usize),
-    /// An ask is sent once more.
-    AskAgain(usize),
-    /// A message arrives; a copy of it may stay under way.
+    /// The oldest request of an instance is sent again.
+    RepeatRequest(usize),
+    /// A message arrives; a copy of it may stay in flight.
     Deliver(usize, bool),
     /// A message gets lost.
     Lose(usize),
-    /// An instance tells which of its loans are over.
-    TellEnds(usize),
-    /// An instance looks again at asks that wait for tokens, and at loans that nobody ends.
-    LendLater(usize),
+    /// An instance reports which of its loans have ended.
+    SendEnds(usize),
+    /// An instance retries the requests that wait for tokens, and expires loans whose end was not
+    /// reported.
+    RetryWaiting(usize),
     /// An instance writes to the ledger; the answer may get lost.
     Write(usize, bool),
-    /// An instance learns which accounts are prepaid, if it has started anew, and reads the ledger.
+    /// An instance learns which accounts are prepaid, if it has restarted, and reads the ledger.
     Read(usize),
-    /// An instance's process is killed, or it loses power, and it comes back with nothing.
+    /// An instance's process is killed, or its machine loses power (`true`), and it restarts
+    /// without state.
     Restart(usize, bool),
-    /// Time goes by.
+    /// Time elapses.
     Time(u64),
 }
 
 #[derive(Debug, Clone)]
 enum Body {
-    Ask(LoanAsk),
+    Request(LoanAsk),
     Answer(LoanAnswer),
     Ends(LoanEnds),
     EndsTaken(LoanEndsTaken),
 }
 
-/// `Message` is under way between two instances.
+/// A message in flight between two instances.
 #[derive(Debug, Clone)]
 struct Message {
     from: usize,
@@ -72,7 +74,7 @@
     body: Body,
 }
 
-/// Where a call has its tokens from.
+/// Source of a call's tokens.
 #[derive(Debug, Clone, Copy)]
 enum Source {
     Own,
@@ -85,23 +87,23 @@
     holder: Holder,
     lender: Lender,
     borrower: Borrower,
-    /// Asks without a loan: the message, and what its call needs.
-    asks: VecDeque<(Message, u64)>,
-    /// Calls that run, with their tokens.
+    /// Requests without a loan: the message and the tokens of its call.
+    requests: VecDeque<(Message, u64)>,
+    /// Calls in progress, with their tokens.
     calls: VecDeque<(Source, u64)>,
 }
 
 #[derive(Debug)]
-struct World {
+struct Simulation {
     now: Duration,
     version: Version,
     ledger: Ledger,
     instances: Vec<Instance>,
-    mail: Vec<Message>,
+    in_flight: Vec<Message>,
     incarnation: Incarnation,
-    /// Difference of an instance's boot clock; a loss of power changes it.
+    /// Offsets of the instances' boot clocks; a loss of power changes them.
     boot_offsets_ms: [u64; INSTANCES],
-    /// What targets truly ran: the truth to compare with.
+    /// Tokens that targets actually used, to compare the ledger with.
     spent_tokens: u64,
 }
 
@@ -117,23 +119,23 @@
     holder.set_prepaid(1, BTreeMap::from([(ACCOUNT.to_owned(), PREPAID_TOKENS)]));
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: Duration::ZERO,
             version: 0,
             ledger: Ledger::default(),
             instances: Vec::new(),
-            mail: Vec::new(),
+            in_flight: Vec::new(),
             incarnation: 0,
             boot_offsets_ms: [70_000, 9_000, 500_000, 0],
             spent_tokens: 0,
         };
         for index in 0..INSTANCES {
-            let instance = world.new_instance(index);
-            world.instances.push(instance);
+            let instance = simulation.new_instance(index);
+            simulation.instances.push(instance);
         }
-        world
+        simulation
     }
 
     fn new_instance(&mut self, index: usize) -> Instance {
@@ -152,7 +154,7 @@
             holder,
             lender: Lender::default(),
             borrower: Borrower::new(self.incarnation),
-            asks: VecDeque::new(),
+            requests: VecDeque::new(),
             calls: VecDeque::new(),
         }
     }
@@ -173,37 +175,37 @@
             Step::Finish(index, part) => self.finish(index, part),
             Step::GiveUp(index) => {
                 let instance = &mut self.instances[index];
-                if let Some((message, _)) = instance.asks.pop_front() {
+                if let Some((message, _)) = instance.requests.pop_front() {
                     instance.borrower.end(now, number_of(&message), 0);
                 }
             }
-            Step::AskAgain(index) => {
-                let again = self.instances[index].asks.front().cloned();
-                self.mail.extend(again.map(|(message, _)| message));
+            Step::RepeatRequest(index) => {
+                let again = self.instances[index].requests.front().cloned();
+                self.in_flight.extend(again.map(|(message, _)| message));
             }
-            Step::Deliver(index, is_doubled) => {
-                if !self.mail.is_empty() {
-                    let at = index % self.mail.len();
-                    let message = if is_doubled {
-                        self.mail[at].clone()
+            Step::Deliver(index, is_duplicated) => {
+                if !self.in_flight.is_empty() {
+                    let at = index % self.in_flight.len();
+                    let message = if is_duplicated {
+                        self.in_flight[at].clone()
                     } else {
-                        self.mail.swap_remove(at)
+                        self.in_flight.swap_remove(at)
                     };
                     self.deliver(message);
                 }
             }
             Step::Lose(index) => {
-                if !self.mail.is_empty() {
-                    let at = index % self.mail.len();
-                    self.mail.swap_remove(at);
+                if !self.in_flight.is_empty() {
+                    let at = index % self.in_flight.len();
+                    self.in_flight.swap_remove(at);
                 }
             }
-            Step::TellEnds(index) => {
+            Step::SendEnds(index) => {
                 for (to, ends) in self.instances[index].borrower.ends_due(now) {
                     self.send(index, to, Body::Ends(ends));
                 }
             }
-            Step::LendLater(index) => {
+            Step::RetryWaiting(index) => {
                 let Instance { lender, holder, .. } = &mut self.instances[index];
                 lender.expire(holder, now);
                 for (to, answer) in lender.ask_again(holder, now) {
@@ -224,7 +226,7 @@
     fn send(&mut self, from: usize, to: SocketAddr, body: Body) {
         let to = (0..INSTANCES).find(|index| address(*index) == to).unwrap();
         let incarnation = self.instances[from].incarnation;
-        self.mail.push(Message {
+        self.in_flight.push(Message {
             from,
             incarnation,
             to,
@@ -238,30 +240,30 @@
         }
         let lender = Candidate::new(&name(to), address(to), "north");
         let instance = &mut self.instances[from];
-        let ask = instance.borrower.ask(&lender, ACCOUNT, tokens, 0);
+        let request = instance.borrower.ask(&lender, ACCOUNT, tokens, 0);
         let message = Message {
             from,
             incarnation: instance.incarnation,
             to,
-            body: Body::Ask(ask),
+            body: Body::Request(request),
         };
-        instance.asks.push_back((message.clone(), tokens));
-        self.mail.push(message);
+        instance.requests.push_back((message.clone(), tokens));
+        self.in_flight.push(message);
     }
 
-    /// Starts the calls whose tokens were lent, and lets those go that got none.
+    /// Starts the calls whose tokens were lent, and ends the requests that got none.
     fn start_calls(&mut self) {
         let now = self.now;
         for instance in &mut self.instances {
-            let asks = std::mem::take(&mut instance.asks);
-            for (message, tokens) in asks {
+            let requests = std::mem::take(&mut instance.requests);
+            for (message, tokens) in requests {
                 let number = number_of(&message);
                 match instance.borrower.outcome(number) {
                     Some(LoanOutcome::Lent) => {
                         instance.calls.push_back((Source::Loan(number), tokens));
                     }
                     None | Some(LoanOutcome::Waiting) => {
-                        instance.asks.push_back((message, tokens));
+                        instance.requests.push_back((message, tokens));
                     }
                     Some(_) => instance.borrower.end(now, number, 0),
                 }
@@ -298,9 +300,9 @@
             ..
         } = &mut self.instances[to];
         match body {
-            Body::Ask(ask) => {
-                let id = LoanId::new(&name(from), incarnation, ask.number);
-                let answer = lender.ask(holder, now, id, address(from), &ask);
+            Body::Request(request) => {
+                let id = LoanId::new(&name(from), incarnation, request.number);
+                let answer = lender.ask(holder, now, id, address(from), &request);
                 if let Some(answer) = answer {
                     self.send(to, address(from), Body::Answer(answer));
                 }
@@ -363,7 +365,7 @@
             let offset = &mut self.boot_offsets_ms[index];
             *offset = offset.wrapping_mul(31).wrapping_add(7_919) % 1_000_000;
         }
-        // All that ran is spent in full, since nobody was there to count.
+        // All calls in progress are spent in full, since no process counted their use.
         let calls = std::mem::take(&mut self.instances[index].calls);
         self.spent_tokens += calls.iter().map(|(_, tokens)| tokens).sum::<u64>();
         self.instances[index] = self.new_instance(index);
@@ -392,8 +394,8 @@
 
 fn number_of(message: &Message) -> LoanNumber {
     match &message.body {
-        Body::Ask(ask) => ask.number,
-        other => panic!("no ask: {other:?}"),
+        Body::Request(request) => request.number,
+        other => panic!("not a request: {other:?}"),
     }
 }
 
@@ -406,12 +408,12 @@
             .prop_map(|(index, tokens)| Step::Reserve(index, tokens)),
         6 => (instance.clone(), 0..=100_u64).prop_map(|(index, part)| Step::Finish(index, part)),
         2 => instance.clone().prop_map(Step::GiveUp),
-        2 => instance.clone().prop_map(Step::AskAgain),
+        2 => instance.clone().prop_map(Step::RepeatRequest),
         16 => (0..64_usize, prop::bool::weighted(0.2))
-            .prop_map(|(index, is_doubled)| Step::Deliver(index, is_doubled)),
+            .prop_map(|(index, is_duplicated)| Step::Deliver(index, is_duplicated)),
         1 => (0..64_usize).prop_map(Step::Lose),
-        4 => instance.clone().prop_map(Step::TellEnds),
-        2 => instance.clone().prop_map(Step::LendLater),
+        4 => instance.clone().prop_map(Step::SendEnds),
+        2 => instance.clone().prop_map(Step::RetryWaiting),
         6 => (instance.clone(), prop::bool::weighted(0.2))
             .prop_map(|(index, is_answer_lost)| Step::Write(index, is_answer_lost)),
         2 => instance.clone().prop_map(Step::Read),
@@ -432,10 +434,10 @@
         ..Config::default()
     };
     proptest!(config, |(steps in steps())| {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.take(step);
-            world.check();
+            simulation.take(step);
+            simulation.check();
         }
     });
 }
