--- a/crates/damaskstile-escrow/src/entry.rs
+++ b/crates/damaskstile-escrow/src/entry.rs
@@ -3,8 +3,8 @@
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
+use crate::spend_limits::SpendLimits;
 use crate::stamp::Stamp;
-use crate::sums::Sums;
 use crate::unlock_rate::{UnlockRate, Unlocked};
 
 /// One instance's entry in the ledger.
@@ -42,7 +42,7 @@
 
 impl HolderEntry {
     /// Returns all maps whose values are numbers of tokens.
-    pub(crate) fn token_sums(&self) -> [&BTreeMap<AccountId, u64>; 5] {
+    pub(crate) fn token_maps(&self) -> [&BTreeMap<AccountId, u64>; 5] {
         [
             &self.grants_tokens,
             &self.ceilings_tokens,
@@ -64,10 +64,10 @@
 
     /// Returns what the incarnation may spend of an account, counted from its start.
     #[must_use]
-    pub fn sums(&self, account: &str) -> Sums {
-        let of = |sums: &BTreeMap<AccountId, u64>| sums.get(account).copied().unwrap_or(0);
+    pub fn spend_limits(&self, account: &str) -> SpendLimits {
+        let of = |map: &BTreeMap<AccountId, u64>| map.get(account).copied().unwrap_or(0);
         let settled_tokens = of(&self.settled_tokens);
-        Sums {
+        SpendLimits {
             allowed_tokens: settled_tokens + of(&self.grants_tokens),
             ceiling_tokens: settled_tokens + of(&self.ceilings_tokens),
             settled_tokens,
--- a/crates/damaskstile-escrow/src/holder.rs
+++ b/crates/damaskstile-escrow/src/holder.rs
@@ -21,8 +21,8 @@
 use crate::overview::Overview;
 use crate::report::Report;
 use crate::shortage::Shortage;
+use crate::spend_limits::SpendLimits;
 use crate::stamp::Stamp;
-use crate::sums::Sums;
 use crate::unlock_rate::UnlockRate;
 
 use pending::Pending;
@@ -307,20 +307,20 @@
 
     /// Returns the smallest amounts that any possible outcome of the pending writes leaves of an
     /// account, without what time unlocks.
-    fn least_sums(&self, account: &str) -> Sums {
+    fn least_limits(&self, account: &str) -> SpendLimits {
         let committed = self
             .balances
             .get(account)
-            .map_or_else(Sums::default, |balance| Sums {
+            .map_or_else(SpendLimits::default, |balance| SpendLimits {
                 allowed_tokens: balance.allowed_tokens,
                 ceiling_tokens: balance.ceiling_tokens,
                 settled_tokens: balance.settled_tokens,
             });
         self.pending.iter().fold(committed, |least, pending| {
-            let sums = pending.sums.get(account).copied().unwrap_or_default();
-            Sums {
-                allowed_tokens: least.allowed_tokens.min(sums.allowed_tokens),
-                ceiling_tokens: least.ceiling_tokens.min(sums.ceiling_tokens),
+            let limits = pending.limits.get(account).copied().unwrap_or_default();
+            SpendLimits {
+                allowed_tokens: least.allowed_tokens.min(limits.allowed_tokens),
+                ceiling_tokens: least.ceiling_tokens.min(limits.ceiling_tokens),
                 settled_tokens: least.settled_tokens,
             }
         })
--- a/crates/damaskstile-escrow/src/holder/merge.rs
+++ b/crates/damaskstile-escrow/src/holder/merge.rs
@@ -77,7 +77,7 @@
             let all = self.prepaid_tokens.iter();
             return all.map(|(account, prepaid)| (account, *prepaid)).collect();
         }
-        let of_entry = before.token_sums().into_iter().flat_map(BTreeMap::keys);
+        let of_entry = before.token_maps().into_iter().flat_map(BTreeMap::keys);
         let named: BTreeSet<&AccountId> = of_entry.chain(report.claims.keys()).collect();
         let known = named.into_iter();
         known
@@ -94,7 +94,7 @@
         account: &AccountId,
         prepaid: u64,
     ) {
-        let of = |sums: &BTreeMap<AccountId, u64>| sums.get(account).copied().unwrap_or(0);
+        let of = |map: &BTreeMap<AccountId, u64>| map.get(account).copied().unwrap_or(0);
         let claim = report.claims.get(account).copied().unwrap_or_default();
         let settled_before = of(&before.settled_tokens);
         let used = claim.used_tokens.max(settled_before);
@@ -140,9 +140,9 @@
             .min(allowed)
             .max(used);
 
-        let put = |sums: &mut BTreeMap<AccountId, u64>, value: u64| {
+        let put = |map: &mut BTreeMap<AccountId, u64>, value: u64| {
             if value > 0 {
-                sums.insert(account.clone(), value);
+                map.insert(account.clone(), value);
             }
         };
         put(&mut entry.settled_tokens, used);
@@ -206,11 +206,11 @@
             self.target_tokens(&need)
         };
         let ahead = self.ahead_tokens(&need, target);
-        let standing = self.least_sums(account);
+        let least = self.least_limits(account);
         let needed = claim.needed_tokens;
-        let covered = needed.min(standing.allowed_tokens);
-        claim.kept_tokens = standing.allowed_tokens.min(needed + target);
-        claim.ceiling_tokens = standing
+        let covered = needed.min(least.allowed_tokens);
+        claim.kept_tokens = least.allowed_tokens.min(needed + target);
+        claim.ceiling_tokens = least
             .ceiling_tokens
             .min(needed + ahead)
             .max(covered)
--- a/crates/damaskstile-escrow/src/holder/pending.rs
+++ b/crates/damaskstile-escrow/src/holder/pending.rs
@@ -2,7 +2,7 @@
 
 use damaskstile_core::prelude::*;
 
-use crate::sums::Sums;
+use crate::spend_limits::SpendLimits;
 use crate::unlock_rate::UnlockRate;
 
 /// A write or a report whose outcome is unknown.
@@ -15,13 +15,13 @@
     pub made_at: Duration,
     pub unlock_rate: UnlockRate,
     /// Smallest amounts that it leaves of each account if it takes effect.
-    pub sums: BTreeMap<AccountId, Sums>,
+    pub limits: BTreeMap<AccountId, SpendLimits>,
 }
 
 impl Pending {
     pub(super) fn allowed(&self, now: Duration, account: &str) -> u64 {
         let unlocked = self.unlock_rate.unlocked(now.saturating_sub(self.made_at));
-        let sums = self.sums.get(account).copied().unwrap_or_default();
-        unlocked.of(sums.ceiling_tokens, sums.allowed_tokens)
+        let limits = self.limits.get(account).copied().unwrap_or_default();
+        unlocked.of(limits.ceiling_tokens, limits.allowed_tokens)
     }
 }
--- a/crates/damaskstile-escrow/src/holder/reports.rs
+++ b/crates/damaskstile-escrow/src/holder/reports.rs
@@ -14,8 +14,8 @@
 use crate::receipt::{AccountReceipt, Receipt};
 use crate::receipt_scope::ReceiptScope;
 use crate::report::Report;
+use crate::spend_limits::SpendLimits;
 use crate::stamp::Stamp;
-use crate::sums::Sums;
 
 /// Time without an answer after which a report is in doubt: two rounds of the writer and a store
 /// call.
@@ -92,20 +92,20 @@
         self.round_at = Some(now);
         self.is_short = false;
         let report = self.make_report(now, stamp);
-        let sums = report.claims.iter().map(|(account, claim)| {
-            let sums = Sums {
+        let limits = report.claims.iter().map(|(account, claim)| {
+            let limits = SpendLimits {
                 allowed_tokens: claim.kept_tokens,
                 ceiling_tokens: claim.ceiling_tokens,
                 settled_tokens: claim.used_tokens,
             };
-            (account.clone(), sums)
+            (account.clone(), limits)
         });
         self.pending.push(Pending {
             number: report.number,
             expected_version: None,
             made_at: now,
             unlock_rate: report.unlock_rate,
-            sums: sums.collect(),
+            limits: limits.collect(),
         });
         self.outstanding = Some(Outstanding {
             report: report.clone(),
@@ -155,21 +155,21 @@
     fn receipt(&self, totals: &Overview, instance: &str, reported: &ReceiptScope) -> Receipt {
         let entry = self.ledger.holders.get(instance);
         let is_predecessor = entry.is_some_and(|entry| entry.incarnation != reported.incarnation);
-        let of_entry = entry.into_iter().flat_map(HolderEntry::token_sums);
+        let of_entry = entry.into_iter().flat_map(HolderEntry::token_maps);
         let of_entry = of_entry.flat_map(BTreeMap::keys);
         let accounts: BTreeSet<&AccountId> = match &reported.accounts {
             Some(accounts) => of_entry.chain(accounts).collect(),
             None => self.prepaid_tokens.keys().collect(),
         };
         let accounts = accounts.into_iter().map(|account| {
-            let of = |sums: &BTreeMap<AccountId, u64>| sums.get(account).copied().unwrap_or(0);
+            let of = |map: &BTreeMap<AccountId, u64>| map.get(account).copied().unwrap_or(0);
             let view = totals.account(account);
             let own_demand = entry.map_or(0, |entry| of(&entry.demand_tokens_per_s));
             let own_urgent = entry.map_or(0, |entry| of(&entry.urgent_tokens_per_s));
             let receipt = AccountReceipt {
                 own: entry
-                    .map(|entry| entry.sums(account))
-                    .filter(|sums| *sums != Sums::default()),
+                    .map(|entry| entry.spend_limits(account))
+                    .filter(|limits| *limits != SpendLimits::default()),
                 settled_tokens: view.settled_tokens,
                 granted_tokens: view.granted_tokens,
                 others_tokens_per_s: view.others_tokens_per_s.saturating_sub(own_demand),
@@ -223,9 +223,9 @@
         // Accounts that the receipt does not name have nothing stored for this instance.
         let own = |account: &AccountId| receipt.accounts.get(account)?.own;
         let accounts = self.balances.keys().chain(receipt.accounts.keys());
-        let sums = accounts.map(|account| (account.clone(), own(account).unwrap_or_default()));
-        let sums = sums.collect();
-        self.commit(now, receipt.number, sums);
+        let limits = accounts.map(|account| (account.clone(), own(account).unwrap_or_default()));
+        let limits = limits.collect();
+        self.commit(now, receipt.number, limits);
         true
     }
 
--- a/crates/damaskstile-escrow/src/holder/round.rs
+++ b/crates/damaskstile-escrow/src/holder/round.rs
@@ -14,8 +14,8 @@
 use crate::receipt_scope::ReceiptScope;
 use crate::report::Report;
 use crate::settlement::Settlement;
+use crate::spend_limits::SpendLimits;
 use crate::stamp::Stamp;
-use crate::sums::Sums;
 
 /// Divisor of a grant: a change of more than this part of the grant is worth a write. With smaller
 /// changes, every instance would write in every round.
@@ -85,12 +85,12 @@
         let own = &self.identity.instance;
         self.overview = Overview::of_ledger(&ledger, own);
         let entry = ledger.holders.get(own);
-        let standing = entry.filter(|entry| entry.incarnation == self.identity.incarnation);
-        if let Some(entry) = standing {
+        let own_entry = entry.filter(|entry| entry.incarnation == self.identity.incarnation);
+        if let Some(entry) = own_entry {
             let accounts = self.balances.keys().chain(entry.grants_tokens.keys());
-            let sums = accounts.map(|account| (account.clone(), entry.sums(account)));
-            let (round, sums) = (entry.round, sums.collect());
-            self.commit(now, round, sums);
+            let limits = accounts.map(|account| (account.clone(), entry.spend_limits(account)));
+            let (round, limits) = (entry.round, limits.collect());
+            self.commit(now, round, limits);
         } else {
             self.follows = entry.map_or(0, |entry| entry.incarnation);
             if is_first {
@@ -243,7 +243,12 @@
     }
 
     /// Applies what the ledger contains for this incarnation.
-    pub(super) fn commit(&mut self, now: Duration, number: u64, sums: BTreeMap<AccountId, Sums>) {
+    pub(super) fn commit(
+        &mut self,
+        now: Duration,
+        number: u64,
+        limits: BTreeMap<AccountId, SpendLimits>,
+    ) {
         if number <= self.committed_number {
             return;
         }
@@ -255,11 +260,11 @@
         self.committed_at = pending.map_or(now, |pending| pending.made_at);
         self.committed_unlock_rate =
             pending.map_or(self.unlock_rate(), |pending| pending.unlock_rate);
-        for (account, sums) in sums {
+        for (account, limits) in limits {
             let balance = self.balances.entry(account).or_default();
-            balance.allowed_tokens = sums.allowed_tokens;
-            balance.ceiling_tokens = sums.ceiling_tokens;
-            balance.settled_tokens = sums.settled_tokens;
+            balance.allowed_tokens = limits.allowed_tokens;
+            balance.ceiling_tokens = limits.ceiling_tokens;
+            balance.settled_tokens = limits.settled_tokens;
         }
         self.pending.retain(|pending| pending.number > number);
     }
@@ -337,10 +342,10 @@
             reported.insert(report.instance, of);
         }
         let entry = ledger.holders.get(&self.identity.instance);
-        let sums = entry.map_or_else(BTreeMap::new, |entry| {
+        let limits = entry.map_or_else(BTreeMap::new, |entry| {
             let accounts = self.prepaid_tokens.keys();
             accounts
-                .map(|account| (account.clone(), entry.sums(account)))
+                .map(|account| (account.clone(), entry.spend_limits(account)))
                 .collect()
         });
         self.pending.push(Pending {
@@ -348,7 +353,7 @@
             expected_version: Some(expected_version),
             made_at: now,
             unlock_rate: own.unlock_rate,
-            sums,
+            limits,
         });
         Round {
             number: own.number,
--- a/crates/damaskstile-escrow/src/ledger.rs
+++ b/crates/damaskstile-escrow/src/ledger.rs
@@ -188,7 +188,7 @@
     fn sum_tokens(&self) -> Option<u64> {
         let entries = self.holders.values().chain(self.orphaned_entries.values());
         entries
-            .flat_map(HolderEntry::token_sums)
+            .flat_map(HolderEntry::token_maps)
             .chain([&self.settled_tokens])
             .flat_map(BTreeMap::values)
             .try_fold(0_u64, |sum, tokens| sum.checked_add(*tokens))
--- a/crates/damaskstile-escrow/src/lib.rs
+++ b/crates/damaskstile-escrow/src/lib.rs
@@ -20,8 +20,8 @@
 pub mod report;
 pub mod settlement;
 pub mod shortage;
+pub mod spend_limits;
 pub mod stamp;
-pub mod sums;
 pub mod unlock_rate;
 
 pub use account_totals::AccountTotals;
@@ -38,6 +38,6 @@
 pub use report::Report;
 pub use settlement::Settlement;
 pub use shortage::Shortage;
+pub use spend_limits::SpendLimits;
 pub use stamp::Stamp;
-pub use sums::Sums;
 pub use unlock_rate::UnlockRate;
--- a/crates/damaskstile-escrow/src/options.rs
+++ b/crates/damaskstile-escrow/src/options.rs
@@ -12,7 +12,8 @@
     /// another instance.
     pub small_fleet: u32,
     /// Factor by which the intervals between rounds are longer in a large fleet, in which one
-    /// instance writes for all.
+    /// instance writes for all. It also scales [`ceiling`](Self::ceiling) and
+    /// [`unlock_after`](Self::unlock_after).
     pub large_interval_scale: u32,
     /// Time between two rounds while tokens are short in a large fleet. The ledger of 80 instances
     /// is about 50 KB, so ten writes a second take 4 Mbit/s.
--- a/crates/damaskstile-escrow/src/receipt.rs
+++ b/crates/damaskstile-escrow/src/receipt.rs
@@ -2,7 +2,7 @@
 
 use damaskstile_core::prelude::*;
 
-use crate::sums::Sums;
+use crate::spend_limits::SpendLimits;
 
 /// Tells an instance what the ledger contains for it and for its accounts.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
@@ -43,7 +43,7 @@
 pub struct AccountReceipt {
     /// What the instance may spend; `None` if nothing is stored for it.
     #[prost(message, optional, tag = "1")]
-    pub own: Option<Sums>,
+    pub own: Option<SpendLimits>,
     /// Tokens that count as spent, at all instances.
     #[prost(uint64, tag = "2")]
     pub settled_tokens: u64,
--- a/crates/damaskstile-escrow/src/sums.rs
+++ b/crates/damaskstile-escrow/src/spend_limits.rs
@@ -2,7 +2,7 @@
 
 /// What one incarnation may spend of an account, in tokens since its start.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
-pub struct Sums {
+pub struct SpendLimits {
     /// Total that it may spend.
     #[prost(uint64, tag = "1")]
     pub allowed_tokens: u64,
--- a/crates/damaskstile-escrow/tests/reports.rs
+++ b/crates/damaskstile-escrow/tests/reports.rs
@@ -369,7 +369,7 @@
     }
     fleet.round(1_100);
     fleet.writer.ledger().holders["m03"]
-        .sums(ACCOUNT)
+        .spend_limits(ACCOUNT)
         .allowed_tokens
 }
 
--- a/crates/damaskstile-escrow/tests/support/world.rs
+++ b/crates/damaskstile-escrow/tests/support/world.rs
@@ -88,17 +88,17 @@
 }
 
 impl Store {
-    fn standing(&self) -> (u64, Ledger) {
+    fn latest(&self) -> (u64, Ledger) {
         self.ledgers.last().cloned().unwrap_or_default()
     }
 
     fn ledger(&self) -> Ledger {
-        self.standing().1
+        self.latest().1
     }
 
     /// Returns the version of the ledger, as an answer of the current history states it.
     fn version(&self) -> Version {
-        match self.standing().0 {
+        match self.latest().0 {
             0 => 0,
             revision => (self.history << REVISION_BITS) | revision,
         }
@@ -106,8 +106,8 @@
 
     /// Applies a write whose condition holds. The store compares revisions and knows no histories.
     fn write(&mut self, round: &Round) -> bool {
-        let (standing, ledger) = self.standing();
-        if revision(round.expected_version) != standing {
+        let (latest, ledger) = self.latest();
+        if revision(round.expected_version) != latest {
             return false;
         }
         // An instance must never mistake another's valid write for that of a different writer. A
@@ -123,7 +123,7 @@
     fn rewind(&mut self, writes: usize, revisions: u64) {
         let left = self.ledgers.len().saturating_sub(writes);
         self.ledgers.truncate(left);
-        self.revision = self.standing().0 + revisions;
+        self.revision = self.latest().0 + revisions;
         self.history += 1;
     }
 }
