--- a/crates/damaskstile-escrow/src/holder/merge.rs
+++ b/crates/damaskstile-escrow/src/holder/merge.rs
@@ -1,21 +1,22 @@
-//! `merge` enters reports into a ledger.
+//! Enters reports into a ledger.
 
 use damaskstile_core::prelude::*;
 
 use super::Holder;
 use super::plan::Need;
+use crate::balance::Balance;
 use crate::claim::Claim;
 use crate::entry::HolderEntry;
 use crate::ledger::Ledger;
 use crate::overview::Overview;
-use crate::purse::Purse;
 use crate::report::Report;
 use crate::settlement::Settlement;
 use crate::stamp::Stamp;
 
 impl Holder {
-    /// Enters a report into a ledger, unless it is outdated: the instance's incarnations follow on
-    /// each other, and within one the numbers rise. `totals` are the ledger's, and kept up to date.
+    /// Enters a report into a ledger, unless it is outdated: each incarnation of an instance names
+    /// its predecessor, and numbers increase within an incarnation. `totals` belong to the ledger
+    /// and are kept up to date.
     pub(super) fn merge(
         &self,
         ledger: &mut Ledger,
@@ -29,14 +30,14 @@
                 return Vec::new();
             }
         } else if listed_incarnation == report.follows {
-            ledger.close(&report.instance);
+            ledger.orphan(&report.instance);
         } else {
             return Vec::new();
         }
         if report.history >= ledger.history {
             ledger.confirm(&report.instance);
         }
-        let settlements = self.settle_estates(ledger, report);
+        let settlements = self.settle_orphaned_entries(ledger, report);
         if !settlements.is_empty() {
             *totals = Overview::of_ledger(ledger, "");
         }
@@ -46,7 +47,7 @@
             incarnation: report.incarnation,
             round: report.number,
             stamp: report.stamp.clone(),
-            pace: report.pace,
+            unlock_rate: report.unlock_rate,
             address: report.address.clone(),
             data_centre: report.data_centre.clone(),
             ..HolderEntry::default()
@@ -64,9 +65,9 @@
         settlements
     }
 
-    /// Returns the accounts that a report changes anything of, with what they have bought. In a large
-    /// fleet that is what it tells of and what stands for its sender; in a small one each instance
-    /// gets a part of all.
+    /// Returns the accounts of which a report may change anything, with their prepaid tokens. In a
+    /// large fleet these are the accounts that the report or the sender's entry names; in a small
+    /// one, where every instance gets a part of each account, all accounts.
     fn accounts_to_enter<'a>(
         &'a self,
         before: &'a HolderEntry,
@@ -76,7 +77,7 @@
             let all = self.prepaid_tokens.iter();
             return all.map(|(account, prepaid)| (account, *prepaid)).collect();
         }
-        let of_entry = before.token_sums().into_iter().flat_map(BTreeMap::keys);
+        let of_entry = before.token_maps().into_iter().flat_map(BTreeMap::keys);
         let named: BTreeSet<&AccountId> = of_entry.chain(report.claims.keys()).collect();
         let known = named.into_iter();
         known
@@ -93,13 +94,13 @@
         account: &AccountId,
         prepaid: u64,
     ) {
-        let of = |sums: &BTreeMap<AccountId, u64>| sums.get(account).copied().unwrap_or(0);
+        let of = |map: &BTreeMap<AccountId, u64>| map.get(account).copied().unwrap_or(0);
         let claim = report.claims.get(account).copied().unwrap_or_default();
         let settled_before = of(&before.settled_tokens);
         let used = claim.used_tokens.max(settled_before);
         ledger.settle(account, used - settled_before);
 
-        // What the others hold and ask for: the totals without the part of this instance.
+        // What other instances hold and request: the totals without this instance's part.
         let view = totals.accounts.entry(account.clone()).or_default();
         view.settled_tokens = ledger.settled(account);
         view.granted_tokens = view
@@ -120,14 +121,15 @@
         };
         let reachable = (used + pool).saturating_sub(needed);
         let need = Need::new(*view, prepaid, 0, claim)
-            .among(totals.instances)
-            .reaching(reachable);
+            .with_instances(totals.instances)
+            .with_reachable(reachable);
         let target = if report.is_stopping {
             0
         } else {
             self.target_tokens(&need)
         };
-        // What the sender may spend already stays covered, also where the sums were lowered.
+        // The sender may already spend what it keeps, so that stays covered even if the prepaid
+        // amount was lowered.
         let allowed = (needed + target)
             .min(used + pool)
             .max(claim.kept_tokens)
@@ -138,9 +140,9 @@
             .min(allowed)
             .max(used);
 
-        let put = |sums: &mut BTreeMap<AccountId, u64>, value: u64| {
+        let put = |map: &mut BTreeMap<AccountId, u64>, value: u64| {
             if value > 0 {
-                sums.insert(account.clone(), value);
+                map.insert(account.clone(), value);
             }
         };
         put(&mut entry.settled_tokens, used);
@@ -153,8 +155,8 @@
         view.others_urgent_tokens_per_s += claim.urgent_tokens_per_s;
     }
 
-    /// Makes this instance's report, and with it the sums that the instance keeps to until it
-    /// hears what became of the report.
+    /// Creates this instance's report. The instance stays within the amounts in it until it learns
+    /// the outcome.
     pub(super) fn make_report(&mut self, now: Duration, stamp: &Stamp) -> Report {
         self.last_round += 1;
         self.restoring.note_report(self.last_round);
@@ -164,8 +166,8 @@
             .map(|account| (account.clone(), self.claim(now, account)))
             .filter(|(_, claim)| *claim != Claim::default())
             .collect();
-        for purse in self.purses.values_mut() {
-            purse.wanted_tokens = 0;
+        for balance in self.balances.values_mut() {
+            balance.wanted_tokens = 0;
         }
         Report {
             instance: self.identity.instance.clone(),
@@ -174,8 +176,8 @@
             number: self.last_round,
             stamp: stamp.clone(),
             start: self.start.clone().unwrap_or_default(),
-            is_out_of_patience: self.is_out_of_patience(now),
-            pace: self.pace(),
+            is_past_wait_limit: self.is_past_wait_limit(now),
+            unlock_rate: self.unlock_rate(),
             address: self.address.clone(),
             data_centre: self.identity.data_centre.clone(),
             is_stopping: self.is_stopping,
@@ -186,16 +188,16 @@
         }
     }
 
-    /// Returns what this instance says of an account. It gives up what it holds beyond its target
-    /// and keeps what covers the calls under way.
+    /// Returns this instance's claim on an account. It gives up what it holds beyond its target and
+    /// keeps what covers the calls in progress.
     pub(super) fn claim(&self, now: Duration, account: &str) -> Claim {
-        let Some(purse) = self.purses.get(account) else {
+        let Some(balance) = self.balances.get(account) else {
             return Claim::default();
         };
         let mut claim = Claim {
-            used_tokens: purse.used_tokens,
-            needed_tokens: purse.used_tokens + purse.reserved_tokens,
-            ..self.demand_claim(now, purse)
+            used_tokens: balance.used_tokens,
+            needed_tokens: balance.used_tokens + balance.reserved_tokens,
+            ..self.demand_claim(now, balance)
         };
         let need = self.need(account, claim);
         let target = if self.is_stopping {
@@ -204,11 +206,11 @@
             self.target_tokens(&need)
         };
         let ahead = self.ahead_tokens(&need, target);
-        let standing = self.least_sums(account);
+        let least = self.least_limits(account);
         let needed = claim.needed_tokens;
-        let covered = needed.min(standing.allowed_tokens);
-        claim.kept_tokens = standing.allowed_tokens.min(needed + target);
-        claim.ceiling_tokens = standing
+        let covered = needed.min(least.allowed_tokens);
+        claim.kept_tokens = least.allowed_tokens.min(needed + target);
+        claim.ceiling_tokens = least
             .ceiling_tokens
             .min(needed + ahead)
             .max(covered)
@@ -216,19 +218,19 @@
         claim
     }
 
-    /// Returns what this instance asks of an account. Where it borrows what its few calls need, it
-    /// asks nothing: their demand is its lender's.
-    pub(super) fn demand_claim(&self, now: Duration, purse: &Purse) -> Claim {
-        let demand = purse.demand.tokens_per_s(now);
+    /// Returns this instance's demand of an account as a claim. If it borrows for its few calls,
+    /// the demand is zero, because it counts at the lender.
+    pub(super) fn demand_claim(&self, now: Duration, balance: &Balance) -> Claim {
+        let demand = balance.demand.tokens_per_s(now);
         let claim = Claim {
             demand_tokens_per_s: demand,
-            urgent_tokens_per_s: purse.urgent_demand.tokens_per_s(now).min(demand),
-            call_tokens: purse.call_tokens,
-            wanted_tokens: purse.wanted_tokens,
-            is_lender: purse.is_lending(now),
+            urgent_tokens_per_s: balance.urgent_demand.tokens_per_s(now).min(demand),
+            call_tokens: balance.call_tokens,
+            wanted_tokens: balance.wanted_tokens,
+            is_lender: balance.is_lending(now),
             ..Claim::default()
         };
-        if self.is_borrowed(&claim) {
+        if self.is_borrower(&claim) {
             Claim {
                 demand_tokens_per_s: 0,
                 urgent_tokens_per_s: 0,
@@ -240,16 +242,16 @@
         }
     }
 
-    /// Returns what the plan goes by for this instance.
+    /// Returns the planning input for this instance.
     pub(super) fn need(&self, account: &str, claim: Claim) -> Need {
         let view = self.overview.account(account);
         let prepaid = self.prepaid_tokens.get(account).copied().unwrap_or(0);
-        let unsettled = self.purses.get(account).map_or(0, Purse::unsettled);
+        let unsettled = self.balances.get(account).map_or(0, Balance::unsettled);
         let is_listed = self.is_listed();
-        let held = self.purses.get(account);
-        let held = held.map_or(0, |purse| purse.free(purse.allowed_tokens));
+        let held = self.balances.get(account);
+        let held = held.map_or(0, |balance| balance.free(balance.allowed_tokens));
         Need::new(view, prepaid, unsettled, claim)
-            .among(self.overview.instances + u64::from(!is_listed))
-            .reaching(held.saturating_add(view.pool(prepaid)))
+            .with_instances(self.overview.instances + u64::from(!is_listed))
+            .with_reachable(held.saturating_add(view.pool(prepaid)))
     }
 }
--- a/crates/damaskstile-escrow/src/holder/round.rs
+++ b/crates/damaskstile-escrow/src/holder/round.rs
@@ -1,4 +1,4 @@
-//! `round` writes to the ledger and finds out what became of a write.
+//! Creates writes to the ledger and tracks their outcomes.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
@@ -6,46 +6,46 @@
 use super::Holder;
 use super::pending::Pending;
 use super::reports::Role;
+use crate::balance::Balance;
 use crate::entry::HolderEntry;
 use crate::ledger::Ledger;
 use crate::ledger_change::LedgerChange;
 use crate::overview::Overview;
-use crate::purse::Purse;
+use crate::receipt_scope::ReceiptScope;
 use crate::report::Report;
-use crate::reported::Reported;
 use crate::settlement::Settlement;
+use crate::spend_limits::SpendLimits;
 use crate::stamp::Stamp;
-use crate::sums::Sums;
 
-/// Change of a grant that is worth a write, in parts of the grant. Smaller ones would have every
-/// instance write in every round.
-const WORTH_PART: u64 = 8;
+/// Divisor of a grant: a change of more than this part of the grant is worth a write. With smaller
+/// changes, every instance would write in every round.
+const WORTHWHILE_CHANGE_DIVISOR: u64 = 8;
 
-/// `Round` is one conditional write to the ledger.
+/// One conditional write to the ledger.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Round {
     /// Number of the write within the incarnation.
     pub number: u64,
-    /// Version that the ledger must still have; 0 where there must be none.
+    /// Version that the ledger must still have; 0 if it must not exist yet.
     pub expected_version: Version,
     /// The ledger to write.
     pub ledger: Ledger,
-    /// What it writes off of ended incarnations.
+    /// Write-offs for ended incarnations that the write includes.
     pub settlements: Vec<Settlement>,
-    /// The peers whose reports it enters.
-    pub reported: BTreeMap<InstanceId, Reported>,
+    /// The peers whose reports the write enters.
+    pub reported: BTreeMap<InstanceId, ReceiptScope>,
 }
 
 impl Holder {
-    /// Takes in the ledger as the store shows it. Version 0 means that there is none.
+    /// Accepts the ledger as read from the store. Version 0 means that there is none.
     pub fn observe(&mut self, now: Duration, version: Version, ledger: Ledger) {
-        self.touched_at = Some(now);
-        self.take_ledger(now, version, ledger);
+        self.contact_at = Some(now);
+        self.accept_ledger(now, version, ledger);
     }
 
-    /// Takes in a write that a peer says the ledger took; returns whether it followed on what was
-    /// known here. With it the next write here is made on the ledger as it stands, instead of
-    /// being refused once for each write of a peer.
+    /// Accepts a ledger change that a peer reports as written; returns whether it was based on the
+    /// version known here. The next write is then made on the current ledger, instead of
+    /// conflicting once for each write of a peer.
     pub fn hear(&mut self, now: Duration, change: LedgerChange) -> bool {
         if change.follows != self.ledger_version || self.seen_at.is_none() {
             return false;
@@ -53,22 +53,22 @@
         let version = change.version;
         let mut ledger = self.ledger.clone();
         change.apply(&mut ledger);
-        self.take_ledger(now, version, ledger);
+        self.accept_ledger(now, version, ledger);
         true
     }
 
-    fn take_ledger(&mut self, now: Duration, version: Version, ledger: Ledger) {
-        if self.take_copy(now, version, &ledger) {
+    fn accept_ledger(&mut self, now: Duration, version: Version, ledger: Ledger) {
+        if self.keep_stale_copy(now, version, &ledger) {
             return;
         }
         self.enter_history(ledger.history);
         if version < self.ledger_version {
             return;
         }
-        self.restoring.note_begun(now);
+        self.restoring.note_rebuilt(now);
         let is_first = self.seen_at.is_none();
         if self.role == Role::Member && !is_first {
-            // A member goes by receipts; the ledger tells it only who there is.
+            // A member relies on receipts; it uses the ledger only to know which instances exist.
             self.ledger_version = version;
             self.ledger = ledger;
             return;
@@ -85,82 +85,83 @@
         let own = &self.identity.instance;
         self.overview = Overview::of_ledger(&ledger, own);
         let entry = ledger.holders.get(own);
-        let standing = entry.filter(|entry| entry.incarnation == self.identity.incarnation);
-        if let Some(entry) = standing {
-            let accounts = self.purses.keys().chain(entry.grants_tokens.keys());
-            let sums = accounts.map(|account| (account.clone(), entry.sums(account)));
-            let (round, sums) = (entry.round, sums.collect());
-            self.commit(now, round, sums);
+        let own_entry = entry.filter(|entry| entry.incarnation == self.identity.incarnation);
+        if let Some(entry) = own_entry {
+            let accounts = self.balances.keys().chain(entry.grants_tokens.keys());
+            let limits = accounts.map(|account| (account.clone(), entry.spend_limits(account)));
+            let (round, limits) = (entry.round, limits.collect());
+            self.commit(now, round, limits);
         } else {
             self.follows = entry.map_or(0, |entry| entry.incarnation);
             if is_first {
                 let left = entry.map(HolderEntry::demands).unwrap_or_default();
                 self.inherit_demand(now, left);
             }
-            // Nothing of this incarnation stands there: what it was granted is void, unless the
-            // store has lost it.
+            // The ledger has no entry of this incarnation, so its grants are void, unless the store
+            // has lost them.
             if !self.restoring.is_unconfirmed() {
-                for purse in self.purses.values_mut() {
-                    purse.allowed_tokens = purse.settled_tokens;
-                    purse.ceiling_tokens = purse.settled_tokens;
+                for balance in self.balances.values_mut() {
+                    balance.allowed_tokens = balance.settled_tokens;
+                    balance.ceiling_tokens = balance.settled_tokens;
                 }
             }
         }
         self.clear_inbox(&ledger);
         self.ledger = ledger;
-        // A write on an older version can no longer take effect.
+        // A write based on an older version can no longer take effect.
         self.pending
             .retain(|pending| pending.expected_version.is_none_or(|on| on >= version));
     }
 
-    /// Begins with the demand that the predecessor wrote to the ledger: of each account, all of it and
-    /// that of its most urgent calls.
+    /// Starts from the demand that the predecessor wrote to the ledger: for each account, that of
+    /// all calls and that of its most urgent calls.
     ///
-    /// Where all instances end together nobody knows what is asked for. Accounts seem to have plenty
-    /// then, and the first calls to come, long ones that could wait among them, take the last
-    /// tokens: of a day's requests that came 12 s after such an end fewer than a quarter were served.
+    /// If all instances end together, the demand is otherwise unknown. Accounts then seem to have
+    /// plenty, and the first calls to arrive, including long ones that could wait, take the last
+    /// tokens. Without this, fewer than a quarter of the requests that came 12 s after such an end
+    /// were served.
     pub(super) fn inherit_demand(&mut self, now: Duration, left: Vec<(AccountId, u64, u64)>) {
         for (account, all, urgent) in left {
-            let purse = self.purses.entry(account).or_default();
-            purse.inherit(now, all, urgent, self.first_rank);
+            let balance = self.balances.entry(account).or_default();
+            balance.inherit(now, all, urgent, self.first_rank);
         }
     }
 
-    /// Takes in a write that took effect, with the version that it made.
+    /// Notes that a write took effect, with the version that it created.
     pub fn written(&mut self, now: Duration, version: Version, round: Round) {
         self.observe(now, version, round.ledger);
     }
 
-    /// Takes in that a write surely has not taken effect and never will.
+    /// Notes that a write has not taken effect and never will.
     pub fn not_written(&mut self, number: u64) {
         self.pending.retain(|pending| pending.number != number);
     }
 
-    /// Takes in that a write got no clear answer: it may have taken effect, or may yet.
+    /// Notes that a write got no clear answer: it may have taken effect, or may yet.
     ///
-    /// No further write is made until the ledger was seen again. While an instance is cut off
+    /// No further write is made until the ledger has been seen again. While an instance is cut off,
     /// each further write in doubt could only lower what it may spend.
     pub fn in_doubt(&mut self) {
         self.is_in_doubt = true;
     }
 
-    /// Tells whether the host should read the ledger before it asks for a write.
+    /// Returns whether the host should read the ledger before it calls [`Self::next_round`].
     #[must_use]
     pub fn needs_read(&self, now: Duration) -> bool {
-        // A member goes by receipts. Were it to read the ledger, which has a line for each instance, a
-        // fleet that starts together would fill the store's link with it.
+        // A member relies on receipts. If members read the ledger, which has an entry for each
+        // instance, a fleet that starts all at once would saturate the store's link.
         if self.role == Role::Member {
             return false;
         }
-        if self.restoring.needs_look(now) {
+        if self.restoring.needs_check(now) {
             return true;
         }
-        let read_interval = self.options.round_interval * self.scale();
+        let read_interval = self.options.round_interval * self.interval_scale();
         let is_old = self.ledger_age(now).is_none_or(|age| age >= read_interval);
         self.seen_at.is_none() || self.is_in_doubt || (self.is_short && is_old)
     }
 
-    /// Tells whether the fleet is so large that one instance writes for all.
+    /// Returns whether the fleet is so large that one instance writes for all.
     #[must_use]
     pub fn is_large_fleet(&self) -> bool {
         self.overview.instances > u64::from(self.options.small_fleet)
@@ -175,10 +176,10 @@
         }
     }
 
-    /// Returns how much slower rounds are than in a small fleet.
-    pub(super) fn scale(&self) -> u32 {
+    /// Returns the factor by which intervals between rounds are longer than in a small fleet.
+    pub(super) fn interval_scale(&self) -> u32 {
         if self.is_large_fleet() {
-            self.options.large_scale
+            self.options.large_interval_scale
         } else {
             1
         }
@@ -189,33 +190,33 @@
         self.round_at = None;
     }
 
-    /// Begins to hand everything back.
+    /// Starts to hand back all tokens.
     pub fn stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// Tells whether the ledger holds nothing for this instance that it could hand back.
+    /// Returns whether the ledger holds nothing for this instance that could be handed back.
     #[must_use]
     pub fn is_handed_back(&self) -> bool {
-        self.purses
+        self.balances
             .values()
-            .all(|purse| purse.unsettled() == 0 && purse.granted() <= purse.reserved_tokens)
+            .all(|balance| balance.unsettled() == 0 && balance.granted() <= balance.reserved_tokens)
     }
 
-    /// Returns the write that is due, if one is. At most one is under way at a time.
+    /// Returns the write that is due, if there is one. At most one may be in progress at a time.
     ///
-    /// `None` too where the ledger was never seen: the host reads it first.
+    /// Also returns `None` if the ledger was never seen: the host must read it first.
     pub fn next_round(&mut self, now: Duration, stamp: &Stamp) -> Option<Round> {
         self.note_stamp(now, stamp);
-        if self.has_copy() {
-            return self.begin_anew(now, stamp);
+        if self.has_stale_copy() {
+            return self.rebuild_ledger(now, stamp);
         }
         self.seen_at?;
         if self.is_in_doubt || self.catalogue_version < self.ledger.catalogue_version {
             return None;
         }
-        let is_worth = !self.inbox.is_empty() || self.is_worth_a_round(now);
-        if !self.is_round_due(now) || !is_worth {
+        let has_changes = !self.inbox.is_empty() || self.needs_round(now);
+        if !self.is_round_due(now) || !has_changes {
             return None;
         }
         self.round_at = Some(now);
@@ -224,7 +225,7 @@
         Some(self.make_round(now, stamp, ledger, self.ledger_version))
     }
 
-    /// Returns the time until the next round may be made, where tokens are short.
+    /// Returns the time until the next round may be made, if tokens are short.
     #[must_use]
     pub fn urgent_wait(&self, now: Duration) -> Option<Duration> {
         let due_at = self.round_at.map(|at| at + self.urgent_interval());
@@ -236,32 +237,39 @@
         let interval = if self.is_short || self.is_stopping {
             self.urgent_interval()
         } else {
-            self.options.round_interval * self.scale()
+            self.options.round_interval * self.interval_scale()
         };
         self.round_at.is_none_or(|at| now >= at + interval)
     }
 
-    /// Takes in what stands in the ledger for this incarnation.
-    pub(super) fn commit(&mut self, now: Duration, number: u64, sums: BTreeMap<AccountId, Sums>) {
+    /// Applies what the ledger contains for this incarnation.
+    pub(super) fn commit(
+        &mut self,
+        now: Duration,
+        number: u64,
+        limits: BTreeMap<AccountId, SpendLimits>,
+    ) {
         if number <= self.committed_number {
             return;
         }
         self.committed_number = number;
         self.restoring.note_committed(number);
         let pending = self.pending.iter().find(|one| one.number == number);
-        // Unlocking begins when the write was made; later is safe.
+        // Unlocking is counted from the time the write was made. If that time is unknown, a later
+        // start is safe.
         self.committed_at = pending.map_or(now, |pending| pending.made_at);
-        self.committed_pace = pending.map_or(self.pace(), |pending| pending.pace);
-        for (account, sums) in sums {
-            let purse = self.purses.entry(account).or_default();
-            purse.allowed_tokens = sums.allowed_tokens;
-            purse.ceiling_tokens = sums.ceiling_tokens;
-            purse.settled_tokens = sums.settled_tokens;
+        self.committed_unlock_rate =
+            pending.map_or(self.unlock_rate(), |pending| pending.unlock_rate);
+        for (account, limits) in limits {
+            let balance = self.balances.entry(account).or_default();
+            balance.allowed_tokens = limits.allowed_tokens;
+            balance.ceiling_tokens = limits.ceiling_tokens;
+            balance.settled_tokens = limits.settled_tokens;
         }
         self.pending.retain(|pending| pending.number > number);
     }
 
-    /// Tells whether the ledger lists this incarnation, so that it can hold tokens.
+    /// Returns whether the ledger lists this incarnation, so that it can hold tokens.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         match self.role {
@@ -274,7 +282,7 @@
         }
     }
 
-    pub(super) fn is_worth_a_round(&self, now: Duration) -> bool {
+    pub(super) fn needs_round(&self, now: Duration) -> bool {
         if !self.is_listed() {
             return !self.is_stopping;
         }
@@ -285,34 +293,34 @@
             return true;
         }
         let is_settling = match self.role {
-            Role::Writer => self.has_estate_to_settle(now),
-            // What its predecessors left is settled with its reports.
-            Role::Member => !self.is_out_of_patience(now),
+            Role::Writer => self.has_orphaned_to_settle(now),
+            // The orphaned entries of its predecessors are settled with its reports.
+            Role::Member => !self.is_past_wait_limit(now),
         };
         if is_settling {
             return true;
         }
         self.prepaid_tokens.iter().any(|(account, prepaid)| {
-            let empty = Purse::default();
-            let purse = self.purses.get(account).unwrap_or(&empty);
-            let free = purse.free(purse.allowed_tokens);
-            let claim = self.demand_claim(now, purse);
+            let empty = Balance::default();
+            let balance = self.balances.get(account).unwrap_or(&empty);
+            let free = balance.free(balance.allowed_tokens);
+            let claim = self.demand_claim(now, balance);
             let need = self.need(account, claim);
             let target = self.target_tokens(&need);
             let change = free.abs_diff(target);
-            let is_change = change > target / WORTH_PART;
+            let is_change = change > target / WORTHWHILE_CHANGE_DIVISOR;
             let pool = self.overview.account(account).pool(*prepaid);
             let is_possible = target < free || pool > 0;
             let ahead = self.ahead_tokens(&need, target);
-            let below_ceiling = purse.free(purse.ceiling_tokens);
+            let below_ceiling = balance.free(balance.ceiling_tokens);
             let is_ceiling_near = below_ceiling < ahead.min(free) * 3 / 4;
             (is_change && is_possible && change > 0)
                 || is_ceiling_near
-                || purse.unsettled() > purse.granted() / WORTH_PART
+                || balance.unsettled() > balance.granted() / WORTHWHILE_CHANGE_DIVISOR
         })
     }
 
-    /// Makes a write on a ledger that must have the expected version.
+    /// Creates a write that is conditional on the expected version of the ledger.
     pub(super) fn make_round(
         &mut self,
         now: Duration,
@@ -330,22 +338,22 @@
             let waited = now.saturating_sub(*received_at);
             let report = with_fleet_time(report.clone(), stamp, waited);
             settlements.extend(self.merge(&mut ledger, &mut totals, &report));
-            let of = Reported::of(&report);
+            let of = ReceiptScope::of(&report);
             reported.insert(report.instance, of);
         }
         let entry = ledger.holders.get(&self.identity.instance);
-        let sums = entry.map_or_else(BTreeMap::new, |entry| {
+        let limits = entry.map_or_else(BTreeMap::new, |entry| {
             let accounts = self.prepaid_tokens.keys();
             accounts
-                .map(|account| (account.clone(), entry.sums(account)))
+                .map(|account| (account.clone(), entry.spend_limits(account)))
                 .collect()
         });
         self.pending.push(Pending {
             number: own.number,
             expected_version: Some(expected_version),
             made_at: now,
-            pace: own.pace,
-            sums,
+            unlock_rate: own.unlock_rate,
+            limits,
         });
         Round {
             number: own.number,
@@ -357,8 +365,8 @@
     }
 }
 
-/// Adds the fleet's time of the sender's start to a report, where the sender has not heard enough
-/// peers to know it: the time now, less what passed since on the sender's own clock.
+/// Fills in the fleet clock at the sender's start if the sender has not heard from enough peers to
+/// know it: the current fleet clock minus the time elapsed since on the sender's own clock.
 fn with_fleet_time(mut report: Report, stamp: &Stamp, waited: Duration) -> Report {
     if report.start.fleet_late_ms.is_none() {
         let since_start_ms = report.stamp.unix_ms.checked_sub(report.start.unix_ms);
