--- a/crates/damaskstile-requests/src/answer.rs
+++ b/crates/damaskstile-requests/src/answer.rs
@@ -1,19 +1,19 @@
-//! `answer` puts the pieces of an answer together and tells when it is whole.
+//! Assembly of an answer from its chunks.
 
 use damaskstile_core::prelude::*;
 
-/// `Assembled` tells what became of a piece.
+/// `Assembled` is the result of adding a chunk to an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Assembled {
-    /// The piece is the next one.
+    /// The chunk is the next one and was appended.
     Next,
-    /// The piece came before and is dropped.
+    /// The chunk was received before and is dropped.
     Repeated,
-    /// A piece before it is missing; the stream cannot be trusted any more.
+    /// An earlier chunk is missing, so the stream can no longer be relied on.
     Gap,
 }
 
-/// `Assembly` holds the pieces of one answer in their order.
+/// `Assembly` holds the chunks of one answer in order.
 #[derive(Debug, Clone, Default)]
 pub struct Assembly {
     chunks: Vec<String>,
@@ -22,13 +22,13 @@
 }
 
 impl Assembly {
-    /// Makes an assembly without pieces.
+    /// Creates an empty assembly.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in a piece.
+    /// Adds the chunk at position `index` of the answer, counted from 0, which holds `tokens` tokens.
     ///
     /// ```
     /// use damaskstile_requests::answer::{Assembled, Assembly};
@@ -52,48 +52,48 @@
         }
     }
 
-    /// Tells whether all pieces that the target counts are here.
+    /// Returns whether all chunks were received, given their number as the target reports it.
     #[must_use]
     pub fn is_whole(&self, chunks: u64) -> bool {
         self.len() == chunks
     }
 
-    /// Returns the number of pieces.
+    /// Returns the number of chunks.
     #[must_use]
     pub fn len(&self) -> u64 {
         u64::try_from(self.chunks.len()).unwrap_or(u64::MAX)
     }
 
-    /// Tells whether there is no piece yet.
+    /// Returns whether no chunk has been added yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 
-    /// Returns the tokens of all pieces.
+    /// Returns the number of tokens in all chunks.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Returns the size of all pieces, in bytes.
+    /// Returns the size of all chunks, in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Returns the pieces in their order.
+    /// Returns the chunks in order.
     #[must_use]
     pub fn chunks(&self) -> &[String] {
         &self.chunks
     }
 
-    /// Returns the tokens that a capped answer may still have.
+    /// Returns the number of tokens that the answer may still add before it reaches its cap.
     #[must_use]
     pub fn left_tokens(&self, cap_tokens: u64) -> u64 {
         cap_tokens.saturating_sub(self.tokens)
     }
 }
 
-/// Names a request across callers: its client account and key.
+/// Identifies a request among those of all callers by its client account and key.
 pub type RequestName = (AccountId, RequestKey);
--- a/crates/damaskstile-requests/src/attempts.rs
+++ b/crates/damaskstile-requests/src/attempts.rs
@@ -1,19 +1,19 @@
-//! `attempts` decides what follows when a send to a target brought no answer for the caller.
+//! Decision on retries after a send to a target that yielded no answer for the caller.
 
 use crate::send_end::SendEnd;
 
-/// `Next` is what follows.
+/// `Next` is the step after a failed send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Send it to another target.
+    /// Send the call to another target.
     Again,
-    /// Tell the caller that it has not run.
+    /// Tell the caller that the call has not run.
     Refuse,
-    /// Tell the caller that it may have run.
+    /// Tell the caller that the call may have run.
     GiveUp,
 }
 
-/// Sends that reached nobody before a call is refused. Each has cost one attempt to connect.
+/// Maximum number of sends of a call that reach no target. Each of them costs a connection attempt.
 const NOT_SENT_MAX: usize = 3;
 
 /// `Attempts` counts the sends of one call.
@@ -25,7 +25,7 @@
 }
 
 impl Attempts {
-    /// Notes how a send ended.
+    /// Records the outcome of a send.
     pub fn note(&mut self, end: SendEnd) {
         match end {
             SendEnd::NotSent => self.not_sent += 1,
@@ -37,20 +37,20 @@
         }
     }
 
-    /// Returns the sends that may have reached a target.
+    /// Returns the number of sends that may have reached a target.
     #[must_use]
     pub fn sent(&self) -> usize {
         self.sent
     }
 
-    /// Tells whether a run may have begun.
+    /// Returns whether the call may have started to run on a target.
     #[must_use]
     pub fn has_run(&self) -> bool {
         self.has_run
     }
 
-    /// Tells whether the route allows another send after the one under way, should that fail. Where
-    /// it does not, giving up on a silent target ends the call.
+    /// Returns whether the route allows another send if the current one fails. If it does not, giving
+    /// up on an unresponsive target ends the call.
     ///
     /// ```
     /// use damaskstile_requests::{Attempts, SendEnd};
@@ -64,8 +64,8 @@
         is_repeatable && self.sent + 1 < attempts_max
     }
 
-    /// Decides what follows. `may_retry` asks the fleet's budget of retries and is called only
-    /// where another send would draw on it.
+    /// Decides on the next step. `may_retry` draws on the retry budget and is called only if another
+    /// send counts as a retry.
     ///
     /// ```
     /// use damaskstile_requests::{Attempts, Next, SendEnd};
@@ -91,7 +91,7 @@
         if self.sent >= attempts_max || self.not_sent >= NOT_SENT_MAX {
             return end;
         }
-        // A send that reached nobody puts no load on targets, so its repeat is not a retry.
+        // A send that reached no target put no load on any, so repeating it is not a retry.
         if self.sent > 0 && !may_retry() {
             return end;
         }
--- a/crates/damaskstile-requests/src/claim.rs
+++ b/crates/damaskstile-requests/src/claim.rs
@@ -1,40 +1,41 @@
-//! `claim` holds the stored claims by which a non-idempotent request runs at most once.
+//! Stored claims, which ensure that a non-idempotent request runs at most once.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// `ClaimState` is how far a claimed request has come.
+/// `ClaimState` is the progress of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// Its claimer may send it, or has sent it.
+    /// The run that holds the claim may send the request, or has sent it.
     Claimed,
-    /// It was answered whole.
+    /// The request was answered completely.
     Answered {
         /// Target that answered.
         target: TargetId,
-        /// Tokens of the prompt.
+        /// Size of the prompt, in tokens.
         prompt_tokens: u64,
-        /// Tokens that the target generated.
+        /// Size of the generated output, in tokens.
         output_tokens: u64,
     },
-    /// It was sent and its outcome is not known.
+    /// The request was sent and its outcome is not known.
     Unknown,
 }
 
-/// `Claim` gives one run the sole right to send a request.
+/// `Claim` is the sole right of one run to send a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
-    /// Run that has the right.
+    /// Run that holds the claim.
     pub run: RunId,
     /// Instance of the run.
     pub instance: InstanceId,
-    /// How far it has come.
+    /// Progress of the request.
     pub state: ClaimState,
 }
 
-/// Returns the time in a `UUIDv7` key, in milliseconds since the Unix epoch.
+/// Returns the time in a `UUIDv7` key, in milliseconds since the Unix epoch; `None` for any other
+/// key.
 ///
 /// ```
 /// use damaskstile_requests::claim::key_unix_ms;
--- a/crates/damaskstile-requests/src/claim_op.rs
+++ b/crates/damaskstile-requests/src/claim_op.rs
@@ -1,33 +1,34 @@
-//! `claim_op` lists the changes to tables of claims.
+//! Changes to a claim table.
 
 use damaskstile_core::prelude::*;
 
 use crate::claim::{Claim, ClaimState};
 
-/// `ClaimOp` is one change to a table. Each can be applied twice without harm.
+/// `ClaimOp` is one change to a claim table. Applying a change twice has the effect of applying it
+/// once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOp {
-    /// Claims a key, unless it is claimed.
+    /// Claims a key, unless it is already claimed.
     Claim {
-        /// The key.
+        /// Key of the request.
         key: RequestKey,
         /// The claim.
         claim: Claim,
     },
-    /// Sets the state of an own claim.
+    /// Sets the state of a claim, if the run holds it.
     Finish {
-        /// The key.
+        /// Key of the request.
         key: RequestKey,
-        /// Run that has the claim.
+        /// Run that holds the claim.
         run: RunId,
-        /// Its new state.
+        /// New state of the claim.
         state: ClaimState,
     },
-    /// Gives an own claim up; the request was not sent.
+    /// Removes a claim whose request was not sent, if the run holds it.
     Release {
-        /// The key.
+        /// Key of the request.
         key: RequestKey,
-        /// Run that has the claim.
+        /// Run that holds the claim.
         run: RunId,
     },
 }
--- a/crates/damaskstile-requests/src/claim_table.rs
+++ b/crates/damaskstile-requests/src/claim_table.rs
@@ -1,4 +1,4 @@
-//! `claim_table` holds the stored table of one shard of keys.
+//! The table of claims of one shard of request keys, as it is stored.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -6,18 +6,18 @@
 use crate::claim::{Claim, key_unix_ms};
 use crate::claim_op::ClaimOp;
 
-/// `ClaimTable` is the stored table of one shard of keys.
+/// `ClaimTable` is the stored value that holds the claims of one shard of request keys.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClaimTable {
-    /// Claims by key.
+    /// Claims by request key.
     pub claims: BTreeMap<RequestKey, Claim>,
-    /// Number of writes, so that every write changes the value.
+    /// Number of writes so far. Counting them makes every write change the stored value.
     pub writes: u64,
 }
 
 impl ClaimTable {
-    /// Applies a change.
+    /// Applies a change. A change that does not fit the claim in the table has no effect.
     pub fn apply(&mut self, op: &ClaimOp) {
         match op {
             ClaimOp::Claim { key, claim } => {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Forgets claims whose keys are older than the retention. Such keys are refused, so none
-    /// of them can be claimed again.
+    /// Removes claims whose keys are older than `oldest_unix_ms`, in milliseconds since the Unix
+    /// epoch. Requests with such keys are refused, so none of them can be claimed again.
     pub fn forget_before(&mut self, oldest_unix_ms: u64) {
         self.claims
             .retain(|key, _| key_unix_ms(key).is_some_and(|time| time >= oldest_unix_ms));
--- a/crates/damaskstile-requests/src/claims.rs
+++ b/crates/damaskstile-requests/src/claims.rs
@@ -1,4 +1,4 @@
-//! `claims` carries claims into a stored table, many at a time.
+//! Batched writing of claims to the stored claim table of a shard.
 
 use damaskstile_core::prelude::*;
 
@@ -6,37 +6,37 @@
 use crate::claim_op::ClaimOp;
 use crate::claim_table::ClaimTable;
 
-/// Wait after a lost answer before the table is read again.
+/// Delay before the table is read again after the store's answer was lost.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Time that the state of a claim waits for a write that it can go along with.
+/// Time for which a change of a claim's state waits for a write that it can join.
 const STATE_WAIT: Duration = Duration::from_millis(300);
-/// Claims that one table may hold, so that its value stays well below 1 MB.
+/// Maximum number of claims in a table. Keeps the stored value well below 1 MB.
 const TABLE_CLAIMS_MAX: usize = 5_000;
-/// Room for keys that are younger than the clock allows for, and for clocks that differ.
+/// Tolerance for keys with a time in the future and for clocks that differ between instances.
 const CLOCK_MARGIN: Duration = Duration::from_mins(5);
 
-/// `ClaimEffect` is one output of a shard.
+/// `ClaimEffect` is one output of a shard, to be carried out by its host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEffect {
-    /// Read the table.
+    /// Read the table from the store.
     Read,
-    /// Update the table.
+    /// Write the table to the store.
     Write {
-        /// Version that must stand; 0 creates the table.
+        /// Version that the stored table must have; 0 creates the table.
         expected_version: Version,
-        /// New value.
+        /// Table to store, as JSON.
         value: String,
     },
-    /// The run has the sole right to send.
+    /// The run holds the claim and may send the request.
     Won {
         /// The run.
         run: RunId,
     },
-    /// The key was claimed before.
+    /// Another run holds the claim on the key.
     Repeated {
-        /// The run that asked.
+        /// Run that asked for the claim.
         run: RunId,
-        /// The claim that stands.
+        /// The existing claim.
         claim: Claim,
     },
     /// The claim could not be stored; the run must not send.
@@ -48,7 +48,9 @@
     Log(LogEvent),
 }
 
-/// `ClaimShard` carries claims of one shard of keys. All that wait go in one write.
+/// `ClaimShard` writes the claims of one shard of request keys to the store.
+///
+/// It makes one store call at a time. All changes that wait in the meantime go into the next write.
 #[derive(Debug)]
 pub struct ClaimShard {
     instance: InstanceId,
@@ -60,12 +62,12 @@
     is_called: bool,
     must_write: bool,
     retry_at: Option<Duration>,
-    /// When states of claims are stored at the latest, if no new claim takes them along.
+    /// Deadline for storing changes of state, in case no new claim causes a write before.
     due_at: Option<Duration>,
 }
 
 impl ClaimShard {
-    /// Makes a shard that knows nothing of its table.
+    /// Creates a shard that has not read its table yet.
     #[must_use]
     pub fn new(instance: &str, retention: Duration) -> Self {
         Self {
@@ -82,7 +84,9 @@
         }
     }
 
-    /// Asks for the sole right to send a request.
+    /// Claims the sole right to send a request for a run.
+    ///
+    /// Fails at once while the shard waits to read its table again after a lost answer.
     pub fn claim(
         &mut self,
         now: Duration,
@@ -105,7 +109,7 @@
         self.pump(now, fx);
     }
 
-    /// Stores how a claimed request ended.
+    /// Stores the final state of a claimed request.
     pub fn finish(
         &mut self,
         now: Duration,
@@ -123,7 +127,7 @@
         self.pump(now, fx);
     }
 
-    /// Gives up the right of a run that was not sent.
+    /// Releases the claim of a run that was not sent.
     pub fn release(
         &mut self,
         now: Duration,
@@ -138,12 +142,12 @@
         self.pump(now, fx);
     }
 
-    /// Does what is due.
+    /// Starts the next store call if one is due.
     pub fn tick(&mut self, now: Duration, fx: &mut Vec<ClaimEffect>) {
         self.pump(now, fx);
     }
 
-    /// Returns the time that the shard wants to be woken at, if any.
+    /// Returns the time of the next due [`tick`](Self::tick), if any.
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
         if self.is_called || (self.pending.is_empty() && self.in_flight.is_empty()) {
@@ -152,7 +156,7 @@
         self.retry_at.or(self.due_at)
     }
 
-    /// Tells whether nothing waits for the store.
+    /// Returns whether no change waits to be stored.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.pending.is_empty() && self.in_flight.is_empty()
@@ -200,11 +204,11 @@
             is_changed |= candidate.claims.len() != before || !is_new;
         }
         if !is_changed {
-            // All keys were claimed before; the table says so and needs no write.
+            // All keys are already claimed in the table, so no write is needed.
             self.is_called = false;
             self.candidate = None;
             self.committed(fx);
-            // Claims that came meanwhile would wait for a store answer that never comes.
+            // No store call is pending, so no answer would start the claims queued in the meantime.
             self.pump(now, fx);
             return;
         }
@@ -218,7 +222,7 @@
         }
     }
 
-    /// Takes the store's answer.
+    /// Handles the store's answer to the pending call.
     pub fn on_store(&mut self, now: Duration, answer: StoreAnswer, fx: &mut Vec<ClaimEffect>) {
         self.is_called = false;
         match answer {
@@ -255,7 +259,7 @@
         }
     }
 
-    /// Draws the conclusions once the table in view holds all that was in flight.
+    /// Reports the outcome of the claims in flight, once the current table reflects them all.
     fn committed(&mut self, fx: &mut Vec<ClaimEffect>) {
         let Some((_, table)) = &self.view else {
             return;
@@ -276,10 +280,11 @@
         }
     }
 
-    /// Refuses all claims whose write may or may not have taken effect.
+    /// Fails all claims whose write may or may not have taken effect.
     ///
-    /// The caller gets its answer at once: nothing was sent, nor will be. The claim may stand in
-    /// the store, or get there late; so it is given up by a write that also outdates the late one.
+    /// The caller is answered at once, since its request was not sent and will not be. The lost
+    /// write may have stored the claim, or may still do so. The claim is therefore released by a
+    /// further write, which also changes the version and so makes a delayed write fail.
     fn answer_lost(&mut self, now: Duration, fx: &mut Vec<ClaimEffect>) {
         self.view = None;
         self.candidate = None;
--- a/crates/damaskstile-requests/src/fingerprint.rs
+++ b/crates/damaskstile-requests/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! `fingerprint` names what a call asks for, the same at every instance and for every attempt.
+//! Fingerprints of contents, equal at every instance and for every attempt of a call.
 
 use std::fmt;
 
@@ -7,15 +7,16 @@
 
 use crate::content::Content;
 
-/// Bytes of the digest that are kept: too many for a caller to find two contents that share them.
+/// Length of the truncated digest, in bytes: enough that a caller cannot find a collision.
 const DIGEST_BYTES: usize = 16;
-/// Bytes that are shown in logs.
+/// Length of the digest prefix shown in logs, in bytes.
 const SHOWN_BYTES: usize = 6;
 
-/// `Fingerprint` names what a call asks for.
+/// `Fingerprint` identifies the content of a call.
 ///
-/// Every attempt of a caller has an id of its own, so ids do not tell that the same is asked for
-/// once more. The account is part of the name: no caller can make calls of another account bear it.
+/// Each attempt of a caller has its own id, so repeats of the same content cannot be recognised by
+/// id. The fingerprint covers the account, so that no caller can produce the fingerprint of another
+/// account's calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fingerprint {
     outline: u64,
@@ -23,7 +24,7 @@
 }
 
 impl Fingerprint {
-    /// Names a content.
+    /// Computes the fingerprint of a content.
     ///
     /// ```
     /// use damaskstile_requests::{Content, Fingerprint};
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Returns a name of a content that is found without reading its body. Contents that differ may
-    /// share it.
+    /// Returns a hash of everything but the body, of which only the length is included. Contents that
+    /// differ may share it.
     #[must_use]
     pub fn outline_of(content: &Content<'_>) -> u64 {
         let length = content.body.len().to_string();
@@ -68,7 +69,7 @@
         ])
     }
 
-    /// Returns the first and the last of all names that share an outline.
+    /// Returns the range of all fingerprints with the given outline.
     pub(crate) fn range_of(outline: u64) -> std::ops::RangeInclusive<Self> {
         let with = |byte| Self {
             outline,
@@ -77,7 +78,7 @@
         with(0)..=with(u8::MAX)
     }
 
-    /// Returns the name as bytes, as peers tell it to each other.
+    /// Encodes the fingerprint as peers exchange it.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = self.outline.to_be_bytes().to_vec();
@@ -85,7 +86,7 @@
         bytes
     }
 
-    /// Reads a name; `None` where the bytes are none.
+    /// Decodes a fingerprint; `None` if the bytes are not of the right length.
     ///
     /// ```
     /// use damaskstile_requests::Fingerprint;
--- a/crates/damaskstile-requests/src/lib.rs
+++ b/crates/damaskstile-requests/src/lib.rs
@@ -1,4 +1,5 @@
-//! `damaskstile-requests` follows requests: their claims, their retries and their answers.
+//! Request handling of an instance: claims of non-idempotent requests, retries, assembly of
+//! answers, and quarantine of contents that crash targets.
 
 pub mod answer;
 pub mod attempts;
--- a/crates/damaskstile-requests/src/retries.rs
+++ b/crates/damaskstile-requests/src/retries.rs
@@ -1,18 +1,18 @@
-//! `retries` bounds the retries of the fleet by a share of its requests.
+//! Retry budget, which bounds retries to a share of the requests.
 
 use damaskstile_core::prelude::*;
 
-/// Retries that can be saved up at most.
+/// Maximum number of retries that can accumulate.
 const SAVED_MAX: u64 = 20;
-/// Parts of a retry that a request's share is counted in.
+/// Units per retry. Each request adds as many units as the budget's percentage.
 const PARTS: u64 = 100;
-/// Parts saved in each second without requests, so that single failures are retried.
+/// Units added per second regardless of requests, so that single failures are retried.
 const PARTS_PER_S: u64 = 50;
 
-/// `RetryBudget` allows retries as a share of requests.
+/// `RetryBudget` allows retries as a percentage of requests.
 ///
-/// Each instance spends its own, so the fleet's retries are bounded by the same share: when many
-/// targets fail, retries cannot multiply the load on those that are left.
+/// Each instance has its own budget, so the retries of the whole fleet are bounded by the same
+/// percentage. When many targets fail, retries cannot multiply the load on the remaining ones.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     percent: u64,
@@ -23,7 +23,7 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget of so many retries for each hundred requests.
+    /// Creates a budget of `percent` retries for each hundred requests.
     #[must_use]
     pub fn new(percent: u64, now: Duration) -> Self {
         Self {
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Makes a budget of an instance's part of what the fleet may retry beyond its share: so many
-    /// in a span of time, divided by the instances.
+    /// Creates an instance's budget, given that all instances together may make `extra` retries in
+    /// each `span` beyond `percent` of their requests.
     #[must_use]
     pub fn of_fleet(
         percent: u64,
@@ -45,7 +45,8 @@
         instances: u64,
         now: Duration,
     ) -> Self {
-        // What is saved up and what comes in during the span may both be used within it.
+        // Both the accumulated retries and those added during the span can be used within it, so each
+        // gets half.
         let saved_max = extra / 2 / instances.max(1);
         let span_s = span.as_secs().max(1);
         Self {
@@ -57,17 +58,17 @@
         }
     }
 
-    /// Sets the share in force from now on.
+    /// Sets the percentage that applies from now on.
     pub fn set_percent(&mut self, percent: u64) {
         self.percent = percent;
     }
 
-    /// Notes a request.
+    /// Records a request, which adds its share of a retry.
     pub fn add_request(&mut self) {
         self.parts = (self.parts + self.percent).min(self.parts_max());
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget. Returns whether one was available.
     ///
     /// ```
     /// use std::time::Duration;
@@ -84,7 +85,7 @@
         true
     }
 
-    /// Tells whether there is a retry to take.
+    /// Returns whether a retry is available.
     ///
     /// ```
     /// use std::time::Duration;
@@ -107,7 +108,8 @@
         self.parts >= PARTS
     }
 
-    /// Returns the most that can be saved up; at least one retry, or a share could never add up.
+    /// Returns the maximum balance, in units. It is at least one retry, as otherwise the added units
+    /// could never amount to one.
     fn parts_max(&self) -> u64 {
         self.saved_max.max(1) * PARTS
     }
--- a/crates/damaskstile-requests/src/send_end.rs
+++ b/crates/damaskstile-requests/src/send_end.rs
@@ -1,11 +1,11 @@
-//! `send_end` tells how a send to a target ended that brought no answer for the caller.
+//! Outcome of a send to a target that yielded no answer for the caller.
 
-/// `SendEnd` tells how a send ended that brought no answer for the caller.
+/// `SendEnd` is the outcome of a send that yielded no answer for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendEnd {
     /// No byte reached a target.
     NotSent,
-    /// The target proved that it has not run the call.
+    /// The target has confirmed that it did not run the call.
     NotRun,
     /// The call may have run, in whole or in part.
     Unknown,
--- a/crates/damaskstile-requests/src/suspect.rs
+++ b/crates/damaskstile-requests/src/suspect.rs
@@ -1,4 +1,4 @@
-//! `suspect` is a content under which targets ended.
+//! Crash history of a single content.
 
 use damaskstile_core::prelude::*;
 
@@ -6,35 +6,38 @@
 use crate::suspect_word::SuspectWord;
 use crate::target_end::TargetEnd;
 
-/// Time for which an end counts. Until the ends under a content are that old it is refused.
+/// Time for which a crash counts against a content.
 pub(crate) const END_MEMORY: Duration = Duration::from_mins(10);
-/// Time for which it is remembered that a content ran to its end, so that ends that were noticed
-/// before and are heard of late do not count.
+/// Time for which a completed run of a content is remembered. Reports that arrive within it of
+/// crashes noticed before the completion are ignored.
 const CLEARED_MEMORY: Duration = Duration::from_secs(30);
-/// Time within which ends count as one. What takes down many targets at once, as a loss of power
-/// does, ends them under all that runs there, also at several targets under the same content.
+/// Crashes closer together than this count as one. A cause that takes down many targets at once,
+/// such as a power loss, also hits several targets that run the same content.
 const TOGETHER: Duration = Duration::from_millis(250);
-/// Ends from which on all peers are told of a content, and not only those that collect the ends
-/// under it. Tens of contents run at each target that ends, and few of them at the next.
+/// Crashes from which on a content is reported to all peers, not only to the instances that collect
+/// its crashes. Tens of contents run on each target that crashes, but few of them also run on the
+/// next one.
 const TOLD_FROM: usize = 2;
-/// Ends that are remembered of one content.
+/// Maximum number of crashes stored per content.
 const ENDS_MAX: usize = 16;
-/// Ends from which on only those are remembered that come apart from all others. Else a quick series
-/// would fill the memory with ends that count as one, and the content would never be refused.
+/// Stored crashes from which on only a crash apart in time from all others is added. Otherwise a
+/// quick series would fill the list with crashes that count as one, and the content would never be
+/// quarantined.
 const TOGETHER_MAX: usize = 8;
 
-/// `Suspect` is a content under which targets ended.
+/// `Suspect` is the crash history of a content that ran on targets when they crashed.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Suspect {
-    /// Client account whose calls ask for it.
+    /// Client account whose calls have this content.
     pub(crate) account: AccountId,
-    /// Ends of targets under it since it last ran to its end.
+    /// Crashes of targets that ran it, since it last ran to completion.
     pub(crate) ends: Vec<TargetEnd>,
-    /// When it last ran to its end.
+    /// When it last ran to completion.
     pub(crate) cleared_at: Option<Duration>,
-    /// When this was last news.
+    /// When the history last changed.
     pub(crate) changed_at: Duration,
-    /// Whether all peers are told: of its ends, and then also that it was cleared.
+    /// Whether changes are reported to all peers. Once set, this includes that the content was
+    /// cleared.
     pub(crate) is_told: bool,
 }
 
@@ -46,14 +49,15 @@
         }
     }
 
-    /// Takes in an end; returns whether it is news.
+    /// Records a crash. Returns whether it is a new one that counts.
     pub(crate) fn note_end(&mut self, now: Duration, end: TargetEnd) -> bool {
         let is_outdated = self.cleared_at.is_some_and(|cleared| end.at <= cleared);
         if is_outdated || now.saturating_sub(end.at) >= END_MEMORY {
             return false;
         }
         if let Some(known) = self.ends.iter_mut().find(|known| known.is_same(&end)) {
-            // On its way from peer to peer an end seems to become younger.
+            // Transit times make a crash appear younger with every relay, so the earliest time is
+            // kept.
             known.at = known.at.min(end.at);
             return false;
         }
@@ -69,7 +73,8 @@
         true
     }
 
-    /// Takes in that a call for it ran to its end; returns whether it was under suspicion.
+    /// Records that the content ran to completion at `at`. Returns whether this removed any crash
+    /// from the history.
     pub(crate) fn clear(&mut self, now: Duration, at: Duration) -> bool {
         let before = self.ends.len();
         self.ends.retain(|end| end.at > at);
@@ -81,7 +86,7 @@
         is_news
     }
 
-    /// Forgets what is too old; returns whether anything is left.
+    /// Drops expired entries. Returns whether any entry is left.
     pub(crate) fn forget_old(&mut self, now: Duration) -> bool {
         self.ends
             .retain(|end| now.saturating_sub(end.at) < END_MEMORY);
@@ -91,7 +96,7 @@
         is_cleared || !self.ends.is_empty()
     }
 
-    /// Counts the ends, those that came together as one.
+    /// Counts the crashes. A series in quick succession counts as one.
     pub(crate) fn count(&self) -> usize {
         let mut times: Vec<Duration> = self.ends.iter().map(|end| end.at).collect();
         times.sort_unstable();
@@ -106,7 +111,7 @@
         count
     }
 
-    /// Returns the time for which so many of the ends still count.
+    /// Returns the time for which at least `ends` crashes still count.
     pub(crate) fn is_known_for(&self, now: Duration, ends: usize) -> Duration {
         let mut times: Vec<Duration> = self.ends.iter().map(|end| end.at).collect();
         times.sort_unstable();
@@ -114,7 +119,7 @@
         last_needed.map_or(Duration::ZERO, |at| (*at + END_MEMORY).saturating_sub(now))
     }
 
-    /// Returns what to tell peers of it.
+    /// Returns the report of this history for peers.
     pub(crate) fn word(&self, now: Duration, fingerprint: Fingerprint) -> SuspectWord {
         let age = |at: Duration| now.saturating_sub(at);
         let ends = self.ends.iter();
@@ -126,7 +131,7 @@
         }
     }
 
-    /// Tells whether all ends under another content were also ends under this one.
+    /// Returns whether every crash of the other content is also a crash of this one.
     pub(crate) fn covers(&self, other: &Self) -> bool {
         let mut ends = other.ends.iter();
         ends.all(|end| self.ends.iter().any(|known| known.is_same(end)))
--- a/crates/damaskstile-requests/src/suspect_word.rs
+++ b/crates/damaskstile-requests/src/suspect_word.rs
@@ -1,19 +1,19 @@
-//! `suspect_word` is what an instance tells its peers of a content under which targets ended.
+//! The report that instances exchange about a content that may crash targets.
 
 use damaskstile_core::prelude::*;
 
 use crate::fingerprint::Fingerprint;
 
-/// `SuspectWord` is what an instance tells its peers of a content under which targets ended. Times
-/// are told as ages, since every instance has a clock of its own.
+/// `SuspectWord` reports the crash history of a content to peers. Times are sent as ages, since the
+/// instances do not share a clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectWord {
-    /// The content.
+    /// Fingerprint of the content.
     pub fingerprint: Fingerprint,
-    /// Client account whose calls ask for it.
+    /// Client account whose calls have this content.
     pub account: AccountId,
-    /// Targets that ended under it, each with the time since.
+    /// Targets that crashed while they ran it, with the time since each crash.
     pub ends: Vec<(TargetIdentity, Duration)>,
-    /// Time since it last ran to its end.
+    /// Time since it last ran to completion; `None` if no completion is known.
     pub cleared_age: Option<Duration>,
 }
--- a/crates/damaskstile-requests/src/suspects.rs
+++ b/crates/damaskstile-requests/src/suspects.rs
@@ -1,4 +1,4 @@
-//! `suspects` finds the contents that end the targets which run them.
+//! Detection of contents that crash the targets that run them.
 
 use std::cmp::Reverse;
 
@@ -11,27 +11,27 @@
 use crate::target_end::TargetEnd;
 use crate::verdicts::Verdicts;
 
-/// Ends of targets under a content from which on it is refused. One or two befall any call that
-/// runs where something else ends a target.
+/// Number of crashes from which on a content is quarantined. One or two happen to any call that runs
+/// on a target when something else crashes it.
 pub const ENDS_LIMIT: usize = 3;
-/// Contents that are remembered: what ran at some tens of targets that end together.
+/// Maximum number of suspects kept: enough for what runs on some tens of targets that crash together.
 const SUSPECTS_MAX: usize = 512;
-/// Time for which peers are told what is new of a content. Those that are refused are told of as
-/// long as they are, so that an instance that starts knows them with the first digests.
+/// Time for which a change is reported to peers. Quarantined contents are reported for as long as
+/// they are quarantined, so that a starting instance learns of them with the first digests.
 const TOLD_FOR: Duration = Duration::from_secs(5);
-/// Contents told of at a time, some two kilobytes.
+/// Maximum number of contents reported at a time, about two kilobytes.
 const TOLD_MAX: usize = 24;
 
-/// `Suspects` finds the contents that end the targets which run them.
+/// `Suspects` finds and quarantines the contents that crash the targets that run them.
 ///
-/// Attempts are limited for each call, but callers ask again under other ids and at other instances,
-/// so a content that ends every target which begins to run it takes down one after the other, with
-/// all that runs there. It shows as one content under the ends of several targets. Therefore ends
-/// are counted by content and told to all instances.
+/// Attempts are limited for each call, but callers retry under other ids and at other instances. A
+/// content that crashes every target that starts to run it therefore takes down one target after
+/// the other, with everything that runs there. Its sign is that the same content ran on several
+/// targets when they crashed, so crashes are counted by content and reported to all instances.
 ///
-/// Some tens of other contents run at each target that ends. What tells them apart: they run to
-/// their end elsewhere, which clears them; and a content is not held for the cause where all the
-/// ends under it were also under one that is refused and has more.
+/// Tens of other contents run on each target that crashes. Running to completion elsewhere clears
+/// them. Besides, a content is not quarantined if all of its crashes are also crashes of a
+/// quarantined content that has more of them.
 #[derive(Debug, Clone, Default)]
 pub struct Suspects {
     known: BTreeMap<Fingerprint, Suspect>,
@@ -39,7 +39,7 @@
 }
 
 impl Suspects {
-    /// Takes in that a target ended while it ran a content.
+    /// Records that a target crashed while it ran a content.
     pub fn note_end(
         &mut self,
         now: Duration,
@@ -55,7 +55,7 @@
         self.judge(now, fingerprint)
     }
 
-    /// Takes in that a content ran to its end at a target that lives.
+    /// Records that a content ran to completion on a target that is still up.
     pub fn note_success(&mut self, now: Duration, content: &Content<'_>) -> Verdicts {
         if self.known.is_empty() {
             return Verdicts::default();
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns for how long a content is refused; `None` where it is not.
+    /// Returns for how long a content stays quarantined; `None` if it is not quarantined.
     ///
     /// ```
     /// use std::time::Duration;
@@ -94,7 +94,7 @@
         if self.barred.is_empty() {
             return None;
         }
-        // Most calls are told apart without a look at their bodies.
+        // Most calls are ruled out without hashing their bodies.
         let outline = Fingerprint::outline_of(content);
         self.barred.range(Fingerprint::range_of(outline)).next()?;
         let fingerprint = Fingerprint::of(content);
@@ -106,7 +106,7 @@
         Some(left).filter(|left| !left.is_zero())
     }
 
-    /// Takes in what a peer tells.
+    /// Merges a peer's report.
     pub fn hear(&mut self, now: Duration, word: SuspectWord) -> Verdicts {
         if word.ends.is_empty() && !self.known.contains_key(&word.fingerprint) {
             return Verdicts::default();
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Returns what to tell all peers now, the worst first.
+    /// Returns the reports to send to all peers now, those with the most crashes first.
     #[must_use]
     pub fn told(&self, now: Duration) -> Vec<SuspectWord> {
         let is_told = |fingerprint: &Fingerprint, suspect: &Suspect| {
@@ -145,27 +145,27 @@
             .collect()
     }
 
-    /// Returns what is known of a content, for those who collect the ends under it.
+    /// Returns the report about a content, for the instances that collect its crashes.
     #[must_use]
     pub fn word(&self, now: Duration, fingerprint: &Fingerprint) -> Option<SuspectWord> {
         let suspect = self.known.get(fingerprint)?;
         Some(suspect.word(now, *fingerprint))
     }
 
-    /// Returns the contents known, and those of them that are refused.
+    /// Returns the number of suspects, and how many of them are quarantined.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         (self.known.len(), self.barred.len())
     }
 
-    /// Returns the client account that asks for a content, and the targets that ended under it.
+    /// Returns the client account of a content and the number of crashes stored for it.
     #[must_use]
     pub fn ends_of(&self, fingerprint: &Fingerprint) -> Option<(&AccountId, usize)> {
         let suspect = self.known.get(fingerprint)?;
         Some((&suspect.account, suspect.ends.len()))
     }
 
-    /// Finds out anew which contents are refused, after news of one.
+    /// Recomputes which contents are quarantined, after the crash history of one changed.
     fn judge(&mut self, now: Duration, news: Fingerprint) -> Verdicts {
         self.known.retain(|_, suspect| suspect.forget_old(now));
         while self.known.len() > SUSPECTS_MAX {
@@ -194,8 +194,9 @@
         }
     }
 
-    /// Forgets a content of the account that has most, so that no caller can have those of others
-    /// forgotten: the one with the fewest ends, and of these the oldest.
+    /// Evicts a suspect of the account that has most of them: the one with the fewest crashes, and
+    /// among those the one that changed longest ago. No caller can thus displace the suspects of
+    /// others.
     fn forget_one(&mut self) {
         let mut by_account: BTreeMap<&AccountId, usize> = BTreeMap::new();
         for suspect in self.known.values() {
--- a/crates/damaskstile-requests/src/target_end.rs
+++ b/crates/damaskstile-requests/src/target_end.rs
@@ -1,23 +1,23 @@
-//! `target_end` is the end of a target while it ran a call.
+//! Crashes of targets.
 
 use damaskstile_core::prelude::*;
 
-/// Time between two ends of an incarnation that differ, at least. Instances notice one end within
-/// milliseconds, and a target that starts again under its name, without a start that tells its
-/// incarnations apart, takes longer.
+/// Observations of one target incarnation closer together than this are the same crash. Instances
+/// notice a crash within milliseconds of each other. A target that restarts under its name, without
+/// reporting a start time that tells its incarnations apart, takes longer.
 const SAME_WITHIN: Duration = Duration::from_millis(800);
 
-/// `TargetEnd` is the end of a target while it ran a call.
+/// `TargetEnd` is the crash of a target while it ran a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetEnd {
-    /// The target, with its incarnation.
+    /// Target and its incarnation.
     pub target: TargetIdentity,
-    /// When it was noticed.
+    /// When the crash was noticed.
     pub at: Duration,
 }
 
 impl TargetEnd {
-    /// Tells whether both are the same end, noticed by two calls or two instances.
+    /// Returns whether both are the same crash, noticed by two calls or two instances.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/damaskstile-requests/src/verdicts.rs
+++ b/crates/damaskstile-requests/src/verdicts.rs
@@ -1,15 +1,15 @@
-//! `verdicts` tells which contents began or ceased to be refused.
+//! Changes to the quarantine of contents.
 
 use crate::fingerprint::Fingerprint;
 
-/// `Verdicts` tells which contents began or ceased to be refused.
+/// `Verdicts` lists the contents that entered or left quarantine.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Verdicts {
-    /// The content of which there is something new, for whoever collects what is known of it.
+    /// Content whose crash history changed, to be reported to the instances that collect its crashes.
     pub news: Option<Fingerprint>,
     /// Contents that are refused from now on.
     pub barred: Vec<Fingerprint>,
-    /// Contents that are no longer refused: they ran to their end after all, the ends under them
-    /// are put down to another content, or are too old.
+    /// Contents that are no longer refused, because they ran to completion, or because their crashes
+    /// expired or are attributed to another content.
     pub released: Vec<Fingerprint>,
 }
