--- a/crates/damaskstile-requests/src/answer.rs
+++ b/crates/damaskstile-requests/src/answer.rs
@@ -28,7 +28,8 @@
         Self::default()
     }
 
-    /// Adds the chunk at position `index` of the answer, counted from 0, which holds `tokens` tokens.
+    /// Adds the chunk at position `index` of the answer, counted from 0, which holds `tokens`
+    /// tokens.
     ///
     /// ```
     /// use damaskstile_requests::answer::{Assembled, Assembly};
@@ -90,7 +91,7 @@
 
     /// Returns the number of tokens that the answer may still add before it reaches its cap.
     #[must_use]
-    pub fn left_tokens(&self, cap_tokens: u64) -> u64 {
+    pub fn remaining_tokens(&self, cap_tokens: u64) -> u64 {
         cap_tokens.saturating_sub(self.tokens)
     }
 }
--- a/crates/damaskstile-requests/src/attempts.rs
+++ b/crates/damaskstile-requests/src/attempts.rs
@@ -49,8 +49,8 @@
         self.has_run
     }
 
-    /// Returns whether the route allows another send if the current one fails. If it does not, giving
-    /// up on an unresponsive target ends the call.
+    /// Returns whether the route allows another send if the current one fails. If it does not,
+    /// giving up on an unresponsive target ends the call.
     ///
     /// ```
     /// use damaskstile_requests::{Attempts, SendEnd};
@@ -64,8 +64,8 @@
         is_repeatable && self.sent + 1 < attempts_max
     }
 
-    /// Decides on the next step. `may_retry` draws on the retry budget and is called only if another
-    /// send counts as a retry.
+    /// Decides on the next step. `may_retry` draws on the retry budget and is called only if
+    /// another send counts as a retry.
     ///
     /// ```
     /// use damaskstile_requests::{Attempts, Next, SendEnd};
--- a/crates/damaskstile-requests/src/claims.rs
+++ b/crates/damaskstile-requests/src/claims.rs
@@ -7,9 +7,9 @@
 use crate::claim_table::ClaimTable;
 
 /// Delay before the table is read again after the store's answer was lost.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
+const REREAD_DELAY: Duration = Duration::from_millis(500);
 /// Time for which a change of a claim's state waits for a write that it can join.
-const STATE_WAIT: Duration = Duration::from_millis(300);
+const STATE_WRITE_DELAY: Duration = Duration::from_millis(300);
 /// Maximum number of claims in a table. Keeps the stored value well below 1 MB.
 const TABLE_CLAIMS_MAX: usize = 5_000;
 /// Tolerance for keys with a time in the future and for clocks that differ between instances.
@@ -59,11 +59,11 @@
     pending: Vec<ClaimOp>,
     in_flight: Vec<ClaimOp>,
     candidate: Option<ClaimTable>,
-    is_called: bool,
-    must_write: bool,
+    is_store_call_pending: bool,
+    must_change_version: bool,
     retry_at: Option<Duration>,
     /// Deadline for storing changes of state, in case no new claim causes a write before.
-    due_at: Option<Duration>,
+    state_write_due_at: Option<Duration>,
 }
 
 impl ClaimShard {
@@ -77,10 +77,10 @@
             pending: Vec::new(),
             in_flight: Vec::new(),
             candidate: None,
-            is_called: false,
-            must_write: false,
+            is_store_call_pending: false,
+            must_change_version: false,
             retry_at: None,
-            due_at: None,
+            state_write_due_at: None,
         }
     }
 
@@ -106,7 +106,7 @@
                 state: ClaimState::Claimed,
             },
         });
-        self.pump(now, fx);
+        self.start_next_call(now, fx);
     }
 
     /// Stores the final state of a claimed request.
@@ -123,8 +123,9 @@
             run: run.clone(),
             state,
         });
-        self.due_at.get_or_insert(now + STATE_WAIT);
-        self.pump(now, fx);
+        self.state_write_due_at
+            .get_or_insert(now + STATE_WRITE_DELAY);
+        self.start_next_call(now, fx);
     }
 
     /// Releases the claim of a run that was not sent.
@@ -139,21 +140,21 @@
             key: key.clone(),
             run: run.clone(),
         });
-        self.pump(now, fx);
+        self.start_next_call(now, fx);
     }
 
     /// Starts the next store call if one is due.
     pub fn tick(&mut self, now: Duration, fx: &mut Vec<ClaimEffect>) {
-        self.pump(now, fx);
+        self.start_next_call(now, fx);
     }
 
     /// Returns the time of the next due [`tick`](Self::tick), if any.
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
-        if self.is_called || (self.pending.is_empty() && self.in_flight.is_empty()) {
+        if self.is_store_call_pending || (self.pending.is_empty() && self.in_flight.is_empty()) {
             return None;
         }
-        self.retry_at.or(self.due_at)
+        self.retry_at.or(self.state_write_due_at)
     }
 
     /// Returns whether no change waits to be stored.
@@ -162,23 +163,23 @@
         self.pending.is_empty() && self.in_flight.is_empty()
     }
 
-    fn pump(&mut self, now: Duration, fx: &mut Vec<ClaimEffect>) {
-        if self.is_called || self.retry_at.is_some_and(|at| now < at) {
+    fn start_next_call(&mut self, now: Duration, fx: &mut Vec<ClaimEffect>) {
+        if self.is_store_call_pending || self.retry_at.is_some_and(|at| now < at) {
             return;
         }
         let is_urgent = self
             .pending
             .iter()
             .any(|op| !matches!(op, ClaimOp::Finish { .. }));
-        let is_due = self.due_at.is_some_and(|at| at <= now);
+        let is_due = self.state_write_due_at.is_some_and(|at| at <= now);
         if self.in_flight.is_empty() && (is_urgent || is_due) {
             self.in_flight = std::mem::take(&mut self.pending);
-            self.due_at = None;
+            self.state_write_due_at = None;
         }
         if self.in_flight.is_empty() {
             return;
         }
-        self.is_called = true;
+        self.is_store_call_pending = true;
         if self.view.is_some() {
             self.write(now, fx);
         } else {
@@ -193,7 +194,7 @@
         let mut candidate = table.clone();
         let oldest = now.saturating_sub(self.retention + CLOCK_MARGIN);
         candidate.forget_before(u64::try_from(oldest.as_millis()).unwrap_or(u64::MAX));
-        let mut is_changed = self.must_write;
+        let mut is_changed = self.must_change_version;
         for op in &self.in_flight {
             let is_new = matches!(op, ClaimOp::Claim { .. });
             if is_new && candidate.claims.len() >= TABLE_CLAIMS_MAX {
@@ -205,11 +206,11 @@
         }
         if !is_changed {
             // All keys are already claimed in the table, so no write is needed.
-            self.is_called = false;
+            self.is_store_call_pending = false;
             self.candidate = None;
-            self.committed(fx);
+            self.report_outcomes(fx);
             // No store call is pending, so no answer would start the claims queued in the meantime.
-            self.pump(now, fx);
+            self.start_next_call(now, fx);
             return;
         }
         candidate.writes += 1;
@@ -224,15 +225,15 @@
 
     /// Handles the store's answer to the pending call.
     pub fn on_store(&mut self, now: Duration, answer: StoreAnswer, fx: &mut Vec<ClaimEffect>) {
-        self.is_called = false;
+        self.is_store_call_pending = false;
         match answer {
             StoreAnswer::Written { version } => {
                 self.retry_at = None;
-                self.must_write = false;
+                self.must_change_version = false;
                 if let Some(table) = self.candidate.take() {
                     self.view = Some((version, table));
                 }
-                self.committed(fx);
+                self.report_outcomes(fx);
             }
             StoreAnswer::Found(object) | StoreAnswer::Conflict(object) => {
                 self.retry_at = None;
@@ -240,7 +241,7 @@
             }
             StoreAnswer::Lost => self.answer_lost(now, fx),
         }
-        self.pump(now, fx);
+        self.start_next_call(now, fx);
     }
 
     fn read_table(&mut self, now: Duration, object: Option<Object>, fx: &mut Vec<ClaimEffect>) {
@@ -260,7 +261,7 @@
     }
 
     /// Reports the outcome of the claims in flight, once the current table reflects them all.
-    fn committed(&mut self, fx: &mut Vec<ClaimEffect>) {
+    fn report_outcomes(&mut self, fx: &mut Vec<ClaimEffect>) {
         let Some((_, table)) = &self.view else {
             return;
         };
@@ -270,10 +271,10 @@
             };
             let run = claim.run;
             match table.claims.get(&key) {
-                Some(standing) if standing.run == run => fx.push(ClaimEffect::Won { run }),
-                Some(standing) => fx.push(ClaimEffect::Repeated {
+                Some(existing) if existing.run == run => fx.push(ClaimEffect::Won { run }),
+                Some(existing) => fx.push(ClaimEffect::Repeated {
                     run,
-                    claim: standing.clone(),
+                    claim: existing.clone(),
                 }),
                 None => fx.push(ClaimEffect::Failed { run }),
             }
@@ -288,8 +289,8 @@
     fn answer_lost(&mut self, now: Duration, fx: &mut Vec<ClaimEffect>) {
         self.view = None;
         self.candidate = None;
-        self.must_write = true;
-        self.retry_at = Some(now + RETRY_AFTER);
+        self.must_change_version = true;
+        self.retry_at = Some(now + REREAD_DELAY);
         let mut kept = Vec::new();
         for op in self.in_flight.drain(..).chain(self.pending.drain(..)) {
             match op {
--- a/crates/damaskstile-requests/src/fingerprint.rs
+++ b/crates/damaskstile-requests/src/fingerprint.rs
@@ -9,8 +9,8 @@
 
 /// Length of the truncated digest, in bytes: enough that a caller cannot find a collision.
 const DIGEST_BYTES: usize = 16;
-/// Length of the digest prefix shown in logs, in bytes.
-const SHOWN_BYTES: usize = 6;
+/// Length of the digest prefix displayed in logs, in bytes.
+const DISPLAYED_BYTES: usize = 6;
 
 /// `Fingerprint` identifies the content of a call.
 ///
@@ -19,7 +19,7 @@
 /// account's calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fingerprint {
-    outline: u64,
+    coarse_hash: u64,
     digest: [u8; DIGEST_BYTES],
 }
 
@@ -50,15 +50,15 @@
         let mut digest = [0; DIGEST_BYTES];
         digest.copy_from_slice(&hasher.finalize()[..DIGEST_BYTES]);
         Self {
-            outline: Self::outline_of(content),
+            coarse_hash: Self::coarse_hash_of(content),
             digest,
         }
     }
 
-    /// Returns a hash of everything but the body, of which only the length is included. Contents that
-    /// differ may share it.
+    /// Returns a hash of everything but the body, of which only the length is included. Contents
+    /// that differ may share it.
     #[must_use]
-    pub fn outline_of(content: &Content<'_>) -> u64 {
+    pub fn coarse_hash_of(content: &Content<'_>) -> u64 {
         let length = content.body.len().to_string();
         stable_hash(&[
             content.account,
@@ -69,10 +69,10 @@
         ])
     }
 
-    /// Returns the range of all fingerprints with the given outline.
-    pub(crate) fn range_of(outline: u64) -> std::ops::RangeInclusive<Self> {
+    /// Returns the range of all fingerprints with the given coarse hash.
+    pub(crate) fn range_of(coarse_hash: u64) -> std::ops::RangeInclusive<Self> {
         let with = |byte| Self {
-            outline,
+            coarse_hash,
             digest: [byte; DIGEST_BYTES],
         };
         with(0)..=with(u8::MAX)
@@ -81,7 +81,7 @@
     /// Encodes the fingerprint as peers exchange it.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
-        let mut bytes = self.outline.to_be_bytes().to_vec();
+        let mut bytes = self.coarse_hash.to_be_bytes().to_vec();
         bytes.extend(self.digest);
         bytes
     }
@@ -94,9 +94,9 @@
     /// ```
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
-        let (outline, digest) = bytes.split_first_chunk()?;
+        let (coarse_hash, digest) = bytes.split_first_chunk()?;
         Some(Self {
-            outline: u64::from_be_bytes(*outline),
+            coarse_hash: u64::from_be_bytes(*coarse_hash),
             digest: digest.try_into().ok()?,
         })
     }
@@ -104,8 +104,8 @@
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let shown = self.digest.iter().take(SHOWN_BYTES);
-        shown
+        let displayed = self.digest.iter().take(DISPLAYED_BYTES);
+        displayed
             .into_iter()
             .try_for_each(|byte| write!(f, "{byte:02x}"))
     }
--- a/crates/damaskstile-requests/src/retries.rs
+++ b/crates/damaskstile-requests/src/retries.rs
@@ -3,11 +3,11 @@
 use damaskstile_core::prelude::*;
 
 /// Maximum number of retries that can accumulate.
-const SAVED_MAX: u64 = 20;
+const ACCUMULATED_MAX: u64 = 20;
 /// Units per retry. Each request adds as many units as the budget's percentage.
-const PARTS: u64 = 100;
+const UNITS_PER_RETRY: u64 = 100;
 /// Units added per second regardless of requests, so that single failures are retried.
-const PARTS_PER_S: u64 = 50;
+const UNITS_PER_S: u64 = 50;
 
 /// `RetryBudget` allows retries as a percentage of requests.
 ///
@@ -16,10 +16,10 @@
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     percent: u64,
-    saved_max: u64,
-    parts_per_s: u64,
-    parts: u64,
-    at: Duration,
+    accumulated_max: u64,
+    units_per_s: u64,
+    units: u64,
+    refilled_at: Duration,
 }
 
 impl RetryBudget {
@@ -28,10 +28,10 @@
     pub fn new(percent: u64, now: Duration) -> Self {
         Self {
             percent,
-            saved_max: SAVED_MAX,
-            parts_per_s: PARTS_PER_S,
-            parts: SAVED_MAX * PARTS / 2,
-            at: now,
+            accumulated_max: ACCUMULATED_MAX,
+            units_per_s: UNITS_PER_S,
+            units: ACCUMULATED_MAX * UNITS_PER_RETRY / 2,
+            refilled_at: now,
         }
     }
 
@@ -45,16 +45,16 @@
         instances: u64,
         now: Duration,
     ) -> Self {
-        // Both the accumulated retries and those added during the span can be used within it, so each
-        // gets half.
-        let saved_max = extra / 2 / instances.max(1);
+        // Both the accumulated retries and those added during the span can be used within it, so
+        // each gets half.
+        let accumulated_max = extra / 2 / instances.max(1);
         let span_s = span.as_secs().max(1);
         Self {
             percent,
-            saved_max,
-            parts_per_s: extra * PARTS / 2 / instances.max(1) / span_s,
-            parts: saved_max * PARTS,
-            at: now,
+            accumulated_max,
+            units_per_s: extra * UNITS_PER_RETRY / 2 / instances.max(1) / span_s,
+            units: accumulated_max * UNITS_PER_RETRY,
+            refilled_at: now,
         }
     }
 
@@ -65,7 +65,7 @@
 
     /// Records a request, which adds its share of a retry.
     pub fn add_request(&mut self) {
-        self.parts = (self.parts + self.percent).min(self.parts_max());
+        self.units = (self.units + self.percent).min(self.units_max());
     }
 
     /// Takes one retry from the budget. Returns whether one was available.
@@ -81,7 +81,7 @@
         if !self.can_retry(now) {
             return false;
         }
-        self.parts -= PARTS;
+        self.units -= UNITS_PER_RETRY;
         true
     }
 
@@ -99,18 +99,18 @@
         if self.percent == 0 {
             return false;
         }
-        let whole_seconds = now.saturating_sub(self.at).as_secs();
+        let whole_seconds = now.saturating_sub(self.refilled_at).as_secs();
         if whole_seconds > 0 {
-            self.at += Duration::from_secs(whole_seconds);
-            let saved = whole_seconds.saturating_mul(self.parts_per_s);
-            self.parts = self.parts.saturating_add(saved).min(self.parts_max());
+            self.refilled_at += Duration::from_secs(whole_seconds);
+            let added = whole_seconds.saturating_mul(self.units_per_s);
+            self.units = self.units.saturating_add(added).min(self.units_max());
         }
-        self.parts >= PARTS
+        self.units >= UNITS_PER_RETRY
     }
 
-    /// Returns the maximum balance, in units. It is at least one retry, as otherwise the added units
-    /// could never amount to one.
-    fn parts_max(&self) -> u64 {
-        self.saved_max.max(1) * PARTS
+    /// Returns the maximum balance, in units. It is at least one retry, as otherwise the added
+    /// units could never amount to one.
+    fn units_max(&self) -> u64 {
+        self.accumulated_max.max(1) * UNITS_PER_RETRY
     }
 }
--- a/crates/damaskstile-requests/src/suspect.rs
+++ b/crates/damaskstile-requests/src/suspect.rs
@@ -3,27 +3,27 @@
 use damaskstile_core::prelude::*;
 
 use crate::fingerprint::Fingerprint;
-use crate::suspect_word::SuspectWord;
-use crate::target_end::TargetEnd;
+use crate::suspect_report::SuspectWord;
+use crate::target_crash::TargetCrash;
 
 /// Time for which a crash counts against a content.
-pub(crate) const END_MEMORY: Duration = Duration::from_mins(10);
+pub(crate) const CRASH_RETENTION: Duration = Duration::from_mins(10);
 /// Time for which a completed run of a content is remembered. Reports that arrive within it of
 /// crashes noticed before the completion are ignored.
-const CLEARED_MEMORY: Duration = Duration::from_secs(30);
+const COMPLETION_RETENTION: Duration = Duration::from_secs(30);
 /// Crashes closer together than this count as one. A cause that takes down many targets at once,
 /// such as a power loss, also hits several targets that run the same content.
-const TOGETHER: Duration = Duration::from_millis(250);
+const SAME_CAUSE_WINDOW: Duration = Duration::from_millis(250);
 /// Crashes from which on a content is reported to all peers, not only to the instances that collect
 /// its crashes. Tens of contents run on each target that crashes, but few of them also run on the
 /// next one.
-const TOLD_FROM: usize = 2;
+const REPORT_TO_ALL_FROM_CRASHES: usize = 2;
 /// Maximum number of crashes stored per content.
-const ENDS_MAX: usize = 16;
+const CRASHES_MAX: usize = 16;
 /// Stored crashes from which on only a crash apart in time from all others is added. Otherwise a
 /// quick series would fill the list with crashes that count as one, and the content would never be
 /// quarantined.
-const TOGETHER_MAX: usize = 8;
+const BURST_CRASHES_MAX: usize = 8;
 
 /// `Suspect` is the crash history of a content that ran on targets when they crashed.
 #[derive(Debug, Clone, Default)]
@@ -31,14 +31,14 @@
     /// Client account whose calls have this content.
     pub(crate) account: AccountId,
     /// Crashes of targets that ran it, since it last ran to completion.
-    pub(crate) ends: Vec<TargetEnd>,
+    pub(crate) crashes: Vec<TargetCrash>,
     /// When it last ran to completion.
     pub(crate) cleared_at: Option<Duration>,
     /// When the history last changed.
     pub(crate) changed_at: Duration,
     /// Whether changes are reported to all peers. Once set, this includes that the content was
     /// cleared.
-    pub(crate) is_told: bool,
+    pub(crate) is_reported_to_all: bool,
 }
 
 impl Suspect {
@@ -50,60 +50,64 @@
     }
 
     /// Records a crash. Returns whether it is a new one that counts.
-    pub(crate) fn note_end(&mut self, now: Duration, end: TargetEnd) -> bool {
-        let is_outdated = self.cleared_at.is_some_and(|cleared| end.at <= cleared);
-        if is_outdated || now.saturating_sub(end.at) >= END_MEMORY {
+    pub(crate) fn note_crash(&mut self, now: Duration, crash: TargetCrash) -> bool {
+        let is_outdated = self.cleared_at.is_some_and(|cleared| crash.at <= cleared);
+        if is_outdated || now.saturating_sub(crash.at) >= CRASH_RETENTION {
             return false;
         }
-        if let Some(known) = self.ends.iter_mut().find(|known| known.is_same(&end)) {
+        if let Some(known) = self.crashes.iter_mut().find(|known| known.is_same(&crash)) {
             // Transit times make a crash appear younger with every relay, so the earliest time is
             // kept.
-            known.at = known.at.min(end.at);
+            known.at = known.at.min(crash.at);
             return false;
         }
-        let mut ends = self.ends.iter();
-        let is_apart = ends.all(|known| known.at.abs_diff(end.at) >= TOGETHER);
-        let most = if is_apart { ENDS_MAX } else { TOGETHER_MAX };
-        if self.ends.len() >= most {
+        let mut crashes = self.crashes.iter();
+        let is_separate = crashes.all(|known| known.at.abs_diff(crash.at) >= SAME_CAUSE_WINDOW);
+        let most = if is_separate {
+            CRASHES_MAX
+        } else {
+            BURST_CRASHES_MAX
+        };
+        if self.crashes.len() >= most {
             return false;
         }
-        self.ends.push(end);
+        self.crashes.push(crash);
         self.changed_at = now;
-        self.is_told |= self.ends.len() >= TOLD_FROM;
+        self.is_reported_to_all |= self.crashes.len() >= REPORT_TO_ALL_FROM_CRASHES;
         true
     }
 
     /// Records that the content ran to completion at `at`. Returns whether this removed any crash
     /// from the history.
     pub(crate) fn clear(&mut self, now: Duration, at: Duration) -> bool {
-        let before = self.ends.len();
-        self.ends.retain(|end| end.at > at);
+        let before = self.crashes.len();
+        self.crashes.retain(|crash| crash.at > at);
         self.cleared_at = self.cleared_at.max(Some(at));
-        let is_news = self.ends.len() < before;
-        if is_news {
+        let is_any_removed = self.crashes.len() < before;
+        if is_any_removed {
             self.changed_at = now;
         }
-        is_news
+        is_any_removed
     }
 
     /// Drops expired entries. Returns whether any entry is left.
-    pub(crate) fn forget_old(&mut self, now: Duration) -> bool {
-        self.ends
-            .retain(|end| now.saturating_sub(end.at) < END_MEMORY);
+    pub(crate) fn drop_expired(&mut self, now: Duration) -> bool {
+        self.crashes
+            .retain(|crash| now.saturating_sub(crash.at) < CRASH_RETENTION);
         let is_cleared = self
             .cleared_at
-            .is_some_and(|at| now.saturating_sub(at) < CLEARED_MEMORY);
-        is_cleared || !self.ends.is_empty()
+            .is_some_and(|at| now.saturating_sub(at) < COMPLETION_RETENTION);
+        is_cleared || !self.crashes.is_empty()
     }
 
     /// Counts the crashes. A series in quick succession counts as one.
     pub(crate) fn count(&self) -> usize {
-        let mut times: Vec<Duration> = self.ends.iter().map(|end| end.at).collect();
+        let mut times: Vec<Duration> = self.crashes.iter().map(|crash| crash.at).collect();
         times.sort_unstable();
         let mut count = 0;
         let mut last = None;
         for at in times {
-            if last.is_none_or(|last| at.saturating_sub(last) >= TOGETHER) {
+            if last.is_none_or(|last| at.saturating_sub(last) >= SAME_CAUSE_WINDOW) {
                 count += 1;
                 last = Some(at);
             }
@@ -111,29 +115,33 @@
         count
     }
 
-    /// Returns the time for which at least `ends` crashes still count.
-    pub(crate) fn is_known_for(&self, now: Duration, ends: usize) -> Duration {
-        let mut times: Vec<Duration> = self.ends.iter().map(|end| end.at).collect();
+    /// Returns the time for which at least `crashes` crashes still count.
+    pub(crate) fn time_with_crashes(&self, now: Duration, crashes: usize) -> Duration {
+        let mut times: Vec<Duration> = self.crashes.iter().map(|crash| crash.at).collect();
         times.sort_unstable();
-        let last_needed = times.iter().rev().nth(ends.saturating_sub(1));
-        last_needed.map_or(Duration::ZERO, |at| (*at + END_MEMORY).saturating_sub(now))
+        let decisive = times.iter().rev().nth(crashes.saturating_sub(1));
+        decisive.map_or(Duration::ZERO, |at| {
+            (*at + CRASH_RETENTION).saturating_sub(now)
+        })
     }
 
     /// Returns the report of this history for peers.
-    pub(crate) fn word(&self, now: Duration, fingerprint: Fingerprint) -> SuspectWord {
+    pub(crate) fn report(&self, now: Duration, fingerprint: Fingerprint) -> SuspectWord {
         let age = |at: Duration| now.saturating_sub(at);
-        let ends = self.ends.iter();
+        let crashes = self.crashes.iter();
         SuspectWord {
             fingerprint,
             account: self.account.clone(),
-            ends: ends.map(|end| (end.target.clone(), age(end.at))).collect(),
+            ends: crashes
+                .map(|crash| (crash.target.clone(), age(crash.at)))
+                .collect(),
             cleared_age: self.cleared_at.map(age),
         }
     }
 
     /// Returns whether every crash of the other content is also a crash of this one.
     pub(crate) fn covers(&self, other: &Self) -> bool {
-        let mut ends = other.ends.iter();
-        ends.all(|end| self.ends.iter().any(|known| known.is_same(end)))
+        let mut crashes = other.crashes.iter();
+        crashes.all(|crash| self.crashes.iter().any(|known| known.is_same(crash)))
     }
 }
--- a/crates/damaskstile-requests/src/suspects.rs
+++ b/crates/damaskstile-requests/src/suspects.rs
@@ -7,20 +7,21 @@
 use crate::content::Content;
 use crate::fingerprint::Fingerprint;
 use crate::suspect::Suspect;
-use crate::suspect_word::SuspectWord;
-use crate::target_end::TargetEnd;
+use crate::suspect_report::SuspectWord;
+use crate::target_crash::TargetCrash;
 use crate::verdicts::Verdicts;
 
-/// Number of crashes from which on a content is quarantined. One or two happen to any call that runs
-/// on a target when something else crashes it.
-pub const ENDS_LIMIT: usize = 3;
-/// Maximum number of suspects kept: enough for what runs on some tens of targets that crash together.
+/// Number of crashes from which on a content is quarantined. One or two happen to any call that
+/// runs on a target when something else crashes it.
+pub const CRASHES_LIMIT: usize = 3;
+/// Maximum number of suspects kept: enough for what runs on some tens of targets that crash
+/// together.
 const SUSPECTS_MAX: usize = 512;
 /// Time for which a change is reported to peers. Quarantined contents are reported for as long as
 /// they are quarantined, so that a starting instance learns of them with the first digests.
-const TOLD_FOR: Duration = Duration::from_secs(5);
+const REPORTED_FOR: Duration = Duration::from_secs(5);
 /// Maximum number of contents reported at a time, about two kilobytes.
-const TOLD_MAX: usize = 24;
+const REPORTS_MAX: usize = 24;
 
 /// `Suspects` finds and quarantines the contents that crash the targets that run them.
 ///
@@ -34,8 +35,8 @@
 /// quarantined content that has more of them.
 #[derive(Debug, Clone, Default)]
 pub struct Suspects {
-    known: BTreeMap<Fingerprint, Suspect>,
-    barred: BTreeSet<Fingerprint>,
+    suspects: BTreeMap<Fingerprint, Suspect>,
+    quarantined: BTreeSet<Fingerprint>,
 }
 
 impl Suspects {
@@ -47,27 +48,27 @@
         account: &str,
         target: TargetIdentity,
     ) -> Verdicts {
-        let suspect = self.known.entry(fingerprint);
+        let suspect = self.suspects.entry(fingerprint);
         let suspect = suspect.or_insert_with(|| Suspect::new(account));
-        if !suspect.note_end(now, TargetEnd { target, at: now }) {
+        if !suspect.note_crash(now, TargetCrash { target, at: now }) {
             return Verdicts::default();
         }
-        self.judge(now, fingerprint)
+        self.update_quarantine(now, fingerprint)
     }
 
     /// Records that a content ran to completion on a target that is still up.
     pub fn note_success(&mut self, now: Duration, content: &Content<'_>) -> Verdicts {
-        if self.known.is_empty() {
+        if self.suspects.is_empty() {
             return Verdicts::default();
         }
-        let outlined = Fingerprint::range_of(Fingerprint::outline_of(content));
-        if self.known.range(outlined).next().is_none() {
+        let same_coarse_hash = Fingerprint::range_of(Fingerprint::coarse_hash_of(content));
+        if self.suspects.range(same_coarse_hash).next().is_none() {
             return Verdicts::default();
         }
         let fingerprint = Fingerprint::of(content);
-        let suspect = self.known.get_mut(&fingerprint);
+        let suspect = self.suspects.get_mut(&fingerprint);
         if suspect.is_some_and(|suspect| suspect.clear(now, now)) {
-            self.judge(now, fingerprint)
+            self.update_quarantine(now, fingerprint)
         } else {
             Verdicts::default()
         }
@@ -91,37 +92,39 @@
     /// ```
     #[must_use]
     pub fn barred_for(&self, now: Duration, content: &Content<'_>) -> Option<Duration> {
-        if self.barred.is_empty() {
+        if self.quarantined.is_empty() {
             return None;
         }
         // Most calls are ruled out without hashing their bodies.
-        let outline = Fingerprint::outline_of(content);
-        self.barred.range(Fingerprint::range_of(outline)).next()?;
+        let coarse_hash = Fingerprint::coarse_hash_of(content);
+        self.quarantined
+            .range(Fingerprint::range_of(coarse_hash))
+            .next()?;
         let fingerprint = Fingerprint::of(content);
-        if !self.barred.contains(&fingerprint) {
+        if !self.quarantined.contains(&fingerprint) {
             return None;
         }
-        let suspect = self.known.get(&fingerprint)?;
-        let left = suspect.is_known_for(now, ENDS_LIMIT);
+        let suspect = self.suspects.get(&fingerprint)?;
+        let left = suspect.time_with_crashes(now, CRASHES_LIMIT);
         Some(left).filter(|left| !left.is_zero())
     }
 
     /// Merges a peer's report.
-    pub fn hear(&mut self, now: Duration, word: SuspectWord) -> Verdicts {
-        if word.ends.is_empty() && !self.known.contains_key(&word.fingerprint) {
+    pub fn hear(&mut self, now: Duration, report: SuspectWord) -> Verdicts {
+        if report.ends.is_empty() && !self.suspects.contains_key(&report.fingerprint) {
             return Verdicts::default();
         }
-        let suspect = self.known.entry(word.fingerprint);
-        let suspect = suspect.or_insert_with(|| Suspect::new(&word.account));
-        let mut is_news = word
+        let suspect = self.suspects.entry(report.fingerprint);
+        let suspect = suspect.or_insert_with(|| Suspect::new(&report.account));
+        let mut is_changed = report
             .cleared_age
             .is_some_and(|age| suspect.clear(now, now.saturating_sub(age)));
-        for (target, age) in word.ends {
+        for (target, age) in report.ends {
             let at = now.saturating_sub(age);
-            is_news |= suspect.note_end(now, TargetEnd { target, at });
+            is_changed |= suspect.note_crash(now, TargetCrash { target, at });
         }
-        if is_news {
-            self.judge(now, word.fingerprint)
+        if is_changed {
+            self.update_quarantine(now, report.fingerprint)
         } else {
             Verdicts::default()
         }
@@ -130,89 +133,93 @@
     /// Returns the reports to send to all peers now, those with the most crashes first.
     #[must_use]
     pub fn told(&self, now: Duration) -> Vec<SuspectWord> {
-        let is_told = |fingerprint: &Fingerprint, suspect: &Suspect| {
-            let is_new = now.saturating_sub(suspect.changed_at) < TOLD_FOR;
-            (is_new && suspect.is_told) || self.barred.contains(fingerprint)
+        let is_reported_to_all = |fingerprint: &Fingerprint, suspect: &Suspect| {
+            let is_recent = now.saturating_sub(suspect.changed_at) < REPORTED_FOR;
+            (is_recent && suspect.is_reported_to_all) || self.quarantined.contains(fingerprint)
         };
-        let known = self.known.iter();
-        let mut told: Vec<(&Fingerprint, &Suspect)> = known
-            .filter(|(fingerprint, suspect)| is_told(fingerprint, suspect))
+        let suspects = self.suspects.iter();
+        let mut reported: Vec<(&Fingerprint, &Suspect)> = suspects
+            .filter(|(fingerprint, suspect)| is_reported_to_all(fingerprint, suspect))
             .collect();
-        told.sort_by_key(|(_, suspect)| Reverse((suspect.ends.len(), suspect.changed_at)));
-        told.truncate(TOLD_MAX);
-        told.into_iter()
-            .map(|(fingerprint, suspect)| suspect.word(now, *fingerprint))
+        reported.sort_by_key(|(_, suspect)| Reverse((suspect.crashes.len(), suspect.changed_at)));
+        reported.truncate(REPORTS_MAX);
+        reported
+            .into_iter()
+            .map(|(fingerprint, suspect)| suspect.report(now, *fingerprint))
             .collect()
     }
 
     /// Returns the report about a content, for the instances that collect its crashes.
     #[must_use]
     pub fn word(&self, now: Duration, fingerprint: &Fingerprint) -> Option<SuspectWord> {
-        let suspect = self.known.get(fingerprint)?;
-        Some(suspect.word(now, *fingerprint))
+        let suspect = self.suspects.get(fingerprint)?;
+        Some(suspect.report(now, *fingerprint))
     }
 
     /// Returns the number of suspects, and how many of them are quarantined.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
-        (self.known.len(), self.barred.len())
+        (self.suspects.len(), self.quarantined.len())
     }
 
     /// Returns the client account of a content and the number of crashes stored for it.
     #[must_use]
     pub fn ends_of(&self, fingerprint: &Fingerprint) -> Option<(&AccountId, usize)> {
-        let suspect = self.known.get(fingerprint)?;
-        Some((&suspect.account, suspect.ends.len()))
+        let suspect = self.suspects.get(fingerprint)?;
+        Some((&suspect.account, suspect.crashes.len()))
     }
 
     /// Recomputes which contents are quarantined, after the crash history of one changed.
-    fn judge(&mut self, now: Duration, news: Fingerprint) -> Verdicts {
-        self.known.retain(|_, suspect| suspect.forget_old(now));
-        while self.known.len() > SUSPECTS_MAX {
-            self.forget_one();
+    fn update_quarantine(&mut self, now: Duration, changed: Fingerprint) -> Verdicts {
+        self.suspects.retain(|_, suspect| suspect.drop_expired(now));
+        while self.suspects.len() > SUSPECTS_MAX {
+            self.evict_one();
         }
-        let before = std::mem::take(&mut self.barred);
+        let before = std::mem::take(&mut self.quarantined);
         let mut candidates: Vec<(usize, &Fingerprint, &Suspect)> = self
-            .known
+            .suspects
             .iter()
             .map(|(fingerprint, suspect)| (suspect.count(), fingerprint, suspect))
-            .filter(|(count, _, _)| *count >= ENDS_LIMIT)
+            .filter(|(count, _, _)| *count >= CRASHES_LIMIT)
             .collect();
         candidates.sort_by_key(|(count, _, _)| Reverse(*count));
-        let mut barred: Vec<(usize, &Fingerprint, &Suspect)> = Vec::new();
+        let mut quarantined: Vec<(usize, &Fingerprint, &Suspect)> = Vec::new();
         for (count, fingerprint, suspect) in candidates {
-            let mut more = barred.iter().filter(|(more, _, _)| *more > count);
-            if !more.any(|(_, _, other)| other.covers(suspect)) {
-                barred.push((count, fingerprint, suspect));
+            let mut with_more = quarantined.iter().filter(|(more, _, _)| *more > count);
+            if !with_more.any(|(_, _, other)| other.covers(suspect)) {
+                quarantined.push((count, fingerprint, suspect));
             }
         }
-        self.barred = barred.iter().map(|(_, name, _)| **name).collect();
+        self.quarantined = quarantined
+            .iter()
+            .map(|(_, fingerprint, _)| **fingerprint)
+            .collect();
         Verdicts {
-            news: Some(news),
-            barred: self.barred.difference(&before).copied().collect(),
-            released: before.difference(&self.barred).copied().collect(),
+            news: Some(changed),
+            barred: self.quarantined.difference(&before).copied().collect(),
+            released: before.difference(&self.quarantined).copied().collect(),
         }
     }
 
     /// Evicts a suspect of the account that has most of them: the one with the fewest crashes, and
     /// among those the one that changed longest ago. No caller can thus displace the suspects of
     /// others.
-    fn forget_one(&mut self) {
+    fn evict_one(&mut self) {
         let mut by_account: BTreeMap<&AccountId, usize> = BTreeMap::new();
-        for suspect in self.known.values() {
+        for suspect in self.suspects.values() {
             *by_account.entry(&suspect.account).or_default() += 1;
         }
         let most = by_account.into_iter().max_by_key(|(_, count)| *count);
         let Some(account) = most.map(|(account, _)| account.clone()) else {
             return;
         };
-        let of_account = self.known.iter();
-        let least = of_account
+        let suspects = self.suspects.iter();
+        let evicted = suspects
             .filter(|(_, suspect)| suspect.account == account)
-            .min_by_key(|(_, suspect)| (suspect.ends.len(), suspect.changed_at))
+            .min_by_key(|(_, suspect)| (suspect.crashes.len(), suspect.changed_at))
             .map(|(fingerprint, _)| *fingerprint);
-        if let Some(least) = least {
-            self.known.remove(&least);
+        if let Some(evicted) = evicted {
+            self.suspects.remove(&evicted);
         }
     }
 }
--- a/crates/damaskstile-requests/tests/claims.rs
+++ b/crates/damaskstile-requests/tests/claims.rs
@@ -22,7 +22,7 @@
     )
 }
 
-fn written(effects: &[ClaimEffect]) -> Option<(Version, String)> {
+fn first_write(effects: &[ClaimEffect]) -> Option<(Version, String)> {
     effects.iter().find_map(|effect| match effect {
         ClaimEffect::Write {
             expected_version,
@@ -32,30 +32,30 @@
     })
 }
 
-/// Claims a key and gives the shard the table as it stands; returns what it does then.
-fn claim_over(shard: &mut ClaimShard, run: &str, standing: Option<Object>) -> Vec<ClaimEffect> {
+/// Claims a key, answers the read of the table with `stored`, and returns the effects that follow.
+fn claim_with_table(shard: &mut ClaimShard, run: &str, stored: Option<Object>) -> Vec<ClaimEffect> {
     let mut effects = Vec::new();
     shard.claim(NOW, &key(1), &run.to_owned(), &mut effects);
     assert_matches!(effects[..], [ClaimEffect::Read]);
     effects.clear();
-    shard.on_store(NOW, StoreAnswer::Found(standing), &mut effects);
+    shard.on_store(NOW, StoreAnswer::Found(stored), &mut effects);
     effects
 }
 
 #[test]
-fn of_two_instances_that_claim_at_once_one_wins() {
+fn one_of_two_concurrent_claims_wins() {
     // Arrange
     let (mut one, mut two) = (shard("one"), shard("two"));
-    let (version, value) = written(&claim_over(&mut one, "run-1", None)).unwrap();
-    claim_over(&mut two, "run-2", None);
+    let (version, value) = first_write(&claim_with_table(&mut one, "run-1", None)).unwrap();
+    claim_with_table(&mut two, "run-2", None);
     assert_eq!(version, 0);
 
-    // Act: the store takes the first write and shows it to the second.
+    // Act: the store accepts the first write and answers the second with a conflict.
     let mut first = Vec::new();
     one.on_store(NOW, StoreAnswer::Written { version: 1 }, &mut first);
-    let standing = Object { version: 1, value };
+    let existing = Object { version: 1, value };
     let mut second = Vec::new();
-    two.on_store(NOW, StoreAnswer::Conflict(Some(standing)), &mut second);
+    two.on_store(NOW, StoreAnswer::Conflict(Some(existing)), &mut second);
 
     // Assert
     assert_matches!(&first[..], [ClaimEffect::Won { run }] if run == "run-1");
@@ -64,14 +64,13 @@
 }
 
 #[test]
-fn a_claim_whose_answer_is_lost_is_refused_and_given_up() {
-    // Symptom: a request is refused as not run, and its key is claimed for ever.
-    // Sequence: the write takes effect and its answer is lost.
-    // Cause looked for: no second write that gives the claim up.
+fn a_claim_whose_store_answer_is_lost_fails_and_is_released() {
+    // Guards against a request that is refused as not run while its key stays claimed for ever: the
+    // write took effect, its answer was lost, and no second write releases the claim.
 
     // Arrange
     let mut shard = shard("one");
-    let (_, value) = written(&claim_over(&mut shard, "run-1", None)).unwrap();
+    let (_, value) = first_write(&claim_with_table(&mut shard, "run-1", None)).unwrap();
 
     // Act
     let mut lost = Vec::new();
@@ -79,35 +78,34 @@
     let later = NOW + Duration::from_secs(1);
     let mut retried = Vec::new();
     shard.tick(later, &mut retried);
-    let standing = Object { version: 1, value };
+    let existing = Object { version: 1, value };
     let mut released = Vec::new();
-    shard.on_store(later, StoreAnswer::Found(Some(standing)), &mut released);
+    shard.on_store(later, StoreAnswer::Found(Some(existing)), &mut released);
 
     // Assert
     assert_matches!(&lost[..], [ClaimEffect::Failed { run }] if run == "run-1");
-    let (version, value) = written(&released).unwrap();
+    let (version, value) = first_write(&released).unwrap();
     assert_eq!(version, 1);
     assert!(!value.contains("run-1"), "{value}");
 }
 
 #[test]
-fn a_claim_that_comes_during_another_is_answered_without_a_write() {
-    // Symptom: a caller gets no answer at all.
-    // Sequence: three instances claim the same keys at once; a claim comes while the shard's
-    // write is out, and the table read after its conflict shows that all keys are taken.
-    // Cause: a batch that needed no write was concluded without looking at what waited.
+fn a_claim_queued_behind_a_conflict_is_answered_without_a_write() {
+    // Guards against a caller that gets no answer. Three instances claim the same keys at once, and
+    // a claim arrives while the shard's write is pending. After the conflict the table shows that
+    // all keys are taken, so the batch needs no write; the queued claim must still be handled.
 
     // Arrange
     let mut shard = shard("one");
-    let (_, value) = written(&claim_over(&mut shard, "run-1", None)).unwrap();
+    let (_, value) = first_write(&claim_with_table(&mut shard, "run-1", None)).unwrap();
     let value = value.replace("run-1", "run-9").replace("one", "nine");
     let mut effects = Vec::new();
     shard.claim(NOW, &key(1), &"run-2".to_owned(), &mut effects);
     assert_eq!(effects, []);
 
     // Act
-    let standing = Object { version: 5, value };
-    shard.on_store(NOW, StoreAnswer::Conflict(Some(standing)), &mut effects);
+    let existing = Object { version: 5, value };
+    shard.on_store(NOW, StoreAnswer::Conflict(Some(existing)), &mut effects);
 
     // Assert
     let repeated: Vec<&String> = effects
@@ -122,7 +120,7 @@
 }
 
 #[test]
-fn many_claims_go_in_one_write() {
+fn waiting_claims_share_one_write() {
     // Arrange
     let mut shard = shard("one");
     let mut effects = Vec::new();
@@ -137,8 +135,8 @@
     shard.on_store(NOW, StoreAnswer::Written { version: 2 }, &mut effects);
 
     // Assert
-    let count = |is_meant: fn(&ClaimEffect) -> bool| {
-        effects.iter().filter(|effect| is_meant(effect)).count()
+    let count = |matches_kind: fn(&ClaimEffect) -> bool| {
+        effects.iter().filter(|effect| matches_kind(effect)).count()
     };
     assert_eq!(
         count(|effect| matches!(effect, ClaimEffect::Won { .. })),
@@ -151,10 +149,10 @@
 }
 
 #[test]
-fn a_finished_claim_tells_its_outcome_to_a_repeat() {
+fn a_repeated_request_gets_the_outcome_of_the_finished_claim() {
     // Arrange
     let mut shard = shard("one");
-    claim_over(&mut shard, "run-1", None);
+    claim_with_table(&mut shard, "run-1", None);
     let mut effects = Vec::new();
     shard.on_store(NOW, StoreAnswer::Written { version: 1 }, &mut effects);
     let state = ClaimState::Answered {
--- a/crates/damaskstile-requests/tests/suspects.rs
+++ b/crates/damaskstile-requests/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Which contents are taken for those that end their targets, and what clears the others.
+//! Tests of which contents are quarantined for crashing targets, and what clears others.
 
 mod support;
 
@@ -6,90 +6,99 @@
 
 use damaskstile_core::prelude::*;
 use damaskstile_requests::{Content, Fingerprint, Suspects};
-use support::{at_ms, content, end, fingerprint, hear_all};
+use support::{at_ms, content, crash, fingerprint, merge_reports_of};
 
-/// Contents under which one caller has targets end: more than are remembered.
-const MANY: u64 = 2_000;
+/// Contents of one caller with crashes: more than are stored.
+const MANY_CONTENTS: u64 = 2_000;
 
 fn is_barred(suspects: &Suspects, now: Duration, content: &Content<'_>) -> bool {
     suspects.barred_for(now, content).is_some()
 }
 
 #[test]
-fn three_ends_bar_a_content_of_one_account_only() {
+fn three_crashes_quarantine_a_content_of_one_account_only() {
     // Arrange
     let mut suspects = Suspects::default();
 
     // Act
     for second in 1..=3 {
-        end(&mut suspects, second * 1_000, "deadly", &second.to_string());
+        crash(
+            &mut suspects,
+            second * 1_000,
+            "crasher",
+            &second.to_string(),
+        );
     }
 
     // Assert
-    let (now, deadly) = (at_ms(3_100), content("deadly"));
+    let (now, crasher) = (at_ms(3_100), content("crasher"));
     let of_another = Content {
         account: "another",
-        ..deadly
+        ..crasher
     };
-    assert!(is_barred(&suspects, now, &deadly));
+    assert!(is_barred(&suspects, now, &crasher));
     assert!(!is_barred(&suspects, now, &of_another));
     assert!(!is_barred(&suspects, now, &content("as long")));
 }
 
 #[test]
-fn a_content_is_served_again_when_its_ends_are_old() {
+fn a_content_is_released_once_its_crashes_expire() {
     // Arrange
     let mut suspects = Suspects::default();
     for second in 1..=3 {
-        end(&mut suspects, second * 1_000, "deadly", &second.to_string());
+        crash(
+            &mut suspects,
+            second * 1_000,
+            "crasher",
+            &second.to_string(),
+        );
     }
 
     // Act
     let left = suspects
-        .barred_for(at_ms(4_000), &content("deadly"))
+        .barred_for(at_ms(4_000), &content("crasher"))
         .unwrap();
 
-    // Assert: a caller that comes back when it was told to is not refused again.
+    // Assert: a caller that retries after the stated time is not refused again.
     let later = at_ms(4_000) + left;
-    assert!(!is_barred(&suspects, later, &content("deadly")));
+    assert!(!is_barred(&suspects, later, &content("crasher")));
     assert!(is_barred(
         &suspects,
         later.saturating_sub(at_ms(1)),
-        &content("deadly")
+        &content("crasher")
     ));
 }
 
 #[test]
-fn a_content_that_runs_to_its_end_is_cleared_also_of_ends_that_are_heard_of_late() {
+fn completion_also_clears_crashes_that_are_reported_late() {
     // Arrange
     let (mut own, mut peer) = (Suspects::default(), Suspects::default());
-    end(&mut own, 1_000, "lookup", "a");
-    end(&mut peer, 1_500, "lookup", "b");
-    end(&mut peer, 1_900, "lookup", "c");
+    crash(&mut own, 1_000, "lookup", "a");
+    crash(&mut peer, 1_500, "lookup", "b");
+    crash(&mut peer, 1_900, "lookup", "c");
 
     // Act
     let _ = own.note_success(at_ms(2_000), &content("lookup"));
-    hear_all(&mut own, &peer, at_ms(2_300));
-    end(&mut own, 3_000, "lookup", "d");
+    merge_reports_of(&mut own, &peer, at_ms(2_300));
+    crash(&mut own, 3_000, "lookup", "d");
 
     // Assert
     assert!(!is_barred(&own, at_ms(3_100), &content("lookup")));
-    hear_all(&mut peer, &own, at_ms(3_100));
+    merge_reports_of(&mut peer, &own, at_ms(3_100));
     assert!(!is_barred(&peer, at_ms(3_100), &content("lookup")));
 }
 
 #[test]
-fn targets_that_end_together_count_once() {
-    // Symptom: a lookup that many ask for is refused for minutes. Sequence: a loss of power takes
-    // down a part of the targets at once, some of which run that lookup. Cause: each of them would
-    // count as an end under it.
+fn simultaneous_crashes_count_once() {
+    // Guards against refusing a popular content for minutes after a power loss. The loss takes down
+    // several targets that run the content at once, each of which would count as a crash.
 
     // Arrange
     let mut suspects = Suspects::default();
 
     // Act
     for target in 0..8 {
-        end(&mut suspects, 1_000 + target, "lookup", &target.to_string());
+        crash(&mut suspects, 1_000 + target, "lookup", &target.to_string());
     }
 
     // Assert
@@ -97,76 +106,76 @@
 }
 
 #[test]
-fn a_quick_series_of_ends_does_not_hide_those_that_follow() {
-    // Symptom: a call goes on ending targets although all instances know of sixteen ends under it.
-    // Sequence: it is asked for at many instances at once, so that these ends come within half a
-    // second. Cause: they fill what is remembered, and count as two.
+fn a_quick_series_of_crashes_does_not_hide_later_ones() {
+    // Guards against a content that keeps crashing targets although sixteen crashes are recorded.
+    // Called at many instances at once, it causes them within half a second. They would fill the
+    // list of crashes and count as two.
 
     // Arrange
     let mut suspects = Suspects::default();
     for target in 0..40 {
-        end(
+        crash(
             &mut suspects,
             1_000 + target * 10,
-            "deadly",
+            "crasher",
             &target.to_string(),
         );
     }
 
     // Act
-    end(&mut suspects, 1_700, "deadly", "one more");
+    crash(&mut suspects, 1_700, "crasher", "one more");
 
     // Assert
-    assert!(is_barred(&suspects, at_ms(1_701), &content("deadly")));
+    assert!(is_barred(&suspects, at_ms(1_701), &content("crasher")));
 }
 
 #[test]
-fn a_target_that_is_back_under_its_name_may_end_again() {
-    // Arrange: the incarnation is not stated.
+fn a_target_restarted_under_its_name_may_crash_again() {
+    // Arrange: the target does not report its incarnation.
     let mut suspects = Suspects::default();
 
-    // Act: two instances notice each end.
+    // Act: two instances notice each crash.
     for ms in [1_000, 1_004, 4_000, 4_003, 7_000, 7_002] {
-        assert!(!is_barred(&suspects, at_ms(ms), &content("deadly")));
-        end(&mut suspects, ms, "deadly", "t");
+        assert!(!is_barred(&suspects, at_ms(ms), &content("crasher")));
+        crash(&mut suspects, ms, "crasher", "t");
         if ms == 7_000 {
             break;
         }
     }
 
     // Assert
-    assert!(is_barred(&suspects, at_ms(7_001), &content("deadly")));
+    assert!(is_barred(&suspects, at_ms(7_001), &content("crasher")));
 }
 
 #[test]
-fn what_ran_beside_a_content_that_ends_targets_is_released() {
-    // Symptom: calls that did no harm are refused for minutes. Sequence: a call runs at each of
-    // three targets when another one ends them. Cause: the ends alone do not tell the two apart.
+fn contents_that_ran_beside_a_crashing_one_are_released() {
+    // Guards against refusing a harmless call for minutes because it ran on each of three targets
+    // when another call crashed them. The crashes alone do not distinguish the two.
 
     // Arrange
     let mut suspects = Suspects::default();
     for (ms, target) in [(1_000, "a"), (2_000, "b"), (3_000, "c")] {
-        end(&mut suspects, ms, "deadly", target);
-        end(&mut suspects, ms, "beside", target);
+        crash(&mut suspects, ms, "crasher", target);
+        crash(&mut suspects, ms, "beside", target);
     }
     assert!(is_barred(&suspects, at_ms(3_001), &content("beside")));
 
-    // Act: the deadly one still ran at a target more.
-    end(&mut suspects, 3_300, "deadly", "d");
+    // Act: only the crashing content ran on a fourth target that crashes.
+    crash(&mut suspects, 3_300, "crasher", "d");
 
     // Assert
     assert!(!is_barred(&suspects, at_ms(3_301), &content("beside")));
-    assert!(is_barred(&suspects, at_ms(3_301), &content("deadly")));
+    assert!(is_barred(&suspects, at_ms(3_301), &content("crasher")));
 }
 
 #[test]
-fn no_caller_makes_others_forgotten() {
+fn no_caller_displaces_suspects_of_others() {
     // Arrange
     let mut suspects = Suspects::default();
-    end(&mut suspects, 1_000, "deadly", "a");
+    crash(&mut suspects, 1_000, "crasher", "a");
 
-    // Act: another caller's contents run at targets that end, each at one.
-    for number in 0..MANY {
+    // Act: another caller's contents each run on one target that crashes.
+    for number in 0..MANY_CONTENTS {
         let body = number.to_string();
         let fingerprint = Fingerprint::of(&Content {
             account: "many",
@@ -175,40 +184,40 @@
         let target = TargetIdentity::new(&body, None);
         let _ = suspects.note_end(at_ms(2_100), fingerprint, "many", target);
     }
-    end(&mut suspects, 3_000, "deadly", "b");
-    end(&mut suspects, 4_000, "deadly", "c");
+    crash(&mut suspects, 3_000, "crasher", "b");
+    crash(&mut suspects, 4_000, "crasher", "c");
 
     // Assert
     let (known, _) = suspects.counts();
-    assert!(known < usize::try_from(MANY).unwrap());
-    assert!(is_barred(&suspects, at_ms(4_001), &content("deadly")));
+    assert!(known < usize::try_from(MANY_CONTENTS).unwrap());
+    assert!(is_barred(&suspects, at_ms(4_001), &content("crasher")));
 }
 
 #[test]
-fn what_goes_round_among_peers_grows_no_younger() {
+fn relayed_reports_do_not_extend_quarantine() {
     // Arrange
     let mut suspects = [Suspects::default(), Suspects::default()];
     for second in 1..=3 {
-        end(
+        crash(
             &mut suspects[0],
             second * 1_000,
-            "deadly",
+            "crasher",
             &second.to_string(),
         );
     }
     let until = at_ms(3_000)
         + suspects[0]
-            .barred_for(at_ms(3_000), &content("deadly"))
+            .barred_for(at_ms(3_000), &content("crasher"))
             .unwrap();
 
     // Act: each message takes 20 ms.
     let mut now = at_ms(3_000);
     while now < at_ms(60_000) {
         let [one, other] = &mut suspects;
-        let words = one.told(now);
+        let reports = one.told(now);
         now += at_ms(20);
-        for word in words {
-            let _ = other.hear(now, word);
+        for report in reports {
+            let _ = other.hear(now, report);
         }
         suspects.swap(0, 1);
         now += at_ms(400);
@@ -216,14 +225,14 @@
 
     // Assert
     for suspects in &suspects {
-        let left = suspects.barred_for(now, &content("deadly")).unwrap();
+        let left = suspects.barred_for(now, &content("crasher")).unwrap();
         assert!(now + left <= until + at_ms(20));
     }
 }
 
 #[test]
-fn a_name_survives_its_way_to_a_peer() {
-    let name = fingerprint("deadly");
+fn a_fingerprint_round_trips_through_bytes() {
+    let name = fingerprint("crasher");
     assert_eq!(Fingerprint::from_bytes(&name.to_bytes()), Some(name));
     assert_eq!(Fingerprint::from_bytes(&name.to_bytes()[1..]), None);
     let longer = [name.to_bytes(), vec![0]].concat();
