--- a/crates/damaskstile-routes/src/account.rs
+++ b/crates/damaskstile-routes/src/account.rs
@@ -1,18 +1,18 @@
-//! `account` holds what operators say of a client account.
+//! Client accounts, as operators define them.
 
 use damaskstile_core::prelude::*;
 
-/// `Account` is a client account with the keys that it calls with.
+/// `Account` is a client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Account {
     /// Name of the account.
     pub name: AccountId,
-    /// Bearer keys of the account.
+    /// Bearer keys that authenticate calls of the account.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's; 0 is the most urgent.
+    /// Priority that overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Tokens bought so far; `None` where the account is not prepaid.
+    /// Total number of tokens bought; `None` if the account is not prepaid.
     pub prepaid_tokens: Option<u64>,
-    /// Regions that may run the account's calls; empty for all.
+    /// Home regions, which may run the account's calls; empty for all regions.
     pub homes: BTreeSet<RegionId>,
 }
--- a/crates/damaskstile-routes/src/catalogue.rs
+++ b/crates/damaskstile-routes/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! `catalogue` is one version of what operators say, made for look-ups.
+//! One version of the routes, services and client accounts, indexed for look-ups.
 
 use std::sync::Arc;
 
@@ -10,12 +10,12 @@
 use crate::route::Route;
 use crate::service::Service;
 
-/// `Catalogue` is one version of the routes, services and client accounts.
+/// `Catalogue` is one version of the routes, services and client accounts that operators define.
 #[derive(Debug, Clone, Default)]
 pub struct Catalogue {
     version: Version,
     limits: Limits,
-    /// Routes of a host, by path prefix.
+    /// Routes by host, then by path prefix.
     routes: BTreeMap<String, BTreeMap<String, Arc<Route>>>,
     services: BTreeMap<ServiceId, Service>,
     accounts: BTreeMap<AccountId, Account>,
@@ -23,12 +23,14 @@
 }
 
 impl Catalogue {
-    /// Makes a catalogue after checking it.
+    /// Checks the entries and builds a catalogue of them.
     ///
     /// # Errors
     ///
-    /// Returns an error where two routes or two accounts collide or a route leads nowhere. Such
-    /// a version is refused whole, because half of it in force would be a state nobody asked for.
+    /// Returns an error if a path prefix is malformed, if two routes have the same host and path
+    /// prefix, if two accounts have the same key, or if a route refers to an unknown service. Such
+    /// a version is refused as a whole, because applying a part of it would create a configuration
+    /// that no operator asked for.
     ///
     /// ```
     /// use damaskstile_routes::{Catalogue, Limits};
@@ -60,8 +62,8 @@
     }
 
     fn add_route(&mut self, route: Route) -> Result<()> {
-        let is_closed = route.path_prefix.starts_with('/') && route.path_prefix.ends_with('/');
-        if !is_closed {
+        let is_delimited = route.path_prefix.starts_with('/') && route.path_prefix.ends_with('/');
+        if !is_delimited {
             return Err(Error::BadPrefix(route.path_prefix));
         }
         for share in &route.shares {
@@ -69,20 +71,20 @@
                 return Err(Error::UnknownService(share.service.clone()));
             }
         }
-        let of_host = self.routes.entry(route.host.clone()).or_default();
-        if of_host.contains_key(&route.path_prefix) {
+        let routes_of_host = self.routes.entry(route.host.clone()).or_default();
+        if routes_of_host.contains_key(&route.path_prefix) {
             return Err(Error::RouteTwice(route.name));
         }
-        of_host.insert(route.path_prefix.clone(), Arc::new(route));
+        routes_of_host.insert(route.path_prefix.clone(), Arc::new(route));
         Ok(())
     }
 
     fn add_account(&mut self, account: Account) -> Result<()> {
         for key in &account.keys {
-            let known = self
+            let previous = self
                 .account_of_key
                 .insert(key.clone(), account.name.clone());
-            if known.is_some_and(|other| other != account.name) {
+            if previous.is_some_and(|other| other != account.name) {
                 return Err(Error::KeyTwice(account.name));
             }
         }
@@ -90,26 +92,26 @@
         Ok(())
     }
 
-    /// Returns the version.
+    /// Returns the version of the catalogue.
     #[must_use]
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Returns the limits.
+    /// Returns the limits for callers.
     #[must_use]
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Finds the route of a call: the longest prefix of the host that begins the path.
+    /// Returns the route of a call: the one with the longest path prefix of the host that matches.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let of_host = self.routes.get(host)?;
-        // Each prefix ends with a slash, so only the path's own cuts at slashes can match.
+        let routes_of_host = self.routes.get(host)?;
+        // Each prefix ends with a slash, so only the parts of the path that end with one can match.
         let mut end = path.len();
         while let Some(slash) = path[..end].rfind('/') {
-            if let Some(route) = of_host.get(&path[..=slash]) {
+            if let Some(route) = routes_of_host.get(&path[..=slash]) {
                 return Some(route);
             }
             end = slash;
@@ -127,7 +129,7 @@
             .collect()
     }
 
-    /// Returns the most urgent rank of all streams; 0 where there are none.
+    /// Returns the most urgent priority of all streaming routes; 0 if there are none.
     ///
     /// ```
     /// assert_eq!(damaskstile_routes::Catalogue::default().first_stream_rank(), 0);
@@ -139,31 +141,31 @@
         streams.map(|route| route.priority).min().unwrap_or(0)
     }
 
-    /// Returns the account that calls with a key.
+    /// Returns the account that a bearer key belongs to.
     #[must_use]
     pub fn account_of_key(&self, key: &str) -> Option<&Account> {
         let name = self.account_of_key.get(key)?;
         self.accounts.get(name)
     }
 
-    /// Tells whether calls need the key of an account at all.
+    /// Returns whether the catalogue has accounts. If it has none, calls need no key.
     #[must_use]
     pub fn has_accounts(&self) -> bool {
         !self.accounts.is_empty()
     }
 
-    /// Returns a service.
+    /// Returns a service by name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Returns the services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// Returns the tokens that each prepaid account has bought.
+    /// Returns the number of tokens bought by each prepaid account.
     #[must_use]
     pub fn prepaid_tokens(&self) -> BTreeMap<AccountId, u64> {
         self.accounts
--- a/crates/damaskstile-routes/src/errors.rs
+++ b/crates/damaskstile-routes/src/errors.rs
@@ -1,30 +1,38 @@
-//! `errors` tells why a catalogue cannot be used.
+//! Errors of catalogues.
 
 use std::fmt;
 
-/// `Error` tells why a catalogue cannot be used.
+/// `Error` is the reason for which a catalogue is refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// Two routes have the same host and path prefix.
+    /// Two routes have the same host and path prefix. Holds the name of the second one.
     RouteTwice(String),
-    /// A route names a service that the catalogue does not hold.
+    /// A route names a service that the catalogue does not contain. Holds the name of the service.
     UnknownService(String),
-    /// A path prefix does not begin and end with a slash.
+    /// A path prefix does not begin and end with a slash. Holds the prefix.
     BadPrefix(String),
-    /// Two client accounts have the same key.
+    /// Two client accounts have the same key. Holds the name of the second account.
     KeyTwice(String),
 }
 
-/// `Result` has this crate's error.
+/// `Result` with the error of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::RouteTwice(route) => write!(f, "route {route} repeats a host and path prefix"),
-            Self::UnknownService(name) => write!(f, "no service is named {name}"),
-            Self::BadPrefix(prefix) => write!(f, "path prefix {prefix} lacks a slash at an end"),
-            Self::KeyTwice(account) => write!(f, "a key of account {account} is another's too"),
+            Self::RouteTwice(route) => write!(
+                f,
+                "route {route} has the same host and path prefix as another route"
+            ),
+            Self::UnknownService(name) => write!(f, "route refers to unknown service {name}"),
+            Self::BadPrefix(prefix) => {
+                write!(f, "path prefix {prefix} must begin and end with a slash")
+            }
+            Self::KeyTwice(account) => write!(
+                f,
+                "a key of account {account} also belongs to another account"
+            ),
         }
     }
 }
--- a/crates/damaskstile-routes/src/in_force.rs
+++ b/crates/damaskstile-routes/src/in_force.rs
@@ -1,4 +1,4 @@
-//! `in_force` keeps the newest catalogue that was seen.
+//! The catalogue in force.
 
 use std::sync::Arc;
 
@@ -6,10 +6,10 @@
 
 use crate::catalogue::Catalogue;
 
-/// `CatalogueInForce` keeps the newest catalogue. Versions only go up.
+/// `CatalogueInForce` holds the newest catalogue received. Its version never decreases.
 ///
-/// A read that lags, a peer that was cut off or a restart may bring an older version. Applied, it
-/// would bring back routes and keys that operators have removed.
+/// A stale read, a peer that was partitioned or a restart may deliver an older version. Applying it
+/// would restore routes and keys that operators have removed.
 #[derive(Debug, Clone, Default)]
 pub struct CatalogueInForce {
     catalogue: Option<Arc<Catalogue>>,
@@ -17,7 +17,7 @@
 }
 
 impl CatalogueInForce {
-    /// Takes in a version; returns whether it came into force.
+    /// Applies a catalogue if it is newer than the current one. Returns whether it was applied.
     ///
     /// ```
     /// use std::time::Duration;
@@ -36,13 +36,13 @@
         true
     }
 
-    /// Returns the catalogue in force; `None` before the first.
+    /// Returns the catalogue in force; `None` before the first one.
     #[must_use]
     pub fn get(&self) -> Option<&Arc<Catalogue>> {
         self.catalogue.as_ref()
     }
 
-    /// Returns the version in force; 0 before the first.
+    /// Returns the version in force; 0 before the first one.
     #[must_use]
     pub fn version(&self) -> Version {
         self.catalogue
@@ -50,7 +50,7 @@
             .map_or(0, |catalogue| catalogue.version())
     }
 
-    /// Returns the time since the version came into force here.
+    /// Returns the time since this instance applied the catalogue.
     #[must_use]
     pub fn age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.applied_at)
--- a/crates/damaskstile-routes/src/kind.rs
+++ b/crates/damaskstile-routes/src/kind.rs
@@ -1,20 +1,21 @@
-//! `kind` says what may be repeated of a route's calls.
+//! Types of routes.
 
-/// `RouteKind` says what may be repeated of a route's calls.
+/// `RouteKind` determines whether a route's calls may be repeated, and how they are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// A call may run more than once.
     Idempotent,
     /// A call runs at most once.
     NonIdempotent,
-    /// A call answers with a series of events and may go on elsewhere after the last one received.
+    /// A call is answered by a stream of events, which another target may resume after the last
+    /// event received.
     ResumableStream,
-    /// A call answers with a series of events and runs at most once.
+    /// A call is answered by a stream of events and runs at most once.
     Stream,
 }
 
 impl RouteKind {
-    /// Tells whether a call may be sent again although it may have run.
+    /// Returns whether a call may be sent again although it may already have run.
     ///
     /// ```
     /// use damaskstile_routes::RouteKind;
@@ -26,7 +27,7 @@
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Tells whether answers are passed on event by event.
+    /// Returns whether answers are relayed event by event.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::Stream)
--- a/crates/damaskstile-routes/src/lib.rs
+++ b/crates/damaskstile-routes/src/lib.rs
@@ -1,5 +1,5 @@
-//! `damaskstile-routes` holds what operators say of routes, services and client accounts, and
-//! answers which of it applies to a call.
+//! Routes, services and client accounts, as operators define them, and the look-up of those that
+//! apply to a call.
 
 pub mod account;
 pub mod catalogue;
--- a/crates/damaskstile-routes/src/limits.rs
+++ b/crates/damaskstile-routes/src/limits.rs
@@ -1,22 +1,22 @@
-//! `limits` bounds what a caller may send and how long it may take.
+//! Limits of size and time for callers.
 
 use damaskstile_core::prelude::*;
 
-/// `Limits` bounds what a caller may send and how long it may take.
+/// `Limits` bounds what a caller may send and how long it may take to send it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a call.
+    /// Maximum size of the header section of a call, in bytes.
     pub header_bytes: usize,
-    /// Largest body of a call.
+    /// Maximum size of the body of a call, in bytes.
     pub body_bytes: usize,
-    /// Time that a caller may take to send a head.
+    /// Time within which a caller must send the header section.
     pub header_timeout: Duration,
-    /// Time for which a connection may stay idle.
+    /// Maximum time for which a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// The usual figures of HTTP servers, for the time before operators have set theirs.
+    /// Returns the usual values of HTTP servers, which apply until operators set others.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
--- a/crates/damaskstile-routes/src/route.rs
+++ b/crates/damaskstile-routes/src/route.rs
@@ -1,49 +1,49 @@
-//! `route` says where calls to a host and path go and what holds for them.
+//! Routes, which assign calls to services.
 
 use damaskstile_core::prelude::*;
 
 use crate::kind::RouteKind;
 
-/// `Share` is the part of a route's calls that goes to one service.
+/// `Share` is the fraction of a route's calls that goes to one service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Share {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Its weight among the shares of the route.
+    /// Weight relative to the other shares of the route.
     pub weight: u64,
 }
 
-/// `Route` says where calls to a host and path go and what holds for them.
+/// `Route` assigns calls to a host and path to services, and sets the rules for these calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// Name of the route.
     pub name: String,
     /// Host that callers address, in lower case.
     pub host: String,
-    /// Beginning of the path; ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Type of the calls, which determines whether they may be repeated.
     pub kind: RouteKind,
     /// Services that the calls go to.
     pub shares: Vec<Share>,
-    /// Time after which a caller gets its final answer in any case.
+    /// Time limit of a call. The caller gets a final answer by then in any case.
     pub timeout: Duration,
-    /// Time within which an answer is of full use to its caller.
+    /// Latency objective: time within which an answer is of full use to the caller.
     pub objective: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Targets that one call may be sent to.
+    /// Maximum number of sends of one call that may reach a target.
     pub attempts_max: usize,
-    /// Whether a call needs no key.
+    /// Whether calls are accepted without a key.
     pub is_anonymous: bool,
-    /// Regions that may run the calls; empty for all.
+    /// Home regions, which may run the calls; empty for all regions.
     pub homes: BTreeSet<RegionId>,
 }
 
 impl Route {
-    /// Chooses the service of a call by a number drawn for it.
+    /// Chooses the service of a call by weight, given a number drawn at random.
     ///
-    /// Returns `None` where no share has any weight.
+    /// Returns `None` if no share has a weight above 0.
     ///
     /// ```
     /// # use std::time::Duration;
--- a/crates/damaskstile-routes/src/service.rs
+++ b/crates/damaskstile-routes/src/service.rs
@@ -1,24 +1,25 @@
-//! `service` holds what operators say of a service and its targets.
+//! Services, as operators define them.
 
 use damaskstile_core::prelude::*;
 
-/// `Service` is a group of targets that do the same work.
+/// `Service` is a group of interchangeable targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// Name of the service.
     pub name: ServiceId,
-    /// Connections that one target takes from all instances together.
+    /// Maximum number of connections of all instances together to one target.
     pub connections_max: usize,
-    /// Most tokens in one event of a stream; `None` for services without a model.
+    /// Maximum number of tokens in one event of a stream; `None` for services without a model.
     pub tokens_per_event: Option<u64>,
     /// Time for which a target is cold after its start.
     pub cold_time: Duration,
-    /// Calls a second that a cold target bears from all instances together; `None` for any number.
+    /// Maximum rate of calls from all instances together to a cold target, per second; `None` for
+    /// no limit.
     pub cold_calls_per_s: Option<f64>,
 }
 
 impl Service {
-    /// Makes a service without a model.
+    /// Creates a service without a model, whose targets are never cold.
     #[must_use]
     pub fn plain(name: &str, connections_max: usize) -> Self {
         Self {
--- a/crates/damaskstile-routes/tests/catalogue.rs
+++ b/crates/damaskstile-routes/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! Look-ups in a catalogue, and versions that may not come into force.
+//! Tests of look-ups in a catalogue, and of versions that must not be applied.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_longest_prefix_that_ends_at_a_slash_wins() {
+fn the_longest_matching_path_prefix_wins() {
     // Arrange
     let routes = vec![route("a", "/a/"), route("ab", "/a/b/"), route("all", "/")];
     let catalogue = catalogue(1, routes, vec![]).unwrap();
@@ -62,17 +62,17 @@
 }
 
 #[test]
-fn catalogues_that_contradict_themselves_are_refused_whole() {
-    let twice = vec![route("a", "/a/"), route("b", "/a/")];
-    assert_matches!(catalogue(1, twice, vec![]), Err(Error::RouteTwice(_)));
+fn inconsistent_catalogues_are_refused() {
+    let duplicates = vec![route("a", "/a/"), route("b", "/a/")];
+    assert_matches!(catalogue(1, duplicates, vec![]), Err(Error::RouteTwice(_)));
     assert_matches!(
         catalogue(1, vec![route("a", "/a")], vec![]),
         Err(Error::BadPrefix(_))
     );
-    let mut astray = route("a", "/a/");
-    astray.shares[0].service = "none".to_owned();
+    let mut dangling = route("a", "/a/");
+    dangling.shares[0].service = "none".to_owned();
     assert_matches!(
-        catalogue(1, vec![astray], vec![]),
+        catalogue(1, vec![dangling], vec![]),
         Err(Error::UnknownService(_))
     );
     let accounts = vec![account("x", "k"), account("y", "k")];
@@ -80,19 +80,19 @@
 }
 
 #[test]
-fn an_older_version_never_comes_back() {
-    // Symptom: a key that was taken away works again. Sequence: a peer that was cut off hands on
-    // the version it still has. Cause: the newest word was taken for the newest version.
+fn an_older_version_is_never_applied() {
+    // Guards against a removed key that works again. A peer that was partitioned sends the version
+    // that it still has, and the latest message is taken for the latest version.
 
     // Arrange
     let mut in_force = CatalogueInForce::default();
     let with_key = catalogue(5, vec![], vec![account("x", "k")]).unwrap();
-    let without = catalogue(6, vec![], vec![]).unwrap();
+    let without_key = catalogue(6, vec![], vec![]).unwrap();
 
     // Act
     let applied = [
         in_force.apply(Duration::from_secs(1), with_key.clone()),
-        in_force.apply(Duration::from_secs(2), without),
+        in_force.apply(Duration::from_secs(2), without_key),
         in_force.apply(Duration::from_secs(3), with_key),
     ];
 
