--- a/crates/damaskstile-routes/src/catalogue.rs
+++ b/crates/damaskstile-routes/src/catalogue.rs
@@ -64,7 +64,7 @@
     fn add_route(&mut self, route: Route) -> Result<()> {
         let is_delimited = route.path_prefix.starts_with('/') && route.path_prefix.ends_with('/');
         if !is_delimited {
-            return Err(Error::BadPrefix(route.path_prefix));
+            return Err(Error::InvalidPrefix(route.path_prefix));
         }
         for share in &route.shares {
             if !self.services.contains_key(&share.service) {
@@ -73,7 +73,7 @@
         }
         let routes_of_host = self.routes.entry(route.host.clone()).or_default();
         if routes_of_host.contains_key(&route.path_prefix) {
-            return Err(Error::RouteTwice(route.name));
+            return Err(Error::DuplicateRoute(route.name));
         }
         routes_of_host.insert(route.path_prefix.clone(), Arc::new(route));
         Ok(())
@@ -85,7 +85,7 @@
                 .account_of_key
                 .insert(key.clone(), account.name.clone());
             if previous.is_some_and(|other| other != account.name) {
-                return Err(Error::KeyTwice(account.name));
+                return Err(Error::DuplicateKey(account.name));
             }
         }
         self.accounts.insert(account.name.clone(), account);
--- a/crates/damaskstile-routes/src/errors.rs
+++ b/crates/damaskstile-routes/src/errors.rs
@@ -6,13 +6,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
     /// Two routes have the same host and path prefix. Holds the name of the second one.
-    RouteTwice(String),
+    DuplicateRoute(String),
     /// A route names a service that the catalogue does not contain. Holds the name of the service.
     UnknownService(String),
     /// A path prefix does not begin and end with a slash. Holds the prefix.
-    BadPrefix(String),
+    InvalidPrefix(String),
     /// Two client accounts have the same key. Holds the name of the second account.
-    KeyTwice(String),
+    DuplicateKey(String),
 }
 
 /// `Result` with the error of this crate.
@@ -21,15 +21,15 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::RouteTwice(route) => write!(
+            Self::DuplicateRoute(route) => write!(
                 f,
                 "route {route} has the same host and path prefix as another route"
             ),
             Self::UnknownService(name) => write!(f, "route refers to unknown service {name}"),
-            Self::BadPrefix(prefix) => {
+            Self::InvalidPrefix(prefix) => {
                 write!(f, "path prefix {prefix} must begin and end with a slash")
             }
-            Self::KeyTwice(account) => write!(
+            Self::DuplicateKey(account) => write!(
                 f,
                 "a key of account {account} also belongs to another account"
             ),
--- a/crates/damaskstile-routes/tests/catalogue.rs
+++ b/crates/damaskstile-routes/tests/catalogue.rs
@@ -64,10 +64,13 @@
 #[test]
 fn inconsistent_catalogues_are_refused() {
     let duplicates = vec![route("a", "/a/"), route("b", "/a/")];
-    assert_matches!(catalogue(1, duplicates, vec![]), Err(Error::RouteTwice(_)));
+    assert_matches!(
+        catalogue(1, duplicates, vec![]),
+        Err(Error::DuplicateRoute(_))
+    );
     assert_matches!(
         catalogue(1, vec![route("a", "/a")], vec![]),
-        Err(Error::BadPrefix(_))
+        Err(Error::InvalidPrefix(_))
     );
     let mut dangling = route("a", "/a/");
     dangling.shares[0].service = "none".to_owned();
@@ -76,7 +79,7 @@
         Err(Error::UnknownService(_))
     );
     let accounts = vec![account("x", "k"), account("y", "k")];
-    assert_matches!(catalogue(1, vec![], accounts), Err(Error::KeyTwice(_)));
+    assert_matches!(catalogue(1, vec![], accounts), Err(Error::DuplicateKey(_)));
 }
 
 #[test]
