--- a/crates/damaskstile-fleet/src/errors.rs
+++ b/crates/damaskstile-fleet/src/errors.rs
@@ -1,19 +1,19 @@
-//! `errors` holds the errors of settings.
+//! Errors of settings.
 
 use std::fmt;
 
-/// `Error` tells which setting is wrong, what was found and what was expected.
+/// `Error` describes an invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
     /// Path of the key, such as `account.moffat.budget`.
     pub key: String,
-    /// What was found.
+    /// Value that was found.
     pub found: String,
-    /// What was expected.
+    /// Description of the values that are accepted.
     pub expected: String,
 }
 
-/// `Result` has this crate's error.
+/// `Result` with the error of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl fmt::Display for Error {
@@ -28,11 +28,11 @@
 
 impl std::error::Error for Error {}
 
-/// Makes the error for one setting.
+/// Returns the error of one setting.
 ///
 /// # Errors
 ///
-/// Always returns the error; that is its use.
+/// Always returns the error, so that callers can return the result directly.
 #[cold]
 pub fn setting_error<T>(
     key: impl Into<String>,
--- a/crates/damaskstile-fleet/src/fleet_clock.rs
+++ b/crates/damaskstile-fleet/src/fleet_clock.rs
@@ -1,13 +1,14 @@
-//! `fleet_clock` finds the fleet's time: the middle of what the instances' clocks show.
+//! The fleet clock: the median of the instances' clocks.
 
 use damaskstile_core::prelude::*;
 
-/// Age past which what a peer said of its clock is not used: its clock may have stepped since.
+/// Age from which on a peer's reading is ignored, because its clock may have stepped since.
 const HEARD_AGE: Duration = Duration::from_secs(2);
-/// Part of the instances that must be heard, as a fraction: steps of up to three clocks in eight
-/// must not move the middle.
+/// Fraction of the instances whose readings are required. Steps of up to three clocks in eight must
+/// not move the median.
 const HEARD_PART: (usize, usize) = (3, 4);
-/// Instances that are enough in a large fleet, where peers are heard by chance.
+/// Number of readings that suffice in a large fleet, where each instance receives those of a random
+/// subset of its peers.
 const HEARD_ENOUGH: usize = 12;
 
 #[derive(Debug, Clone, Copy)]
@@ -16,24 +17,26 @@
     at: Duration,
 }
 
-/// `FleetClock` finds the fleet's time: the middle of what the instances' clocks show.
+/// `FleetClock` computes the fleet clock: the median of the instances' clocks.
 ///
-/// The time of day of some machines may step by seconds at once. As long as the clocks of fewer
-/// than half of those heard step together, the middle is right to the time a message takes.
+/// The time of day of some machines may step by seconds at once. As long as fewer than half of the
+/// clocks that were read step together, the median is accurate to within the transit time of a
+/// message.
 #[derive(Debug, Clone, Default)]
 pub struct FleetClock {
     readings: BTreeMap<InstanceId, Reading>,
 }
 
 impl FleetClock {
-    /// Takes in what a peer's clock showed.
+    /// Records a reading of a peer's clock, in milliseconds since the Unix epoch.
     pub fn hear(&mut self, now: Duration, peer: &str, unix_ms: u64) {
         let reading = Reading { unix_ms, at: now };
         self.readings.insert(peer.to_owned(), reading);
     }
 
-    /// Returns the fleet's time as its earlier and its later middle; `None` where too few of the
-    /// instances were heard.
+    /// Returns the lower and the upper median of the clocks, in milliseconds since the Unix epoch;
+    /// `None` if too few instances have a recent reading. The two differ only for an even number of
+    /// clocks.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/damaskstile-fleet/src/lib.rs
+++ b/crates/damaskstile-fleet/src/lib.rs
@@ -1,4 +1,4 @@
-//! `damaskstile-fleet` lets the instances act as one: who is there, and which settings hold.
+//! State that the instances of a fleet share: membership, settings and a common clock.
 
 pub mod errors;
 pub mod fleet_clock;
--- a/crates/damaskstile-fleet/src/membership.rs
+++ b/crates/damaskstile-fleet/src/membership.rs
@@ -1,4 +1,4 @@
-//! `membership` knows which instances live, from their own word, spread by gossip.
+//! Membership of the fleet: which instances are up, as they state themselves by gossip.
 
 use damaskstile_core::peer::{Gossip, MemberState};
 use damaskstile_core::prelude::*;
@@ -6,12 +6,12 @@
 
 use crate::membership_options::MembershipOptions;
 
-/// `Heard` tells what is new after a gossip.
+/// `Heard` lists the changes of the membership caused by a gossip message.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Heard {
-    /// Members that were not known, or came back as a new incarnation.
+    /// Members that were not known before, or have started a new incarnation.
     pub joined: Vec<InstanceId>,
-    /// Earlier incarnations that a new one has replaced.
+    /// Earlier incarnations that were replaced by a new one.
     pub replaced: Vec<(InstanceId, Incarnation)>,
 }
 
@@ -19,12 +19,12 @@
 struct Member {
     state: MemberState,
     heard_at: Duration,
-    /// When the member itself last sent something; sealing its grants goes by this alone.
+    /// When the last message came from the member itself. Only this decides on sealing its grants.
     direct_at: Duration,
     is_silent: bool,
 }
 
-/// `Membership` knows the members of the fleet.
+/// `Membership` holds the states of the fleet's members and schedules the gossip rounds.
 #[derive(Debug)]
 pub struct Membership {
     own: MemberState,
@@ -35,7 +35,7 @@
 }
 
 impl Membership {
-    /// Makes the membership of an instance that has heard of nobody.
+    /// Creates the membership of an instance that does not know any peers yet.
     #[must_use]
     pub fn new(own: MemberState, options: MembershipOptions, seed: u64, now: Duration) -> Self {
         Self {
@@ -47,18 +47,19 @@
         }
     }
 
-    /// Returns the own state, to change it.
+    /// Returns the state of this instance for modification.
     pub fn own_mut(&mut self) -> &mut MemberState {
         &mut self.own
     }
 
-    /// Returns the own state.
+    /// Returns the state of this instance.
     #[must_use]
     pub fn own(&self) -> &MemberState {
         &self.own
     }
 
-    /// Takes in a message that came from a peer itself.
+    /// Records that a message arrived from the peer itself. Ignored for peers and incarnations that
+    /// are not known.
     pub fn hear_directly(&mut self, now: Duration, from: &str, incarnation: Incarnation) {
         if let Some(member) = self.members.get_mut(from)
             && member.state.incarnation == incarnation
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Takes in a gossip.
+    /// Merges a gossip message. Returns the members that are new.
     pub fn hear(&mut self, now: Duration, gossip: &Gossip) -> Heard {
         let mut heard = Heard::default();
         for state in &gossip.members {
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Shifts all silences after the own process was paused, which tells nothing of the others.
+    /// Excludes a pause of the own process from the silence of all members. Messages could not be
+    /// received in that time, so it says nothing about them.
     pub fn forgive(&mut self, pause: Duration) {
         for member in self.members.values_mut() {
             member.heard_at += pause;
@@ -123,10 +125,10 @@
         }
     }
 
-    /// Returns the members that have just fallen silent.
+    /// Returns the members that have become silent since the last call.
     pub fn next_silent(&mut self, now: Duration) -> Vec<InstanceId> {
-        // A message tells of a fixed number of members, so news of each takes longer the more
-        // there are. A member that has not been heard of for that long is not gone yet.
+        // A message carries the states of a fixed number of members, so updates of each member
+        // arrive less often the more members there are. The limit grows accordingly.
         let rounds = self.members.len() / self.options.members_per_message.max(1);
         let rounds = u32::try_from(rounds).unwrap_or(u32::MAX);
         let silent_after = self.options.silent_after + self.options.interval * rounds;
@@ -141,7 +143,8 @@
             .collect()
     }
 
-    /// Returns how long a life has not sent anything itself; `None` where it is not known.
+    /// Returns the time since the last message from an incarnation itself; `None` if the
+    /// incarnation is not the known one.
     #[must_use]
     pub fn direct_silence(
         &self,
@@ -161,14 +164,14 @@
             .map(|member| &member.state)
     }
 
-    /// Returns all members that were ever heard of, with whether they are silent.
+    /// Returns all members ever known, each with whether it is silent.
     pub fn all(&self) -> impl Iterator<Item = (&MemberState, bool)> {
         self.members
             .values()
             .map(|member| (&member.state, member.is_silent))
     }
 
-    /// Returns the settings version that a member is known to have.
+    /// Returns the settings version that a member reported last; 0 if the member is not known.
     #[must_use]
     pub fn settings_version(&self, instance: &str) -> Version {
         self.members
@@ -176,18 +179,20 @@
             .map_or(0, |member| member.state.settings_version)
     }
 
-    /// Chooses the witnesses of new grants: some near, some in other data centres.
+    /// Chooses the witnesses of new grants, some in the own data centre and some in others.
     ///
-    /// Near ones still answer when data centres are cut from one another. Far ones still know
-    /// when the whole data centre is lost. One answer is enough to spend, so more of them make it
-    /// likelier that a side of a cut has one; all must agree before a grant is closed.
+    /// Witnesses in the own data centre still answer when data centres are partitioned from each
+    /// other. Those in other data centres keep the records when the own one is lost as a whole. One
+    /// answer is enough to spend, so with more witnesses it is likelier that each side of a
+    /// partition has one. All witnesses must agree before a grant is closed.
     #[must_use]
     pub fn witnesses(&self) -> BTreeMap<InstanceId, Incarnation> {
         let mut fit: Vec<&MemberState> = self
             .live()
             .filter(|state| !state.is_stopping)
-            // A member that is only known from the own settings has no incarnation yet. A grant
-            // that names it could never be closed, since the member would not know itself in it.
+            // A member that is only known from the settings of this instance has no incarnation
+            // yet. A grant with it as a witness could never be closed, because the member would not
+            // recognise itself as that witness.
             .filter(|state| state.incarnation != 0)
             .collect();
         fit.sort_by_key(|state| stable_hash(&[&self.own.instance, &state.instance]));
@@ -202,7 +207,8 @@
             .collect()
     }
 
-    /// Tells whether this instance is one of those that watch the settings.
+    /// Returns whether this instance is one of those in its data centre that watch the settings in
+    /// the store.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         let rank = |state: &MemberState| stable_hash(&["watch", &state.instance]);
@@ -215,16 +221,17 @@
         before < self.options.watchers_per_data_centre
     }
 
-    /// Returns the time of the next round.
+    /// Returns the time of the next gossip round.
     #[must_use]
     pub fn next_round_at(&self) -> Duration {
         self.next_round_at
     }
 
-    /// Starts a round if one is due: whom to tell, and what of members.
+    /// Starts a gossip round if one is due. Returns the receiving peers and the member states to
+    /// send.
     ///
-    /// The cost is the same whatever the size of the fleet: a fixed number of peers, and a fixed
-    /// number of members in each message.
+    /// The cost does not depend on the size of the fleet: the number of peers and the number of
+    /// member states per message are fixed.
     pub fn next_round(
         &mut self,
         now: Duration,
@@ -237,7 +244,7 @@
         Some(self.round())
     }
 
-    /// Makes up a round at once, for news that should not wait.
+    /// Composes a gossip round at once, for updates that should not wait for the next one.
     pub fn round(&mut self) -> (BTreeSet<InstanceId>, Vec<MemberState>) {
         let mut peers = BTreeSet::new();
         let live: Vec<InstanceId> = self.live().map(|state| state.instance.clone()).collect();
@@ -246,7 +253,8 @@
                 peers.insert(peer);
             }
         }
-        // Now and then a silent member is told too, so that two sides of a cut find each other.
+        // One more peer is picked among all members, silent ones included, so that the two sides of
+        // a partition find each other again.
         let all: Vec<InstanceId> = self.members.keys().cloned().collect();
         if let Some(peer) = self.pick(&all) {
             peers.insert(peer);
--- a/crates/damaskstile-fleet/src/membership_options.rs
+++ b/crates/damaskstile-fleet/src/membership_options.rs
@@ -1,21 +1,22 @@
-//! `membership_options` sets how news of members spreads.
+//! Options of the membership.
 
 use damaskstile_core::prelude::*;
 
-/// `MembershipOptions` sets how news of members spreads.
+/// `MembershipOptions` holds the options of gossip and of the roles of members.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MembershipOptions {
-    /// Time between two rounds of gossip.
+    /// Time between two gossip rounds.
     pub interval: Duration,
-    /// Peers that a round goes to.
+    /// Number of live peers picked for each round.
     pub fanout: usize,
-    /// Members that one message tells of, besides the sender.
+    /// Maximum number of member states in one message, besides that of the sender.
     pub members_per_message: usize,
-    /// Silence after which a peer counts as gone.
+    /// Time without an update after which a member counts as silent. The limit grows with the
+    /// number of members.
     pub silent_after: Duration,
-    /// Witnesses of a grant in the own data centre, and as many in others.
+    /// Maximum number of witnesses of a grant in the own data centre, and likewise in other ones.
     pub witnesses_each: usize,
-    /// Instances of each data centre that watch the settings.
+    /// Number of instances in each data centre that watch the settings.
     pub watchers_per_data_centre: usize,
 }
 
--- a/crates/damaskstile-fleet/src/settings.rs
+++ b/crates/damaskstile-fleet/src/settings.rs
@@ -1,4 +1,4 @@
-//! `settings` holds the tree of settings: fleet, client account, service of the account.
+//! The tree of settings, with values for the fleet, for client accounts and for their services.
 
 mod account;
 mod effective;
@@ -19,18 +19,18 @@
 
 use crate::errors::{Error, Result, setting_error};
 
-/// Longest time limit that can be set.
+/// Upper bound of time limits in the settings.
 const TIME_LIMIT_MAX_MS: u64 = 24 * 3600 * 1000;
-/// Largest cap of an output that can be set.
+/// Upper bound of output caps in the settings.
 const OUTPUT_MAX_TOKENS: u64 = 1_000_000;
 
-/// `Settings` is the whole tree, as operators accept it.
+/// `Settings` is the whole tree, as operators write it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Settings of the deployment that nothing overrides.
+    /// Settings of the deployment, which cannot be overridden.
     pub system: SystemSettings,
-    /// Values of the fleet, which client accounts inherit.
+    /// Values for the fleet, which client accounts inherit.
     pub fleet: Values,
     /// Services by name.
     pub service: BTreeMap<ServiceId, ServiceSettings>,
@@ -39,7 +39,7 @@
 }
 
 impl Settings {
-    /// Reads and checks a tree.
+    /// Parses and validates a tree from TOML.
     ///
     /// ```
     /// use damaskstile_fleet::settings::Settings;
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that names the key, what was found and what was expected.
+    /// Returns an error that states the key, the value found and the value expected.
     pub fn try_from_toml(text: &str) -> Result<Self> {
         let document = toml::Deserializer::parse(text).map_err(|error| syntax_error(&error))?;
         let settings: Self =
@@ -60,20 +60,21 @@
         Ok(settings)
     }
 
-    /// Writes the tree as operators read it.
+    /// Returns the tree as TOML.
     ///
     /// # Errors
     ///
-    /// Returns an error where the tree cannot be written as TOML.
+    /// Returns an error if the tree cannot be represented as TOML.
     pub fn to_toml(&self) -> Result<String> {
-        toml::to_string_pretty(self).or_else(|error| setting_error("", error, "a tree of settings"))
+        toml::to_string_pretty(self)
+            .or_else(|error| setting_error("", error, "settings that can be written as TOML"))
     }
 
-    /// Checks ranges, and values that contradict one another.
+    /// Checks that values are in range and consistent with each other.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the first key that is wrong.
+    /// Returns an error that states the first invalid key.
     pub fn check(&self) -> Result<()> {
         self.system.check()?;
         check_values("fleet", &self.fleet)?;
@@ -98,21 +99,22 @@
         check_values(&format!("{path}.values"), &account.values)?;
         for token in &account.token_sha256 {
             if let Some(other) = tokens.insert(token, name) {
-                let expected = format!("a token that account {other} does not have");
+                let expected = format!("a token that account {other} does not use");
                 return setting_error(format!("{path}.token_sha256"), token, expected);
             }
         }
         for (service, values) in &account.service {
             let path = format!("{path}.service.{service}");
             if !self.service.contains_key(service) {
-                return setting_error(path, service, "a service that [service] defines");
+                return setting_error(path, service, "a service defined in [service]");
             }
             check_values(&path, values)?;
         }
         Ok(())
     }
 
-    /// Finds the client account that a bearer token belongs to.
+    /// Returns the client account of a bearer token, given the SHA-256 of the token in lower-case
+    /// hexadecimal.
     #[must_use]
     pub fn account_of_token(&self, token_sha256: &str) -> Option<(&AccountId, &AccountSettings)> {
         self.account.iter().find(|(_, account)| {
@@ -123,7 +125,7 @@
         })
     }
 
-    /// Returns the values in force for a service of a client account.
+    /// Returns the values that apply to a service of a client account.
     #[must_use]
     pub fn effective(&self, account: &str, service: &str) -> Effective {
         let account = self.account.get(account);
@@ -159,11 +161,11 @@
     check_range(path, "prompt_token_bytes", values.prompt_token_bytes, 1, 16)
 }
 
-/// Checks that a number lies in its range.
+/// Checks that a value, if set, lies between `least` and `most`, both included.
 ///
 /// # Errors
 ///
-/// Returns an error that names the key, the number and the range.
+/// Returns an error that states the key, the value and the range.
 pub(crate) fn check_range(
     path: &str,
     key: &str,
--- a/crates/damaskstile-fleet/src/settings/account.rs
+++ b/crates/damaskstile-fleet/src/settings/account.rs
@@ -1,4 +1,4 @@
-//! `account` holds the settings of a client account.
+//! Settings of a client account.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -6,20 +6,21 @@
 use super::values::Values;
 use crate::errors::{Result, setting_error};
 
-/// Length of a SHA-256 in hexadecimal.
+/// Length of a SHA-256 in hexadecimal digits.
 const SHA256_DIGITS: usize = 64;
 
 /// `AccountSettings` holds the settings of a client account.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AccountSettings {
-    /// Budget that the account draws on.
+    /// Budget that pays for the account's requests.
     pub budget: BudgetId,
-    /// SHA-256 of each bearer token, in lower-case hexadecimal. Tokens themselves are not kept.
+    /// SHA-256 of each bearer token, in lower-case hexadecimal. The tokens themselves are not
+    /// stored.
     pub token_sha256: Vec<String>,
-    /// Values that override the fleet's.
+    /// Values that override those of the fleet.
     pub values: Values,
-    /// Values that override the account's for one service.
+    /// Values that override those of the account, by service.
     pub service: BTreeMap<ServiceId, Values>,
 }
 
--- a/crates/damaskstile-fleet/src/settings/effective.rs
+++ b/crates/damaskstile-fleet/src/settings/effective.rs
@@ -1,15 +1,15 @@
-//! `effective` works out the values in force, and from which level each comes.
+//! Resolution of the values in force from the levels of the tree.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
 use super::values::Values;
 
-/// `Level` names the level of the tree that a value comes from.
+/// `Level` is the level of the tree that a value comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Level {
-    /// Built in.
+    /// Built-in default.
     Default,
     /// Set for the fleet.
     Fleet,
@@ -19,30 +19,30 @@
     Service,
 }
 
-/// `Effective` holds the values in force for a service of a client account.
+/// `Effective` holds the values that apply to a service of a client account.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Effective {
-    /// Cap of one answer, in tokens.
+    /// Maximum size of one answer, in tokens.
     pub max_output_tokens: u64,
-    /// Longest time that a request may take.
+    /// Time limit of a request.
     pub time_limit: Duration,
-    /// Priority of requests that ask for none.
+    /// Priority of requests that do not state one.
     pub priority: Priority,
-    /// Requests of the client account that may be open at one instance.
+    /// Maximum number of open requests of the client account at one instance.
     pub max_in_flight_requests: u64,
-    /// Bytes of a prompt that are taken for one token.
+    /// Prompt bytes per token, by which the worst case of a prompt is computed.
     pub prompt_token_bytes: u64,
-    /// Policy of grants.
+    /// Policy for grants.
     pub budget_policy: String,
-    /// Part of held tokens that can be spent while no witness answers, in percent.
+    /// Share of held tokens that can be spent while no witness answers, in percent.
     pub open_percent: u64,
-    /// Level that each value comes from.
+    /// Level that each value comes from, by key.
     pub levels: BTreeMap<String, Level>,
 }
 
 impl Effective {
-    /// Resolves the levels of the tree.
+    /// Resolves each value: the most specific level that sets it takes precedence.
     ///
     /// ```
     /// use damaskstile_fleet::settings::{Effective, Level, Values};
--- a/crates/damaskstile-fleet/src/settings/service.rs
+++ b/crates/damaskstile-fleet/src/settings/service.rs
@@ -1,11 +1,11 @@
-//! `service` holds the settings of a service.
+//! Settings of a service.
 
 use serde::{Deserialize, Serialize};
 
 use super::check_range;
 use crate::errors::{Result, setting_error};
 
-/// `ServiceKind` tells what stands behind a service.
+/// `ServiceKind` is the kind of targets that a service has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
@@ -20,13 +20,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceSettings {
-    /// What stands behind the service.
+    /// Kind of targets that the service has.
     pub kind: ServiceKind,
     /// Price of one call of a plain service, in tokens.
     pub price_tokens: u64,
-    /// Whether its calls must never be run twice.
+    /// Whether its calls must run at most once.
     pub is_non_idempotent: bool,
-    /// Whether its targets resume a cut stream.
+    /// Whether its targets can resume an interrupted stream.
     pub can_resume: bool,
 }
 
@@ -48,7 +48,7 @@
             return setting_error(
                 format!("{path}.price_tokens"),
                 self.price_tokens,
-                "no price for a model service, which is paid by tokens",
+                "no price, as a model service is billed by tokens",
             );
         }
         Ok(())
--- a/crates/damaskstile-fleet/src/settings/stored.rs
+++ b/crates/damaskstile-fleet/src/settings/stored.rs
@@ -1,20 +1,20 @@
-//! `stored` holds the settings as they stand in the store: the text, and who accepted it.
+//! Settings as they are stored, with their author.
 
 use serde::{Deserialize, Serialize};
 
-/// `StoredSettings` is the value of the settings' object.
+/// `StoredSettings` is the value of the stored object that holds the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoredSettings {
     /// Operator who made the change.
     pub author: String,
-    /// What the change was, in a line.
+    /// Summary of the change, in one line.
     pub note: String,
     /// Time of the change, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
-    /// The whole tree, as TOML.
+    /// Whole tree of settings, as TOML.
     pub text: String,
 }
 
-/// Key of the settings' object.
+/// Key of the stored object that holds the settings.
 pub const SETTINGS_KEY: &str = "settings/tree";
--- a/crates/damaskstile-fleet/src/settings/system.rs
+++ b/crates/damaskstile-fleet/src/settings/system.rs
@@ -1,4 +1,4 @@
-//! `system` holds the settings of the deployment that nothing overrides.
+//! Settings of the deployment, which cannot be overridden.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,21 +9,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SystemSettings {
-    /// Instances of the fleet; grants are sized by it.
+    /// Number of instances in the fleet, by which grants are sized.
     pub instances: u64,
-    /// Retries allowed for each hundred requests.
+    /// Number of retries allowed per hundred requests.
     pub retry_percent: u64,
-    /// Requests that may wait at one instance for a service's targets.
+    /// Maximum number of requests that wait at one instance for the targets of a service.
     pub queue_requests: u64,
-    /// Time that a request may wait for a target, in milliseconds.
+    /// Maximum time that a request waits for a target, in milliseconds.
     pub queue_wait_ms: u64,
-    /// Age of evidence past which a target is asked before it gets new work, in milliseconds.
+    /// Age of the last evidence from a target above which it is probed before it gets new work, in
+    /// milliseconds.
     pub target_evidence_ms: u64,
-    /// Silence after which a peer's grants are closed, in milliseconds.
+    /// Silence of a peer after which its grants are closed, in milliseconds.
     pub seal_after_ms: u64,
-    /// Time that an instance still takes work after it was told to stop, in milliseconds.
+    /// Time for which an instance still accepts work after it is told to stop, in milliseconds.
     pub stop_grace_ms: u64,
-    /// Time that claims of non-idempotent requests are kept, in seconds.
+    /// Retention period of claims of non-idempotent requests, in seconds.
     pub claims_kept_s: u64,
 }
 
--- a/crates/damaskstile-fleet/src/settings/values.rs
+++ b/crates/damaskstile-fleet/src/settings/values.rs
@@ -1,37 +1,38 @@
-//! `values` holds the settings that a level of the tree inherits or overrides.
+//! Settings that each level of the tree inherits or overrides.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// `Values` holds the settings that can stand at each level. Absent ones are inherited.
+/// `Values` holds the settings that can be set at each level of the tree. Absent ones are
+/// inherited.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Values {
-    /// Cap of one answer, in tokens.
+    /// Maximum size of one answer, in tokens.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_output_tokens: Option<u64>,
-    /// Longest time that a request may take, in milliseconds.
+    /// Time limit of a request, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub time_limit_ms: Option<u64>,
-    /// Priority of requests that ask for none.
+    /// Priority of requests that do not state one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub priority: Option<Priority>,
-    /// Requests of a client account that may be open at one instance.
+    /// Maximum number of open requests of a client account at one instance.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_in_flight_requests: Option<u64>,
-    /// Bytes of a prompt that are taken for one token when its worst case is reserved.
+    /// Prompt bytes per token, by which the worst case of a prompt is computed for reservations.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub prompt_token_bytes: Option<u64>,
-    /// Policy of grants: `fixed_slices`, `adaptive`, `transfers` or `spread_transfers`.
+    /// Policy for grants: `fixed_slices`, `adaptive`, `transfers` or `spread_transfers`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub budget_policy: Option<String>,
-    /// Part of held tokens that can be spent while no witness answers, in percent.
+    /// Share of held tokens that can be spent while no witness answers, in percent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub open_percent: Option<u64>,
 }
 
 impl Values {
-    /// Returns the value of a key as operators see it, if it stands at this level.
+    /// Returns the value of a key as operators see it, if it is set at this level.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<String> {
         match key {
--- a/crates/damaskstile-fleet/src/spread.rs
+++ b/crates/damaskstile-fleet/src/spread.rs
@@ -1,24 +1,24 @@
-//! `spread` keeps the settings in force and brings newer ones in, from the store or from peers.
+//! The settings in force, and their replacement by newer versions from the store or from peers.
 
 use damaskstile_core::prelude::*;
 
 use crate::settings::Settings;
 
-/// `Applied` tells what became of a version that came in.
+/// `Applied` is the result of applying a version of the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Applied {
-    /// It is in force now.
+    /// The version is in force now.
     InForce,
-    /// It is not newer than the version in force.
+    /// The version is not newer than the one in force, or was refused before.
     Old,
-    /// It cannot be read or breaks a rule; the version in force stays.
+    /// The version is invalid, so the one in force stays. Holds the reason.
     Refused(String),
 }
 
-/// `SettingsInForce` keeps the newest valid settings that were seen.
+/// `SettingsInForce` holds the newest valid settings received. Their version never decreases.
 ///
-/// Versions only go up. A read that lags, a peer that was cut off or a restart may bring an older
-/// version; it is never applied.
+/// A stale read, a peer that was partitioned or a restart may deliver an older version, which is
+/// never applied.
 #[derive(Debug, Clone, Default)]
 pub struct SettingsInForce {
     version: Version,
@@ -28,13 +28,13 @@
 }
 
 impl SettingsInForce {
-    /// Makes the state of an instance that knows no settings yet.
+    /// Creates the state of an instance that has not received any settings yet.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in a version.
+    /// Applies the settings in `text`, as TOML, if they are valid and newer than those in force.
     ///
     /// ```
     /// use damaskstile_fleet::spread::{Applied, SettingsInForce};
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Returns the version in force; 0 where there is none.
+    /// Returns the version in force; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> Version {
         self.version
@@ -72,13 +72,13 @@
         &self.settings
     }
 
-    /// Returns the text in force, for peers.
+    /// Returns the settings in force as the TOML text that was applied, for sending to peers.
     #[must_use]
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Tells whether no settings are known yet.
+    /// Returns whether no settings are in force yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.version == 0
