--- a/crates/damaskstile-fleet/src/fleet_clock.rs
+++ b/crates/damaskstile-fleet/src/fleet_clock.rs
@@ -3,13 +3,13 @@
 use damaskstile_core::prelude::*;
 
 /// Age from which on a peer's reading is ignored, because its clock may have stepped since.
-const HEARD_AGE: Duration = Duration::from_secs(2);
+const READING_AGE_MAX: Duration = Duration::from_secs(2);
 /// Fraction of the instances whose readings are required. Steps of up to three clocks in eight must
 /// not move the median.
-const HEARD_PART: (usize, usize) = (3, 4);
+const REQUIRED_FRACTION: (usize, usize) = (3, 4);
 /// Number of readings that suffice in a large fleet, where each instance receives those of a random
 /// subset of its peers.
-const HEARD_ENOUGH: usize = 12;
+const REQUIRED_READINGS_MAX: usize = 12;
 
 #[derive(Debug, Clone, Copy)]
 struct Reading {
@@ -50,23 +50,25 @@
     /// ```
     #[must_use]
     pub fn middle(&self, now: Duration, own_unix_ms: u64, instances: usize) -> Option<(u64, u64)> {
-        let mut shown: Vec<u64> = self
+        let mut clocks_unix_ms: Vec<u64> = self
             .readings
             .values()
-            .filter(|reading| now.saturating_sub(reading.at) < HEARD_AGE)
+            .filter(|reading| now.saturating_sub(reading.at) < READING_AGE_MAX)
             .map(|reading| {
-                let since = now.saturating_sub(reading.at);
-                reading.unix_ms + damaskstile_core::time::unix_ms(since)
+                let age = now.saturating_sub(reading.at);
+                reading.unix_ms + damaskstile_core::time::unix_ms(age)
             })
             .collect();
-        shown.push(own_unix_ms);
-        let (part, of) = HEARD_PART;
-        let needed = (instances * part).div_ceil(of).min(HEARD_ENOUGH);
-        if shown.len() < needed {
+        clocks_unix_ms.push(own_unix_ms);
+        let (numerator, denominator) = REQUIRED_FRACTION;
+        let needed = (instances * numerator)
+            .div_ceil(denominator)
+            .min(REQUIRED_READINGS_MAX);
+        if clocks_unix_ms.len() < needed {
             return None;
         }
-        shown.sort_unstable();
-        let last = shown.len() - 1;
-        Some((shown[last / 2], shown[last.div_ceil(2)]))
+        clocks_unix_ms.sort_unstable();
+        let last = clocks_unix_ms.len() - 1;
+        Some((clocks_unix_ms[last / 2], clocks_unix_ms[last.div_ceil(2)]))
     }
 }
--- a/crates/damaskstile-fleet/src/membership.rs
+++ b/crates/damaskstile-fleet/src/membership.rs
@@ -6,9 +6,9 @@
 
 use crate::membership_options::MembershipOptions;
 
-/// `Heard` lists the changes of the membership caused by a gossip message.
+/// `MembershipChanges` lists the changes of the membership caused by a gossip message.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct MembershipChanges {
     /// Members that were not known before, or have started a new incarnation.
     pub joined: Vec<InstanceId>,
     /// Earlier incarnations that were replaced by a new one.
@@ -18,9 +18,9 @@
 #[derive(Debug, Clone)]
 struct Member {
     state: MemberState,
-    heard_at: Duration,
+    updated_at: Duration,
     /// When the last message came from the member itself. Only this decides on sealing its grants.
-    direct_at: Duration,
+    direct_message_at: Duration,
     is_silent: bool,
 }
 
@@ -64,54 +64,54 @@
         if let Some(member) = self.members.get_mut(from)
             && member.state.incarnation == incarnation
         {
-            member.heard_at = now;
-            member.direct_at = now;
+            member.updated_at = now;
+            member.direct_message_at = now;
             member.is_silent = false;
         }
     }
 
     /// Merges a gossip message. Returns the members that are new.
-    pub fn hear(&mut self, now: Duration, gossip: &Gossip) -> Heard {
-        let mut heard = Heard::default();
+    pub fn hear(&mut self, now: Duration, gossip: &Gossip) -> MembershipChanges {
+        let mut changes = MembershipChanges::default();
         for state in &gossip.members {
             if state.instance != self.own.instance && !state.instance.is_empty() {
-                self.hear_state(now, state, &mut heard);
+                self.merge_state(now, state, &mut changes);
             }
         }
-        heard
+        changes
     }
 
-    fn hear_state(&mut self, now: Duration, state: &MemberState, heard: &mut Heard) {
+    fn merge_state(&mut self, now: Duration, state: &MemberState, changes: &mut MembershipChanges) {
         let Some(member) = self.members.get_mut(&state.instance) else {
-            heard.joined.push(state.instance.clone());
+            changes.joined.push(state.instance.clone());
             self.members.insert(
                 state.instance.clone(),
                 Member {
                     state: state.clone(),
-                    heard_at: now,
-                    direct_at: now,
+                    updated_at: now,
+                    direct_message_at: now,
                     is_silent: false,
                 },
             );
             return;
         };
-        let known = &member.state;
-        let is_other_life = state.incarnation != known.incarnation;
-        if is_other_life && state.started_unix_ms > known.started_unix_ms {
-            heard
+        let previous = &member.state;
+        let is_other_incarnation = state.incarnation != previous.incarnation;
+        if is_other_incarnation && state.started_unix_ms > previous.started_unix_ms {
+            changes
                 .replaced
-                .push((state.instance.clone(), known.incarnation));
-            heard.joined.push(state.instance.clone());
+                .push((state.instance.clone(), previous.incarnation));
+            changes.joined.push(state.instance.clone());
             member.state = state.clone();
-            member.heard_at = now;
-            member.direct_at = now;
+            member.updated_at = now;
+            member.direct_message_at = now;
             member.is_silent = false;
             return;
         }
-        let is_news = !is_other_life && state.heartbeat > known.heartbeat;
-        if is_news {
+        let is_newer = !is_other_incarnation && state.heartbeat > previous.heartbeat;
+        if is_newer {
             member.state = state.clone();
-            member.heard_at = now;
+            member.updated_at = now;
             member.is_silent = false;
         }
     }
@@ -120,8 +120,8 @@
     /// received in that time, so it says nothing about them.
     pub fn forgive(&mut self, pause: Duration) {
         for member in self.members.values_mut() {
-            member.heard_at += pause;
-            member.direct_at += pause;
+            member.updated_at += pause;
+            member.direct_message_at += pause;
         }
     }
 
@@ -135,7 +135,7 @@
         self.members
             .iter_mut()
             .filter(|(_, member)| !member.is_silent)
-            .filter(|(_, member)| now.saturating_sub(member.heard_at) > silent_after)
+            .filter(|(_, member)| now.saturating_sub(member.updated_at) > silent_after)
             .map(|(instance, member)| {
                 member.is_silent = true;
                 instance.clone()
@@ -153,7 +153,8 @@
         incarnation: Incarnation,
     ) -> Option<Duration> {
         let member = self.members.get(instance)?;
-        (member.state.incarnation == incarnation).then(|| now.saturating_sub(member.direct_at))
+        (member.state.incarnation == incarnation)
+            .then(|| now.saturating_sub(member.direct_message_at))
     }
 
     /// Returns the members that are not silent.
@@ -187,7 +188,7 @@
     /// partition has one. All witnesses must agree before a grant is closed.
     #[must_use]
     pub fn witnesses(&self) -> BTreeMap<InstanceId, Incarnation> {
-        let mut fit: Vec<&MemberState> = self
+        let mut eligible: Vec<&MemberState> = self
             .live()
             .filter(|state| !state.is_stopping)
             // A member that is only known from the settings of this instance has no incarnation
@@ -195,8 +196,8 @@
             // recognise itself as that witness.
             .filter(|state| state.incarnation != 0)
             .collect();
-        fit.sort_by_key(|state| stable_hash(&[&self.own.instance, &state.instance]));
-        let (near, far): (Vec<_>, Vec<_>) = fit
+        eligible.sort_by_key(|state| stable_hash(&[&self.own.instance, &state.instance]));
+        let (near, far): (Vec<_>, Vec<_>) = eligible
             .into_iter()
             .partition(|state| state.data_centre == self.own.data_centre);
         let each = self.options.witnesses_each;
