--- a/crates/damaskstile-requests/src/claims.rs
+++ b/crates/damaskstile-requests/src/claims.rs
@@ -29,7 +29,7 @@
     },
     /// The run holds the claim and may send the request.
     Won {
-        /// The run.
+        /// Id of the run.
         run: RunId,
     },
     /// Another run holds the claim on the key.
@@ -41,7 +41,7 @@
     },
     /// The claim could not be stored; the run must not send.
     Failed {
-        /// The run.
+        /// Id of the run.
         run: RunId,
     },
     /// Write to the log.
