--- a/crates/damaskstile-core/src/codes.rs
+++ b/crates/damaskstile-core/src/codes.rs
@@ -1,65 +1,66 @@
-//! `codes` lists the stable codes that callers see when a request is not answered.
+//! Codes that tell callers why a request was not answered.
 
 use serde::{Deserialize, Serialize};
 
-/// `RefusalCode` tells a caller why its request was not answered. Codes are stable.
+/// `RefusalCode` tells a caller why its request was not answered. Existing codes never change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCode {
     /// The bearer token belongs to no client account.
     UnknownAccount,
-    /// No service of that name is set for the client account.
+    /// The client account has no service of that name.
     UnknownService,
-    /// No route leads from the host and path to a service.
+    /// No route matches the host and path.
     UnknownRoute,
-    /// The body is larger than the limit.
+    /// The body exceeds the size limit.
     BodyTooLarge,
     /// The caller did not send the whole body in time.
     BodyIncomplete,
-    /// The target's answer was spoiled or belonged to another request.
+    /// The target's answer was corrupted or belonged to another request.
     AnswerSpoiled,
-    /// The request breaks a limit or a rule of its service.
+    /// The request violates a limit or a rule of its service.
     BadRequest,
-    /// A non-idempotent request needs a `UUIDv7` key, within the retention of claims.
+    /// The non-idempotent request lacks a `UUIDv7` key, or the time in its key lies outside the
+    /// retention period of claims.
     BadKey,
     /// The budget cannot cover the worst case of the request.
     BudgetExhausted,
-    /// What is left of the budget is kept for more urgent requests.
+    /// The remainder of the budget is reserved for more urgent requests.
     BudgetReserved,
-    /// Money may be left, but neither the store nor a holder answered in time.
+    /// The budget may have tokens left, but neither the store nor a holder answered in time.
     BudgetUnreachable,
     /// Too many requests wait or run for the targets of the service.
     Overloaded,
-    /// No target of the service is known to take work.
+    /// No target of the service is known to accept work.
     NoTarget,
-    /// No target of the service takes work in the regions that may run the request.
+    /// No target of the service accepts work in the regions that may run the request.
     NoTargetInRegion,
-    /// Bills waiting for the store fill their bounded buffer.
+    /// The buffer of bills that wait to be stored is full.
     BillsBacklog,
-    /// The key was used before with another body.
+    /// The key was used before with a different body.
     KeyReused,
     /// The claim for a non-idempotent request could not be stored.
     ClaimUnavailable,
-    /// This instance is being stopped.
+    /// The instance is stopping.
     Stopping,
-    /// This instance has no settings yet.
+    /// The instance has no settings yet.
     Starting,
     /// The deadline passed before the request could be sent to a target.
     DeadlineExceeded,
-    /// The fleet's budget of retries is used up.
+    /// The retry budget is exhausted.
     RetriesExhausted,
-    /// The request with this key already ran to its end.
+    /// The request with this key already ran to completion.
     AlreadyRan,
-    /// The request with this key is running or its instance was lost.
+    /// The request with this key is running, or the instance that ran it was lost.
     InProgress,
-    /// The target's stream was cut after the request was sent.
+    /// The stream from the target was interrupted after the request was sent.
     TargetLost,
-    /// Targets ended again and again while they ran the same request.
+    /// Targets crashed repeatedly while they ran the same content, so it is quarantined.
     CrashesTargets,
 }
 
 impl RefusalCode {
-    /// Returns the code as callers see it.
+    /// Returns the code as sent to callers.
     ///
     /// ```
     /// use damaskstile_core::codes::RefusalCode;
--- a/crates/damaskstile-core/src/effect.rs
+++ b/crates/damaskstile-core/src/effect.rs
@@ -1,4 +1,4 @@
-//! `effect` lists all that an instance can ask of its host.
+//! Outputs of an instance, which its host carries out.
 
 use std::time::Duration;
 
@@ -18,9 +18,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Dispatch {
-    /// Name of this run; the target knows the run by it.
+    /// Id of the run, which is also sent to the target.
     pub run: RunId,
-    /// The caller's request, whose body the host holds.
+    /// Handle of the caller's request, whose body the host holds.
     pub request: RequestHandle,
     /// Target to send to.
     pub target: TargetId,
@@ -32,13 +32,14 @@
     pub key: RequestKey,
     /// Service that is addressed.
     pub service: ServiceId,
-    /// Cap of the output in tokens; the target gets it, and the stream is cancelled at it.
+    /// Maximum size of the output, in tokens. It is sent to the target, and a stream that reaches
+    /// it is cancelled.
     pub cap_tokens: u64,
-    /// First chunk that is still missing; above 0 the run is resumed.
+    /// Index of the first chunk that is still missing. The run is resumed if it is above 0.
     pub resume_from: u64,
-    /// Priority for the target's queue.
+    /// Priority in the target's queue.
     pub priority: Priority,
-    /// Time after which the host must not send any more, on the clock of the events.
+    /// Time after which the host must not send the request any more, on the clock of the events.
     pub expires_at: Duration,
 }
 
@@ -46,92 +47,93 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Call the store and give back the answer under the same id.
+    /// Call the store and return the answer under the same id.
     Store {
-        /// Id for the answer.
+        /// Id of the call.
         call: CallId,
-        /// The call.
+        /// Call to make.
         request: StoreCall,
     },
-    /// Watch the settings from now on, or leave that to peers.
+    /// Start or stop watching the settings in the store.
     WatchSettings {
-        /// Whether this instance is one of those that watch.
+        /// Whether to watch. Instances that do not watch receive the settings from peers.
         is_watching: bool,
     },
     /// Send a message to a peer. It may get lost.
     Send {
-        /// The peer.
+        /// Name of the peer.
         to: InstanceId,
-        /// The message.
+        /// Message to send.
         message: PeerMessage,
     },
-    /// Send a request to a target and report each piece of its answer.
+    /// Send a request to a target and report each chunk of its answer.
     Dispatch(Dispatch),
     /// Cancel a run.
     Cancel {
-        /// The run.
+        /// Id of the run.
         run: RunId,
-        /// Where it runs.
+        /// Target that runs it.
         target: TargetId,
     },
-    /// Ask a target how a run went.
+    /// Ask a target for the state of a run.
     Inquire {
-        /// The run.
+        /// Id of the run.
         run: RunId,
-        /// The target to ask.
+        /// Target to ask.
         target: TargetId,
-        /// Address of the target; empty where it is not known any more.
+        /// Address of the target; empty if it is no longer known.
         address: String,
     },
-    /// Ask a target for its load and whether it leaves.
+    /// Ask a target for its load and whether it is leaving.
     Probe {
-        /// The target.
+        /// Name of the target.
         target: TargetId,
         /// Address of the target.
         address: String,
     },
-    /// Tell the host the key under which a request is known.
+    /// Tell the host the key of an accepted request.
     Accepted {
-        /// The call.
+        /// Handle of the call.
         request: RequestHandle,
-        /// Its key.
+        /// Key of the request.
         key: RequestKey,
         /// The client account that the token belongs to.
         account: AccountId,
     },
-    /// Tell the host that the request's tokens are reserved, for its histograms.
+    /// Tell the host that the tokens of the request are reserved. The host uses this for its
+    /// histograms.
     Reserved {
-        /// The call.
+        /// Handle of the call.
         request: RequestHandle,
     },
-    /// Let go of the body of a call's request; it will not be sent any more.
+    /// Release the body of a request, which will not be sent any more.
     BodyDone {
-        /// The call.
+        /// Handle of the call.
         request: RequestHandle,
     },
-    /// Give a piece of the answer to the caller.
+    /// Relay a chunk of the answer to the caller.
     Relay {
-        /// The call.
+        /// Handle of the call.
         request: RequestHandle,
-        /// The piece.
+        /// Data of the chunk.
         data: String,
     },
-    /// Give the final word to the caller. Nothing follows for this call.
+    /// Send the final outcome to the caller. No further effects follow for this call.
     Answer {
-        /// The call.
+        /// Handle of the call.
         request: RequestHandle,
-        /// The final word.
+        /// Final outcome.
         outcome: Outcome,
     },
-    /// Tell a caller what became of a request.
+    /// Answer a question of a caller about the state of a request.
     Explained {
-        /// The call.
+        /// Handle of the call.
         request: RequestHandle,
-        /// What is known; `None` where nothing is.
+        /// Explanation; `None` if nothing is known of the request.
         explanation: Option<Explanation>,
     },
-    /// Write a numbered event to the log.
+    /// Write an event to the log.
     Log(LogEvent),
-    /// All work is done and handed back; the host may end.
+    /// All work is finished and all holdings are returned. The host may exit.
     Stopped,
 }
--- a/crates/damaskstile-core/src/errors.rs
+++ b/crates/damaskstile-core/src/errors.rs
@@ -1,17 +1,17 @@
-//! `errors` holds the error of the borders: bytes that cannot be taken in.
+//! Errors of input from outside the process.
 
 use std::fmt;
 
-/// `Error` tells what was wrong with an input at a border.
+/// `Error` is the reason for which an input was refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Error {
-    /// The input has not the form that was expected.
+    /// The input cannot be decoded.
     Malformed(String),
-    /// The input has the right form and breaks a rule.
+    /// The input can be decoded but breaks a rule.
     Invalid(String),
 }
 
-/// `Result` has this crate's error.
+/// `Result` with the error of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl fmt::Display for Error {
@@ -25,21 +25,21 @@
 
 impl std::error::Error for Error {}
 
-/// Makes the error for an input of the wrong form.
+/// Returns the error for an input that cannot be decoded.
 ///
 /// # Errors
 ///
-/// Always returns the error; that is its use.
+/// Always returns the error, so that callers can return the result directly.
 #[cold]
 pub fn malformed_error<T>(what: impl fmt::Display) -> Result<T> {
     Err(Error::Malformed(what.to_string()))
 }
 
-/// Makes the error for an input that breaks a rule.
+/// Returns the error for an input that breaks a rule.
 ///
 /// # Errors
 ///
-/// Always returns the error; that is its use.
+/// Always returns the error, so that callers can return the result directly.
 #[cold]
 pub fn invalid_error<T>(what: impl fmt::Display) -> Result<T> {
     Err(Error::Invalid(what.to_string()))
--- a/crates/damaskstile-core/src/event.rs
+++ b/crates/damaskstile-core/src/event.rs
@@ -1,4 +1,4 @@
-//! `event` lists all that can happen to an instance.
+//! Inputs of an instance.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,70 +9,71 @@
 use crate::store::{Object, StoreAnswer};
 use crate::target::{TargetInfo, TargetStatus};
 
-/// `Event` is one input of an instance. Events may come late, twice, out of order or never.
+/// `Event` is one input of an instance. Events may be delayed, duplicated, reordered or lost.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// Time went on.
+    /// Time has advanced.
     Tick,
     /// A caller sent a request.
     Request(NewRequest),
-    /// A caller went away before its answer was whole.
+    /// A caller disconnected before its answer was complete.
     CallerGone {
-        /// The call that was dropped.
+        /// Handle of the abandoned call.
         request: RequestHandle,
     },
-    /// The store answered a call.
+    /// The store answered a call, or the answer was lost.
     Store {
-        /// The call that is answered.
+        /// Id of the store call.
         call: CallId,
-        /// Its answer.
+        /// Answer to the call.
         answer: StoreAnswer,
     },
-    /// A watch, or a read in its place, showed an object.
+    /// A watch, or a read in its place, returned an object.
     Changed {
         /// Key of the object.
         key: String,
-        /// The object as it stands.
+        /// Current value and version of the object.
         object: Object,
     },
-    /// A target spoke of a run.
+    /// A target reported on a run.
     Run {
-        /// The run.
+        /// Id of the run.
         run: RunId,
-        /// What was said.
+        /// Report of the target.
         report: RunReport,
     },
-    /// The platform's list of targets came in. It lags.
+    /// The platform's list of targets was received. The list lags behind the actual state.
     Targets {
-        /// All targets on the list.
+        /// All targets in the list.
         targets: Vec<TargetInfo>,
     },
-    /// A target reported its load and whether it leaves.
+    /// A target was probed for its load and whether it is leaving.
     TargetStatus {
-        /// The target.
+        /// Name of the target.
         target: TargetId,
-        /// Its report; `None` where it did not answer.
+        /// Status of the target; `None` if it did not answer.
         status: Option<TargetStatus>,
     },
     /// A peer sent a message.
     Peer {
-        /// The sender.
+        /// Name of the sender.
         from: InstanceId,
-        /// The sender's incarnation.
+        /// Incarnation of the sender.
         incarnation: u64,
-        /// The message.
+        /// Received message.
         message: PeerMessage,
     },
-    /// A caller asks what became of a request of its account.
+    /// A caller asks for the state of a request of its account.
     Explain {
-        /// The call.
+        /// Handle of the call that asks.
         request: RequestHandle,
         /// SHA-256 of the bearer token, in lower-case hexadecimal.
         token_sha256: String,
         /// Key of the request asked about.
         key: RequestKey,
     },
-    /// The instance is to stop: no new work, finish what runs, hand back what it holds.
+    /// The instance must stop: accept no new work, finish open requests, and hand back what it
+    /// holds.
     Stop,
 }
--- a/crates/damaskstile-core/src/explanation.rs
+++ b/crates/damaskstile-core/src/explanation.rs
@@ -1,27 +1,27 @@
-//! `explanation` tells a caller or an operator what became of a request.
+//! Explanation of the state of a request, for callers and operators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{InstanceId, RequestKey, TargetId};
 use crate::outcome::Outcome;
 
-/// `Explanation` says what is known of a request, and from where.
+/// `Explanation` is what an instance knows of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Explanation {
     /// Key of the request.
     pub key: RequestKey,
-    /// Final word, if there is one yet.
+    /// Final outcome; `None` if the request is still open.
     pub outcome: Option<Outcome>,
-    /// Step that the request is in or ended in.
+    /// Processing step that the request is in, or in which it ended.
     pub step: String,
     /// Target of its last run.
     pub target: Option<TargetId>,
-    /// Tokens that are billed.
+    /// Number of tokens billed.
     pub billed_tokens: u64,
-    /// Runs that were started.
+    /// Number of runs started.
     pub runs: u64,
-    /// Instance that says so.
+    /// Instance that gives the explanation.
     pub instance: InstanceId,
     /// Reasons, oldest first.
     pub why: Vec<String>,
--- a/crates/damaskstile-core/src/hex.rs
+++ b/crates/damaskstile-core/src/hex.rs
@@ -1,8 +1,8 @@
-//! `hex` writes and reads bytes in lower-case hexadecimal.
+//! Hexadecimal encoding of bytes.
 
 use std::fmt::Write;
 
-/// Writes bytes in hexadecimal.
+/// Encodes bytes in lower-case hexadecimal.
 ///
 /// ```
 /// assert_eq!(damaskstile_core::hex::to_hex(&[1, 255]), "01ff");
@@ -16,7 +16,7 @@
     })
 }
 
-/// Reads bytes in hexadecimal; `None` where the text is something else.
+/// Decodes hexadecimal text; `None` if the text is malformed.
 ///
 /// ```
 /// use damaskstile_core::hex::from_hex;
--- a/crates/damaskstile-core/src/identity.rs
+++ b/crates/damaskstile-core/src/identity.rs
@@ -1,10 +1,10 @@
-//! `identity` tells one run of an instance from all others.
+//! Identity of an instance across restarts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{DataCentreId, Incarnation, InstanceId};
 
-/// `Identity` names an instance, its incarnation and its place.
+/// `Identity` is the name of an instance together with its incarnation and data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
@@ -12,12 +12,12 @@
     pub instance: InstanceId,
     /// Incarnation, chosen at random at the start.
     pub incarnation: Incarnation,
-    /// Data centre that the instance stands in.
+    /// Data centre that the instance runs in.
     pub data_centre: DataCentreId,
 }
 
 impl Identity {
-    /// Makes an identity.
+    /// Creates an identity.
     #[must_use]
     pub fn new(instance: &str, incarnation: Incarnation, data_centre: &str) -> Self {
         Self {
@@ -38,7 +38,8 @@
         writer_name(&self.instance, self.incarnation)
     }
 
-    /// Makes a name that no other incarnation makes: for runs, grants and transfers.
+    /// Returns a name for a run, a grant or a transfer that no other incarnation generates. It is
+    /// unique as long as `number` is not reused for the same `kind`.
     #[must_use]
     pub fn unique(&self, kind: &str, number: u64) -> String {
         format!("{kind}-{:016x}-{number}", self.incarnation)
--- a/crates/damaskstile-core/src/ids.rs
+++ b/crates/damaskstile-core/src/ids.rs
@@ -1,36 +1,37 @@
-//! `ids` names the identifiers that cross module borders.
+//! Identifiers shared between modules.
 
-/// Names a process of the fleet; stays the same when the process is restarted.
+/// Name of an instance of the fleet, which stays the same when the process restarts.
 pub type InstanceId = String;
-/// Tells one run of an instance from the next; chosen at random when the process starts.
+/// Number that distinguishes runs of an instance from each other, chosen at random when the process
+/// starts.
 pub type Incarnation = u64;
-/// Names a client account.
+/// Name of a client account.
 pub type AccountId = String;
-/// Names a prepaid budget. Several client accounts may draw on one.
+/// Name of a prepaid budget. Several client accounts may draw on the same budget.
 pub type BudgetId = String;
-/// Names a service that callers address.
+/// Name of a service that callers address.
 pub type ServiceId = String;
-/// Names a target, a model engine's replica or a plain service's.
+/// Name of a target, which is a replica of a model engine or of a plain service.
 pub type TargetId = String;
-/// Tells one run of a target from the next: its start, in milliseconds since the Unix epoch, so
-/// that the greater one is the newer.
+/// Number that distinguishes runs of a target from each other: its start time in milliseconds since
+/// the Unix epoch, so that the greater number is the newer run.
 pub type TargetIncarnation = u64;
-/// The caller's key of a request (`Idempotency-Key`), unique within a client account.
+/// Key of a request, given by the caller (`Idempotency-Key`) and unique within a client account.
 pub type RequestKey = String;
-/// The host's handle of one open call.
+/// Handle of an open call, assigned by the host.
 pub type RequestHandle = u64;
-/// Names one dispatch of a request to a target.
+/// Id of one dispatch of a request to a target.
 pub type RunId = String;
-/// Names tokens granted to one holder out of a budget.
+/// Id of tokens granted to one holder from a budget.
 pub type GrantId = String;
-/// Tells the answer of one store call from another's.
+/// Id of a store call, which its answer repeats.
 pub type CallId = u64;
-/// Version of a stored object; 0 stands for "does not exist".
+/// Version of a stored object; 0 if the object does not exist.
 pub type Version = u64;
-/// Tells the histories of a store from each other: a store that comes back from an older copy goes
-/// on with another one, and the number rises.
+/// Number of a store's history. A store that is restored from an older copy continues with a new
+/// history, which has a greater number.
 pub type History = u64;
-/// Names a data centre.
+/// Name of a data centre.
 pub type DataCentreId = String;
-/// Names a region, which holds data centres.
+/// Name of a region, which is a group of data centres.
 pub type RegionId = String;
--- a/crates/damaskstile-core/src/lib.rs
+++ b/crates/damaskstile-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! `damaskstile-core` holds the types and traits that every crate of the router fleet shares.
+//! Types that all crates of the router fleet share. Contains no implementation of the router.
 //!
-//! It knows no implementation. A duty is a state machine that turns an [`Event`](event::Event)
-//! and a time into [`Effect`](effect::Effect)s; whoever hosts it delivers the effects.
+//! An instance is a state machine without input or output of its own. It turns an
+//! [`Event`](event::Event) and a time into [`Effect`](effect::Effect)s, which its host carries out.
 
 pub mod codes;
 pub mod effect;
@@ -24,7 +24,7 @@
 pub mod time;
 
 pub mod prelude {
-    //! `prelude` re-exports the types that nearly every module needs.
+    //! Types that nearly every module needs.
 
     pub use std::collections::{BTreeMap, BTreeSet, VecDeque};
     pub use std::time::Duration;
--- a/crates/damaskstile-core/src/log.rs
+++ b/crates/damaskstile-core/src/log.rs
@@ -1,4 +1,4 @@
-//! `log` lists the numbered events of the logs. `docs/EVENTS.md` is their catalogue.
+//! Numbered log events. `docs/EVENTS.md` is their catalogue.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 macro_rules! event_codes {
     ($($name:ident = $number:literal, $level:literal, $text:literal;)*) => {
-        /// `EventCode` names a kind of log event. Numbers are never given anew.
+        /// `EventCode` identifies a kind of log event. Numbers are never reused.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum EventCode {
@@ -14,7 +14,7 @@
         }
 
         impl EventCode {
-            /// All codes, by number.
+            /// All codes, in ascending order of their numbers.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
             /// Returns the number of the event.
@@ -28,13 +28,13 @@
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// Returns the level: `info`, `warn` or `error`.
+            /// Returns the log level: `info`, `warn` or `error`.
             #[must_use]
             pub fn level(self) -> &'static str {
                 match self { $(Self::$name => $level,)* }
             }
 
-            /// Returns what the event means, in a sentence.
+            /// Returns the meaning of the event, in one sentence.
             #[must_use]
             pub fn text(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
@@ -111,18 +111,18 @@
     HostFailed = 801, "error", "An input or output of the host failed.";
 }
 
-/// `LogEvent` is one numbered event with its fields.
+/// `LogEvent` is one log event with its fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogEvent {
     /// Kind of the event.
     pub code: EventCode,
-    /// Fields by name.
+    /// Values of the fields, by name.
     pub fields: BTreeMap<String, String>,
 }
 
 impl LogEvent {
-    /// Makes an event out of its code and fields.
+    /// Creates an event from its code and fields.
     ///
     /// ```
     /// use damaskstile_core::log::{EventCode, LogEvent};
--- a/crates/damaskstile-core/src/object.rs
+++ b/crates/damaskstile-core/src/object.rs
@@ -1,4 +1,4 @@
-//! `object` holds a stored value with its version.
+//! Objects of the store.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Object {
-    /// Version; it goes up with every write of the object.
+    /// Version, which increases with every write of the object.
     pub version: Version,
     /// Value, at most 1 MB.
     pub value: String,
--- a/crates/damaskstile-core/src/outcome.rs
+++ b/crates/damaskstile-core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! `outcome` holds the final word on a request. There are three, and no fourth.
+//! Final outcome of a request: answered, not run, or unknown.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::codes::RefusalCode;
 use crate::ids::{RequestKey, TargetId};
 
-/// `Receipt` tells what an answered request used.
+/// `Receipt` states the token usage of an answered request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Receipt {
@@ -15,38 +15,38 @@
     pub key: RequestKey,
     /// Target that answered.
     pub target: TargetId,
-    /// Tokens of the prompt, or the fixed price of a plain service's call.
+    /// Number of tokens of the prompt, or the fixed price of a call to a plain service.
     pub prompt_tokens: u64,
-    /// Tokens that the target generated.
+    /// Number of tokens that the target generated.
     pub output_tokens: u64,
 }
 
-/// `Outcome` is the final word on a request.
+/// `Outcome` is the final outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The caller got the whole answer; it is billed once.
+    /// The caller received the complete answer, which is billed once.
     Answered(Receipt),
     /// The request did not run.
     NotRun {
-        /// Why it was refused.
+        /// Reason for the refusal.
         code: RefusalCode,
-        /// When coming back may help.
+        /// Time after which a retry may succeed.
         retry_after: Option<Duration>,
     },
     /// The request may have run, in whole or in part.
     Unknown {
-        /// What happened.
+        /// Reason why the outcome is unknown.
         code: RefusalCode,
-        /// Key to ask later with.
+        /// Key by which the caller can ask for the outcome later.
         key: RequestKey,
-        /// When asking again may help.
+        /// Time after which the outcome may be known.
         retry_after: Option<Duration>,
     },
 }
 
 impl Outcome {
-    /// Makes the refusal of a request that did not run.
+    /// Creates the outcome of a request that did not run.
     ///
     /// ```
     /// use damaskstile_core::prelude::*;
@@ -58,13 +58,13 @@
         Self::NotRun { code, retry_after }
     }
 
-    /// Tells whether the request is known not to have run.
+    /// Returns whether the request is known not to have run.
     #[must_use]
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::NotRun { .. })
     }
 
-    /// Tells whether the request was answered whole.
+    /// Returns whether the request was answered completely.
     #[must_use]
     pub fn is_answered(&self) -> bool {
         matches!(self, Self::Answered(_))
--- a/crates/damaskstile-core/src/peer.rs
+++ b/crates/damaskstile-core/src/peer.rs
@@ -1,4 +1,4 @@
-//! `peer` lists the messages between instances. They are encoded as protocol buffers.
+//! Messages between instances and their framing, encoded as protocol buffers.
 
 mod adoption;
 mod ask_tokens;
@@ -36,43 +36,43 @@
 use crate::errors::{Result, invalid_error, malformed_error};
 use crate::ids::{Incarnation, InstanceId};
 
-/// Largest frame that a peer may send, in bytes. Settings of up to 1 MB must pass.
+/// Maximum size of a frame, in bytes. Settings of up to 1 MB must fit.
 pub const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 
 /// `PeerMessage` is one message between two instances.
 #[derive(prost::Oneof, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PeerMessage {
-    /// Keeps the record of a run before it is dispatched.
+    /// Asks a witness to keep the record of a run before the run is dispatched.
     #[prost(message, tag = "3")]
     Record(RunRecord),
-    /// Answers a record.
+    /// Confirms or refuses a record.
     #[prost(message, tag = "4")]
     RecordAck(RecordAck),
-    /// Lets go of records whose bills are stored.
+    /// Discards records whose bills are stored.
     #[prost(message, tag = "5")]
     Forget(ForgetRuns),
-    /// Asks a holder for tokens.
+    /// Requests tokens from a holder.
     #[prost(message, tag = "6")]
     Ask(AskTokens),
-    /// Hands tokens over.
+    /// Transfers tokens.
     #[prost(message, tag = "7")]
     Give(GiveTokens),
-    /// Spreads news of members, targets and settings.
+    /// Spreads updates of members, targets and settings versions.
     #[prost(message, tag = "8")]
     Gossip(Gossip),
-    /// Asks for settings newer than a version.
+    /// Requests settings newer than a version.
     #[prost(message, tag = "9")]
     PullSettings(PullSettings),
-    /// Gives the settings in force.
+    /// Carries the settings in force at the sender.
     #[prost(message, tag = "10")]
     SettingsUpdate(SettingsUpdate),
-    /// Tells that tokens have arrived.
+    /// Confirms that a transfer of tokens has arrived.
     #[prost(message, tag = "11")]
     Take(TakeTokens),
 }
 
-/// `PeerFrame` is a message with its sender, as it goes over the wire.
+/// `PeerFrame` is a message with its sender, as sent over the wire.
 #[derive(prost::Message, Clone, PartialEq)]
 pub struct PeerFrame {
     /// Name of the sender.
@@ -81,12 +81,12 @@
     /// Incarnation of the sender.
     #[prost(fixed64, tag = "2")]
     pub incarnation: Incarnation,
-    /// The message.
+    /// Message.
     #[prost(oneof = "PeerMessage", tags = "3, 4, 5, 6, 7, 8, 9, 10, 11")]
     pub message: Option<PeerMessage>,
 }
 
-/// Encodes a message as the bytes of one frame.
+/// Encodes a message and its sender as a frame.
 #[must_use]
 pub fn encode_frame(from: &str, incarnation: Incarnation, message: PeerMessage) -> Vec<u8> {
     let frame = PeerFrame {
@@ -97,7 +97,7 @@
     frame.encode_to_vec()
 }
 
-/// Decodes the bytes of one frame.
+/// Decodes a frame. Returns the name and the incarnation of the sender, and the message.
 ///
 /// ```
 /// use damaskstile_core::peer::{AskTokens, PeerMessage, decode_frame, encode_frame};
@@ -108,10 +108,14 @@
 ///
 /// # Errors
 ///
-/// Returns an error for bytes that are no frame, and for a frame without sender or message.
+/// Returns an error for bytes that are not a frame, for a frame larger than [`MAX_FRAME_BYTES`],
+/// and for a frame without sender or message.
 pub fn decode_frame(bytes: &[u8]) -> Result<(InstanceId, Incarnation, PeerMessage)> {
     if bytes.len() > MAX_FRAME_BYTES {
-        return invalid_error(format_args!("frame of {} bytes", bytes.len()));
+        return invalid_error(format_args!(
+            "frame of {} bytes, the limit is {MAX_FRAME_BYTES}",
+            bytes.len()
+        ));
     }
     let frame = match PeerFrame::decode(bytes) {
         Ok(frame) => frame,
--- a/crates/damaskstile-core/src/peer/adoption.rs
+++ b/crates/damaskstile-core/src/peer/adoption.rs
@@ -1,24 +1,24 @@
-//! `adoption` holds a transfer as the ledger enters it.
+//! Ledger entry of a received transfer.
 
 use serde::{Deserialize, Serialize};
 
-/// `Adoption` is a transfer as its taker enters it in the ledger.
+/// `Adoption` is a transfer of tokens, as its recipient enters it in the ledger.
 #[derive(prost::Message, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Adoption {
-    /// The transfer; it becomes the id of the taker's grant.
+    /// Id of the transfer, which becomes the id of the recipient's grant.
     #[prost(string, tag = "1")]
     pub transfer: String,
-    /// Grant that the tokens come from.
+    /// Grant of the sender that the tokens were taken from.
     #[prost(string, tag = "2")]
     pub from_grant: String,
-    /// Tokens handed over.
+    /// Number of tokens transferred.
     #[prost(uint64, tag = "3")]
     pub tokens: u64,
-    /// Taker.
+    /// Name of the recipient.
     #[prost(string, tag = "4")]
     pub holder: String,
-    /// Incarnation of the taker.
+    /// Incarnation of the recipient.
     #[prost(fixed64, tag = "5")]
     pub incarnation: u64,
 }
--- a/crates/damaskstile-core/src/peer/ask_tokens.rs
+++ b/crates/damaskstile-core/src/peer/ask_tokens.rs
@@ -1,18 +1,18 @@
-//! `ask_tokens` holds the question for tokens.
+//! Request for tokens.
 
 use serde::{Deserialize, Serialize};
 
-/// `AskTokens` asks a holder of a budget for tokens.
+/// `AskTokens` requests tokens from a holder of a budget.
 #[derive(prost::Message, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AskTokens {
-    /// Budget.
+    /// Budget that the tokens belong to.
     #[prost(string, tag = "1")]
     pub budget: String,
-    /// Tokens that are wanted.
+    /// Number of tokens requested.
     #[prost(uint64, tag = "2")]
     pub tokens: u64,
-    /// Number of the question, for the answer.
+    /// Number of the request, which the answer repeats.
     #[prost(uint64, tag = "3")]
     pub ask: u64,
 }
--- a/crates/damaskstile-core/src/peer/draw.rs
+++ b/crates/damaskstile-core/src/peer/draw.rs
@@ -1,15 +1,15 @@
-//! `draw` holds the part of a worst case that a grant covers.
+//! Reservation of tokens from a grant for a run.
 
 use serde::{Deserialize, Serialize};
 
-/// `Draw` is the part of a run's worst case that one grant covers.
+/// `Draw` is the part of a run's worst-case cost that is reserved from one grant.
 #[derive(prost::Message, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Draw {
-    /// The grant.
+    /// Id of the grant.
     #[prost(string, tag = "1")]
     pub grant: String,
-    /// Tokens reserved out of it.
+    /// Number of tokens reserved from the grant.
     #[prost(uint64, tag = "2")]
     pub tokens: u64,
 }
--- a/crates/damaskstile-core/src/peer/forget_runs.rs
+++ b/crates/damaskstile-core/src/peer/forget_runs.rs
@@ -1,8 +1,8 @@
-//! `forget_runs` holds the word that records can go.
+//! Notice that records of runs are no longer needed.
 
 use serde::{Deserialize, Serialize};
 
-/// `ForgetRuns` lets go of records.
+/// `ForgetRuns` tells a witness to discard the records of runs.
 #[derive(prost::Message, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ForgetRuns {
--- a/crates/damaskstile-core/src/peer/give_tokens.rs
+++ b/crates/damaskstile-core/src/peer/give_tokens.rs
@@ -1,29 +1,29 @@
-//! `give_tokens` holds the gift of tokens.
+//! Transfer of tokens to a peer.
 
 use serde::{Deserialize, Serialize};
 
 use super::adoption::Adoption;
 
-/// `GiveTokens` hands tokens over. The giver has already given them up.
+/// `GiveTokens` transfers tokens to a peer. The sender has already deducted them from its own.
 #[derive(prost::Message, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct GiveTokens {
-    /// Number of the question.
+    /// Number of the request that this answers.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
-    /// Budget.
+    /// Budget that the tokens belong to.
     #[prost(string, tag = "2")]
     pub budget: String,
-    /// Name of this transfer; the taker's grant bears it.
+    /// Id of the transfer, which becomes the id of the recipient's grant.
     #[prost(string, tag = "3")]
     pub transfer: String,
-    /// Grant that the tokens come from.
+    /// Grant of the sender that the tokens were taken from.
     #[prost(string, tag = "4")]
     pub grant: String,
-    /// Tokens handed over; 0 says that there are none to give.
+    /// Number of tokens transferred; 0 if the sender has none to spare.
     #[prost(uint64, tag = "5")]
     pub tokens: u64,
-    /// Earlier transfers that the tokens came by, oldest first, as far as the ledger may lack them.
+    /// Earlier transfers of the same tokens that the ledger may lack, oldest first.
     #[prost(message, repeated, tag = "6")]
     pub origins: Vec<Adoption>,
 }
--- a/crates/damaskstile-core/src/peer/run_end.rs
+++ b/crates/damaskstile-core/src/peer/run_end.rs
@@ -1,15 +1,15 @@
-//! `run_end` holds what a run used.
+//! Token usage of a run.
 
 use serde::{Deserialize, Serialize};
 
-/// `RunEnd` is what a run used.
+/// `RunEnd` is the token usage of a finished run.
 #[derive(prost::Message, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RunEnd {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     #[prost(uint64, tag = "1")]
     pub prompt_tokens: u64,
-    /// Tokens that the target generated.
+    /// Number of tokens that the target generated.
     #[prost(uint64, tag = "2")]
     pub output_tokens: u64,
 }
--- a/crates/damaskstile-core/src/peer/run_record.rs
+++ b/crates/damaskstile-core/src/peer/run_record.rs
@@ -1,4 +1,4 @@
-//! `run_record` holds the evidence of a run.
+//! Record of a run, kept by witnesses.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,11 +6,11 @@
 use super::draw::Draw;
 use super::run_end::RunEnd;
 
-/// `RunRecord` says what may be spent on a grant, before it is spent.
+/// `RunRecord` records what a run may spend from its grants, before it is spent.
 #[derive(prost::Message, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RunRecord {
-    /// The run; for tokens handed over, the transfer.
+    /// Id of the run, or of the transfer if tokens are transferred to a peer.
     #[prost(string, tag = "1")]
     pub run: String,
     /// Key of the request.
@@ -19,25 +19,25 @@
     /// Client account that pays.
     #[prost(string, tag = "3")]
     pub account: String,
-    /// Budget that is drawn on.
+    /// Budget that the run draws on.
     #[prost(string, tag = "4")]
     pub budget: String,
-    /// Grants that are drawn on, with the worst case of the run.
+    /// Reservations from grants, which add up to the worst-case cost of the run.
     #[prost(message, repeated, tag = "5")]
     pub draws: Vec<Draw>,
-    /// Target of the run; empty for tokens handed over.
+    /// Target of the run; empty for a transfer.
     #[prost(string, tag = "6")]
     pub target: String,
     /// Address of the target.
     #[prost(string, tag = "7")]
     pub address: String,
-    /// Upper bound of the prompt's tokens.
+    /// Upper bound of the number of tokens of the prompt.
     #[prost(uint64, tag = "8")]
     pub prompt_tokens: u64,
-    /// Transfers that the tokens came by, as far as the ledger may lack them, oldest first.
+    /// Earlier transfers of the same tokens that the ledger may lack, oldest first.
     #[prost(message, repeated, tag = "9")]
     pub origins: Vec<Adoption>,
-    /// What the run used, once it is over.
+    /// Token usage, once the run has finished.
     #[prost(message, optional, tag = "10")]
     pub ended: Option<RunEnd>,
 }
--- a/crates/damaskstile-core/src/peer/settings_update.rs
+++ b/crates/damaskstile-core/src/peer/settings_update.rs
@@ -1,15 +1,15 @@
-//! `settings_update` holds the settings in force at a peer.
+//! Settings sent to a peer.
 
 use serde::{Deserialize, Serialize};
 
-/// `SettingsUpdate` gives the settings in force at the sender.
+/// `SettingsUpdate` carries the settings in force at the sender.
 #[derive(prost::Message, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SettingsUpdate {
     /// Version of the settings.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// The settings, as stored.
+    /// Settings, as stored.
     #[prost(string, tag = "2")]
     pub text: String,
 }
--- a/crates/damaskstile-core/src/peer/take_tokens.rs
+++ b/crates/damaskstile-core/src/peer/take_tokens.rs
@@ -1,15 +1,15 @@
-//! `take_tokens` holds the word that a gift has come.
+//! Confirmation of a transfer of tokens.
 
 use serde::{Deserialize, Serialize};
 
-/// `TakeTokens` tells the giver that a transfer has arrived, so that it is not sent again.
+/// `TakeTokens` confirms to the sender that a transfer has arrived, so that it is not sent again.
 #[derive(prost::Message, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TakeTokens {
-    /// The transfer.
+    /// Id of the transfer.
     #[prost(string, tag = "1")]
     pub transfer: String,
-    /// Budget.
+    /// Budget that the tokens belong to.
     #[prost(string, tag = "2")]
     pub budget: String,
 }
--- a/crates/damaskstile-core/src/peer/target_note.rs
+++ b/crates/damaskstile-core/src/peer/target_note.rs
@@ -1,15 +1,15 @@
-//! `target_note` holds news of a target.
+//! Update of a target, as gossip spreads it.
 
 use serde::{Deserialize, Serialize};
 
-/// `TargetNote` passes on that a target is leaving or is back, with the age of the evidence.
+/// `TargetNote` reports that a target is leaving or has returned, with the age of the evidence.
 #[derive(prost::Message, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetNote {
-    /// The target.
+    /// Name of the target.
     #[prost(string, tag = "1")]
     pub target: String,
-    /// Whether it is leaving.
+    /// Whether the target is leaving.
     #[prost(bool, tag = "2")]
     pub is_leaving: bool,
     /// Age of the evidence, in milliseconds.
--- a/crates/damaskstile-core/src/random.rs
+++ b/crates/damaskstile-core/src/random.rs
@@ -1,18 +1,18 @@
-//! `random` is the seeded source of choices, so that a run can be repeated exactly.
+//! Seeded pseudo-random numbers and stable hashes, by which runs can be reproduced exactly.
 
-/// Start of every hash.
-const HASH_BASIS: u64 = 0xCBF2_9CE4_8422_2325;
+/// Offset basis of FNV-1a.
+const FNV_OFFSET_BASIS: u64 = 0xCBF2_9CE4_8422_2325;
 
-/// `Random` gives a repeatable series of numbers out of a seed (the splitmix64 generator).
+/// `Random` is a pseudo-random number generator (`splitmix64`) with a given seed.
 ///
-/// It is not for secrets.
+/// It is not cryptographically secure.
 #[derive(Debug, Clone)]
 pub struct Random {
     state: u64,
 }
 
 impl Random {
-    /// Starts a series.
+    /// Creates a generator.
     ///
     /// ```
     /// use damaskstile_core::random::Random;
@@ -23,7 +23,7 @@
         Self { state: seed }
     }
 
-    /// Returns the next number of the series.
+    /// Returns the next number.
     pub fn next_u64(&mut self) -> u64 {
         self.state = self.state.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut mixed = self.state;
@@ -32,7 +32,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Returns a number below `bound`; 0 where the bound is 0.
+    /// Returns a number below `bound`; 0 if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         if bound == 0 {
             0
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Returns a position in a list of that length; 0 where the list is empty.
+    /// Returns an index into a list of length `len`; 0 if the list is empty.
     pub fn index(&mut self, len: usize) -> usize {
         let bound = u64::try_from(len).unwrap_or(u64::MAX);
         usize::try_from(self.below(bound)).unwrap_or(0)
     }
 }
 
-/// Hashes bytes the same way on every instance (FNV-1a with a final mix).
+/// Hashes bytes, with the same result on every instance (FNV-1a with a final mix).
 ///
 /// ```
 /// use damaskstile_core::random::stable_hash_of_bytes;
@@ -56,16 +56,16 @@
 /// ```
 #[must_use]
 pub fn stable_hash_of_bytes(bytes: &[u8]) -> u64 {
-    Random::new(add_bytes(HASH_BASIS, bytes.iter().copied())).next_u64()
+    Random::new(fnv1a(FNV_OFFSET_BASIS, bytes.iter().copied())).next_u64()
 }
 
-fn add_bytes(hash: u64, bytes: impl Iterator<Item = u8>) -> u64 {
+fn fnv1a(hash: u64, bytes: impl Iterator<Item = u8>) -> u64 {
     bytes.fold(hash, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01B3)
     })
 }
 
-/// Hashes texts the same way on every instance (FNV-1a with a final mix).
+/// Hashes a list of texts, with the same result on every instance (FNV-1a with a final mix).
 ///
 /// ```
 /// use damaskstile_core::random::stable_hash;
@@ -73,9 +73,9 @@
 /// ```
 #[must_use]
 pub fn stable_hash(parts: &[&str]) -> u64 {
-    let mut hash = HASH_BASIS;
+    let mut hash = FNV_OFFSET_BASIS;
     for part in parts {
-        hash = add_bytes(hash, part.bytes().chain(std::iter::once(0xFF)));
+        hash = fnv1a(hash, part.bytes().chain(std::iter::once(0xFF)));
     }
     Random::new(hash).next_u64()
 }
--- a/crates/damaskstile-core/src/report.rs
+++ b/crates/damaskstile-core/src/report.rs
@@ -1,56 +1,56 @@
-//! `report` describes what a target says of a run.
+//! Reports of targets about runs.
 
 use serde::{Deserialize, Serialize};
 
-/// `RunState` is a target's answer to the question how a run went.
+/// `RunState` is a target's answer to an inquiry about a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// The run goes on.
+    /// The run is in progress.
     Running,
-    /// The run is over.
+    /// The run has finished.
     Ended {
-        /// Tokens of the prompt, as the target counts them.
+        /// Number of tokens of the prompt, as counted by the target.
         prompt_tokens: u64,
-        /// Tokens that the target generated.
+        /// Number of tokens that the target generated.
         output_tokens: u64,
     },
-    /// The target has never started this run and will not start it any more.
+    /// The target has not started this run and never will.
     NeverStarted,
-    /// The target could not be asked.
+    /// The target could not be reached.
     Unreachable,
 }
 
-/// `RunReport` is one message about a run.
+/// `RunReport` is one report about a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunReport {
-    /// A piece of the answer.
+    /// The target sent a chunk of the answer.
     Chunk {
-        /// Position in the whole answer, from 0.
+        /// Position of the chunk in the complete answer, from 0.
         index: u64,
-        /// Tokens in this piece.
+        /// Number of tokens in the chunk.
         tokens: u64,
-        /// Piece as it goes to the caller.
+        /// Data of the chunk, as relayed to the caller.
         data: String,
     },
-    /// The target says that the answer is whole.
+    /// The target reported that the answer is complete.
     Finished {
-        /// Number of chunks of the whole answer.
+        /// Number of chunks in the complete answer.
         chunks: u64,
-        /// Tokens of the prompt, as the target counts them.
+        /// Number of tokens of the prompt, as counted by the target.
         prompt_tokens: u64,
-        /// Tokens that the target generated.
+        /// Number of tokens that the target generated.
         output_tokens: u64,
     },
-    /// The target refused the run before it began.
+    /// The target refused the run before starting it.
     Refused,
-    /// The target refused the request as such; no other target would take it.
+    /// The target rejected the request itself, as any other target would.
     Rejected,
     /// No byte of the request can have reached the target.
     Unreachable,
     /// The connection was lost after the request was sent.
     Broken,
-    /// Answer to a question about the run.
+    /// The target answered an inquiry about the run.
     State(RunState),
 }
--- a/crates/damaskstile-core/src/store.rs
+++ b/crates/damaskstile-core/src/store.rs
@@ -1,11 +1,11 @@
-//! `store` describes the platform's object API as the decisions see it.
+//! Calls to the platform's object store, and their answers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::Version;
 pub use crate::object::Object;
 
-/// `StoreCall` is one call to the platform's object API.
+/// `StoreCall` is one call to the platform's object store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreCall {
@@ -14,30 +14,31 @@
         /// Key of the object.
         key: String,
     },
-    /// Writes an object if its version is the expected one.
+    /// Writes an object if it has the expected version.
     Write {
         /// Key of the object.
         key: String,
-        /// Version that must stand; 0 creates the object.
+        /// Version that the object must have; 0 creates the object.
         expected_version: Version,
         /// New value.
         value: String,
     },
 }
 
-/// `StoreAnswer` is what came back from a call.
+/// `StoreAnswer` is the answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreAnswer {
-    /// The object as it was read; `None` where there is none.
+    /// The object was read; `None` if it does not exist.
     Found(Option<Object>),
-    /// The write took effect and gave the object this version.
+    /// The write took effect.
     Written {
-        /// Version after the write.
+        /// Version of the object after the write.
         version: Version,
     },
-    /// The write did not take effect: another version stands.
+    /// The write did not take effect, because the object has another version. Holds the object, or
+    /// `None` if it does not exist.
     Conflict(Option<Object>),
-    /// No answer. A write may or may not have taken effect, now or later.
+    /// No answer was received. A write may or may not have taken effect, and may still do so.
     Lost,
 }
--- a/crates/damaskstile-core/src/target.rs
+++ b/crates/damaskstile-core/src/target.rs
@@ -1,10 +1,10 @@
-//! `target` describes targets: who they are, and what is known of their load.
+//! Descriptions of targets and their load.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{DataCentreId, ServiceId, TargetId};
 
-/// `TargetInfo` says where a target is and what it serves, from the platform's list.
+/// `TargetInfo` is the entry of a target in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetInfo {
@@ -12,25 +12,25 @@
     pub target: TargetId,
     /// Address, as IP and port.
     pub address: String,
-    /// Service that it serves.
+    /// Service that the target belongs to.
     pub service: ServiceId,
-    /// Data centre that it stands in.
+    /// Data centre that the target runs in.
     #[serde(default)]
     pub data_centre: DataCentreId,
-    /// Whether the platform is taking the target away.
+    /// Whether the platform is removing the target.
     #[serde(default)]
     pub is_leaving: bool,
 }
 
-/// `TargetStatus` is the target's own word on itself.
+/// `TargetStatus` is the status that a target reports of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetStatus {
     /// Whether the target is leaving.
     pub is_leaving: bool,
-    /// Requests running or queued there when the report was made.
+    /// Number of requests running or queued at the target when the report was made.
     pub in_flight_requests: u64,
-    /// Requests that it runs at a time.
+    /// Maximum number of requests that the target runs concurrently.
     pub slots_requests: u64,
     /// Age of the report when it arrived, in milliseconds.
     pub age_ms: u64,
--- a/crates/damaskstile-core/src/target_identity.rs
+++ b/crates/damaskstile-core/src/target_identity.rs
@@ -1,22 +1,22 @@
-//! `target_identity` tells one run of a target from all others.
+//! Identity of a target across restarts.
 
 use crate::ids::{TargetId, TargetIncarnation};
 
-/// `TargetIdentity` names a target and its incarnation.
+/// `TargetIdentity` is the name of a target together with its incarnation.
 ///
-/// A target may start again under the name that it had. It then knows nothing of what it held
-/// before, so what was learnt of one incarnation must not be taken for true of the next.
+/// A target may restart under the same name. It then has lost its previous state, so what is known
+/// of one incarnation must not be applied to the next.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TargetIdentity {
     /// Name of the target.
     pub target: TargetId,
-    /// Incarnation; `None` where the target does not state its start. `None` counts as older than
-    /// any that is stated, and as equal to itself.
+    /// Incarnation; `None` if the target does not report its start time. `None` is ordered before
+    /// any reported incarnation, and equals itself.
     pub incarnation: Option<TargetIncarnation>,
 }
 
 impl TargetIdentity {
-    /// Makes an identity.
+    /// Creates an identity.
     ///
     /// ```
     /// use damaskstile_core::target_identity::TargetIdentity;
--- a/crates/damaskstile-core/src/time.rs
+++ b/crates/damaskstile-core/src/time.rs
@@ -1,8 +1,8 @@
-//! `time` turns times into numbers, as the store and peers have them.
+//! Conversion of times to the representation used in the store and on the wire.
 
 use std::time::Duration;
 
-/// Returns a time as milliseconds, as the store and peers have it.
+/// Returns a time in milliseconds, as used in the store and on the wire. Saturates at `u64::MAX`.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/damaskstile-core/tests/events.rs
+++ b/crates/damaskstile-core/tests/events.rs
@@ -1,9 +1,9 @@
-//! Holds the catalogue of log events to the code.
+//! Tests that the documented catalogue of log events matches the code.
 
 use damaskstile_core::log::EventCode;
 
 #[test]
-fn the_catalogue_lists_every_event_as_the_code_has_it() {
+fn the_documented_catalogue_matches_the_event_codes() {
     // Arrange
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/EVENTS.md");
     let catalogue = std::fs::read_to_string(path).unwrap();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn no_number_is_given_twice() {
+fn event_numbers_are_unique() {
     let mut numbers: Vec<u16> = EventCode::ALL.iter().map(|code| code.number()).collect();
     numbers.sort_unstable();
     numbers.dedup();
--- a/crates/damaskstile-core/tests/frames.rs
+++ b/crates/damaskstile-core/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Tests of the frames between instances: whatever comes in, nothing breaks.
+//! Tests of the frames between instances, with valid and with arbitrary input.
 
 use assert_matches::assert_matches;
 use damaskstile_core::errors::Error;
@@ -71,18 +71,18 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_bytes_give_a_frame_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_yield_a_frame_or_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode_frame(&bytes);
     }
 
     #[test]
-    fn a_message_comes_out_as_it_went_in(message in message(), incarnation in any::<u64>()) {
+    fn a_message_round_trips_through_a_frame(message in message(), incarnation in any::<u64>()) {
         let bytes = encode_frame("one", incarnation, message.clone());
         prop_assert_eq!(decode_frame(&bytes), Ok(("one".to_owned(), incarnation, message)));
     }
 
     #[test]
-    fn a_cut_frame_is_never_another_sender(message in message(), cut in 0..64_usize) {
+    fn a_cut_frame_never_names_another_sender(message in message(), cut in 0..64_usize) {
         let bytes = encode_frame("one", 1, message);
         let cut = cut.min(bytes.len());
         if let Ok((from, _, _)) = decode_frame(&bytes[..cut]) {
