--- a/crates/damaskstile-core/src/codes.rs
+++ b/crates/damaskstile-core/src/codes.rs
@@ -2,7 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// `RefusalCode` tells a caller why its request was not answered. Existing codes never change.
+/// `RefusalCode` is the reason, sent to the caller, for which a request was not answered. Codes are
+/// stable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCode {
--- a/crates/damaskstile-core/src/request.rs
+++ b/crates/damaskstile-core/src/request.rs
@@ -31,7 +31,7 @@
     pub key: Option<RequestKey>,
     /// Service that is addressed.
     pub service: ServiceId,
-    /// Hash of the body, which tells a repeated request from a key that is reused for another one.
+    /// Hash of the body, which distinguishes a repeated request from a key reused for another one.
     pub body_hash: u64,
     /// Size of the prompt in bytes; 0 for plain services.
     pub prompt_bytes: u64,
--- a/crates/damaskstile-requests/src/claim_op.rs
+++ b/crates/damaskstile-requests/src/claim_op.rs
@@ -12,7 +12,7 @@
     Claim {
         /// Key of the request.
         key: RequestKey,
-        /// The claim.
+        /// Claim to store.
         claim: Claim,
     },
     /// Sets the state of a claim, if the run holds it.
--- a/crates/damaskstile-requests/src/suspect.rs
+++ b/crates/damaskstile-requests/src/suspect.rs
@@ -6,7 +6,8 @@
 use crate::suspect_report::SuspectWord;
 use crate::target_crash::TargetCrash;
 
-/// Time for which a crash counts against a content.
+/// Time for which a crash counts against a content. A quarantined content is refused until too few
+/// of its crashes are younger.
 pub(crate) const CRASH_RETENTION: Duration = Duration::from_mins(10);
 /// Time for which a completed run of a content is remembered. Reports that arrive within it of
 /// crashes noticed before the completion are ignored.
--- a/crates/damaskstile-requests/src/target_crash.rs
+++ b/crates/damaskstile-requests/src/target_crash.rs
@@ -23,12 +23,12 @@
     /// use std::time::Duration;
     /// use damaskstile_core::prelude::TargetIdentity;
     /// use damaskstile_requests::TargetCrash;
-    /// let end = |at_ms| TargetCrash {
+    /// let crash = |at_ms| TargetCrash {
     ///     target: TargetIdentity::new("t", None),
     ///     at: Duration::from_millis(at_ms),
     /// };
-    /// assert!(end(1_000).is_same(&end(1_003)));
-    /// assert!(!end(1_000).is_same(&end(4_000)));
+    /// assert!(crash(1_000).is_same(&crash(1_003)));
+    /// assert!(!crash(1_000).is_same(&crash(4_000)));
     /// ```
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
--- a/crates/damaskstile-requests/tests/suspects.rs
+++ b/crates/damaskstile-requests/tests/suspects.rs
@@ -11,7 +11,7 @@
 /// Contents of one caller with crashes: more than are stored.
 const MANY_CONTENTS: u64 = 2_000;
 
-fn is_barred(suspects: &Suspects, now: Duration, content: &Content<'_>) -> bool {
+fn is_quarantined(suspects: &Suspects, now: Duration, content: &Content<'_>) -> bool {
     suspects.barred_for(now, content).is_some()
 }
 
@@ -36,9 +36,9 @@
         account: "another",
         ..crasher
     };
-    assert!(is_barred(&suspects, now, &crasher));
-    assert!(!is_barred(&suspects, now, &of_another));
-    assert!(!is_barred(&suspects, now, &content("as long")));
+    assert!(is_quarantined(&suspects, now, &crasher));
+    assert!(!is_quarantined(&suspects, now, &of_another));
+    assert!(!is_quarantined(&suspects, now, &content("as long")));
 }
 
 #[test]
@@ -61,8 +61,8 @@
 
     // Assert: a caller that retries after the stated time is not refused again.
     let later = at_ms(4_000) + left;
-    assert!(!is_barred(&suspects, later, &content("crasher")));
-    assert!(is_barred(
+    assert!(!is_quarantined(&suspects, later, &content("crasher")));
+    assert!(is_quarantined(
         &suspects,
         later.saturating_sub(at_ms(1)),
         &content("crasher")
@@ -83,9 +83,9 @@
     crash(&mut own, 3_000, "lookup", "d");
 
     // Assert
-    assert!(!is_barred(&own, at_ms(3_100), &content("lookup")));
+    assert!(!is_quarantined(&own, at_ms(3_100), &content("lookup")));
     merge_reports_of(&mut peer, &own, at_ms(3_100));
-    assert!(!is_barred(&peer, at_ms(3_100), &content("lookup")));
+    assert!(!is_quarantined(&peer, at_ms(3_100), &content("lookup")));
 }
 
 #[test]
@@ -102,7 +102,7 @@
     }
 
     // Assert
-    assert!(!is_barred(&suspects, at_ms(1_100), &content("lookup")));
+    assert!(!is_quarantined(&suspects, at_ms(1_100), &content("lookup")));
 }
 
 #[test]
@@ -126,7 +126,7 @@
     crash(&mut suspects, 1_700, "crasher", "one more");
 
     // Assert
-    assert!(is_barred(&suspects, at_ms(1_701), &content("crasher")));
+    assert!(is_quarantined(&suspects, at_ms(1_701), &content("crasher")));
 }
 
 #[test]
@@ -136,7 +136,7 @@
 
     // Act: two instances notice each crash.
     for ms in [1_000, 1_004, 4_000, 4_003, 7_000, 7_002] {
-        assert!(!is_barred(&suspects, at_ms(ms), &content("crasher")));
+        assert!(!is_quarantined(&suspects, at_ms(ms), &content("crasher")));
         crash(&mut suspects, ms, "crasher", "t");
         if ms == 7_000 {
             break;
@@ -144,7 +144,7 @@
     }
 
     // Assert
-    assert!(is_barred(&suspects, at_ms(7_001), &content("crasher")));
+    assert!(is_quarantined(&suspects, at_ms(7_001), &content("crasher")));
 }
 
 #[test]
@@ -158,14 +158,14 @@
         crash(&mut suspects, ms, "crasher", target);
         crash(&mut suspects, ms, "beside", target);
     }
-    assert!(is_barred(&suspects, at_ms(3_001), &content("beside")));
+    assert!(is_quarantined(&suspects, at_ms(3_001), &content("beside")));
 
     // Act: only the crashing content ran on a fourth target that crashes.
     crash(&mut suspects, 3_300, "crasher", "d");
 
     // Assert
-    assert!(!is_barred(&suspects, at_ms(3_301), &content("beside")));
-    assert!(is_barred(&suspects, at_ms(3_301), &content("crasher")));
+    assert!(!is_quarantined(&suspects, at_ms(3_301), &content("beside")));
+    assert!(is_quarantined(&suspects, at_ms(3_301), &content("crasher")));
 }
 
 #[test]
@@ -190,7 +190,7 @@
     // Assert
     let (known, _) = suspects.counts();
     assert!(known < usize::try_from(MANY_CONTENTS).unwrap());
-    assert!(is_barred(&suspects, at_ms(4_001), &content("crasher")));
+    assert!(is_quarantined(&suspects, at_ms(4_001), &content("crasher")));
 }
 
 #[test]
--- a/crates/damaskstile-requests/tests/suspects_fleet.rs
+++ b/crates/damaskstile-requests/tests/suspects_fleet.rs
@@ -152,11 +152,11 @@
     }
 
     fn send(&mut self, now_ms: u64, instance: usize, sends_left: usize) {
-        let is_barred = self.suspects[instance].barred_for(at_ms(now_ms), &content(CRASHING));
+        let is_quarantined = self.suspects[instance].barred_for(at_ms(now_ms), &content(CRASHING));
         let available: Vec<usize> = (0..self.targets.len())
             .filter(|target| self.targets[*target].1 <= now_ms)
             .collect();
-        if is_barred.is_some() || available.is_empty() || sends_left == 0 {
+        if is_quarantined.is_some() || available.is_empty() || sends_left == 0 {
             return;
         }
         let target = available[self.random.index(available.len())];
--- a/crates/damaskstile-routes/tests/catalogue.rs
+++ b/crates/damaskstile-routes/tests/catalogue.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn inconsistent_catalogues_are_refused() {
+fn inconsistent_catalogues_are_refused_as_a_whole() {
     let duplicates = vec![route("a", "/a/"), route("b", "/a/")];
     assert_matches!(
         catalogue(1, duplicates, vec![]),
