--- a/crates/damaskstile-fleet/src/fleet_clock.rs
+++ b/crates/damaskstile-fleet/src/fleet_clock.rs
@@ -1,14 +1,15 @@
-//! `fleet_clock` finds the fleet's time: the middle of what the instances' clocks show.
+//! The fleet clock: the median of the instances' clocks.
 
 use damaskstile_core::prelude::*;
 
-/// Age past which what a peer said of its clock is not used: its clock may have stepped since.
-const HEARD_AGE: Duration = Duration::from_secs(2);
-/// Part of the instances that must be heard, as a fraction: steps of up to three clocks in eight
-/// must not move the middle.
-const HEARD_PART: (usize, usize) = (3, 4);
-/// Instances that are enough in a large fleet, where peers are heard by chance.
-const HEARD_ENOUGH: usize = 12;
+/// Age from which on a peer's reading is ignored, because its clock may have stepped since.
+const READING_AGE_MAX: Duration = Duration::from_secs(2);
+/// Fraction of the instances whose readings are required. Steps of up to three clocks in eight must
+/// not move the median.
+const REQUIRED_FRACTION: (usize, usize) = (3, 4);
+/// Number of readings that suffice in a large fleet, where each instance receives those of a random
+/// subset of its peers.
+const REQUIRED_READINGS_MAX: usize = 12;
 
 #[derive(Debug, Clone, Copy)]
 struct Reading {
@@ -16,24 +17,26 @@
     at: Duration,
 }
 
-/// `FleetClock` finds the fleet's time: the middle of what the instances' clocks show.
+/// `FleetClock` computes the fleet clock: the median of the instances' clocks.
 ///
-/// The time of day of some machines may step by seconds at once. As long as the clocks of fewer
-/// than half of those heard step together, the middle is right to the time a message takes.
+/// The time of day of some machines may step by seconds at once. As long as fewer than half of the
+/// clocks that were read step together, the median is accurate to within the transit time of a
+/// message.
 #[derive(Debug, Clone, Default)]
 pub struct FleetClock {
     readings: BTreeMap<InstanceId, Reading>,
 }
 
 impl FleetClock {
-    /// Takes in what a peer's clock showed.
+    /// Records a reading of a peer's clock, in milliseconds since the Unix epoch.
     pub fn hear(&mut self, now: Duration, peer: &str, unix_ms: u64) {
         let reading = Reading { unix_ms, at: now };
         self.readings.insert(peer.to_owned(), reading);
     }
 
-    /// Returns the fleet's time as its earlier and its later middle; `None` where too few of the
-    /// instances were heard.
+    /// Returns the lower and the upper median of the clocks, in milliseconds since the Unix epoch;
+    /// `None` if too few instances have a recent reading. The two differ only for an even number of
+    /// clocks.
     ///
     /// ```
     /// use std::time::Duration;
@@ -47,23 +50,25 @@
     /// ```
     #[must_use]
     pub fn middle(&self, now: Duration, own_unix_ms: u64, instances: usize) -> Option<(u64, u64)> {
-        let mut shown: Vec<u64> = self
+        let mut clocks_unix_ms: Vec<u64> = self
             .readings
             .values()
-            .filter(|reading| now.saturating_sub(reading.at) < HEARD_AGE)
+            .filter(|reading| now.saturating_sub(reading.at) < READING_AGE_MAX)
             .map(|reading| {
-                let since = now.saturating_sub(reading.at);
-                reading.unix_ms + damaskstile_core::time::unix_ms(since)
+                let age = now.saturating_sub(reading.at);
+                reading.unix_ms + damaskstile_core::time::unix_ms(age)
             })
             .collect();
-        shown.push(own_unix_ms);
-        let (part, of) = HEARD_PART;
-        let needed = (instances * part).div_ceil(of).min(HEARD_ENOUGH);
-        if shown.len() < needed {
+        clocks_unix_ms.push(own_unix_ms);
+        let (numerator, denominator) = REQUIRED_FRACTION;
+        let needed = (instances * numerator)
+            .div_ceil(denominator)
+            .min(REQUIRED_READINGS_MAX);
+        if clocks_unix_ms.len() < needed {
             return None;
         }
-        shown.sort_unstable();
-        let last = shown.len() - 1;
-        Some((shown[last / 2], shown[last.div_ceil(2)]))
+        clocks_unix_ms.sort_unstable();
+        let last = clocks_unix_ms.len() - 1;
+        Some((clocks_unix_ms[last / 2], clocks_unix_ms[last.div_ceil(2)]))
     }
 }
--- a/crates/damaskstile-requests/src/claims.rs
+++ b/crates/damaskstile-requests/src/claims.rs
@@ -1,4 +1,4 @@
-//! `claims` carries claims into a stored table, many at a time.
+//! Batched writing of claims to the stored claim table of a shard.
 
 use damaskstile_core::prelude::*;
 
@@ -6,49 +6,51 @@
 use crate::claim_op::ClaimOp;
 use crate::claim_table::ClaimTable;
 
-/// Wait after a lost answer before the table is read again.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Time that the state of a claim waits for a write that it can go along with.
-const STATE_WAIT: Duration = Duration::from_millis(300);
-/// Claims that one table may hold, so that its value stays well below 1 MB.
+/// Delay before the table is read again after the store's answer was lost.
+const REREAD_DELAY: Duration = Duration::from_millis(500);
+/// Time for which a change of a claim's state waits for a write that it can join.
+const STATE_WRITE_DELAY: Duration = Duration::from_millis(300);
+/// Maximum number of claims in a table. Keeps the stored value well below 1 MB.
 const TABLE_CLAIMS_MAX: usize = 5_000;
-/// Room for keys that are younger than the clock allows for, and for clocks that differ.
+/// Tolerance for keys with a time in the future and for clocks that differ between instances.
 const CLOCK_MARGIN: Duration = Duration::from_mins(5);
 
-/// `ClaimEffect` is one output of a shard.
+/// `ClaimEffect` is one output of a shard, to be carried out by its host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEffect {
-    /// Read the table.
+    /// Read the table from the store.
     Read,
-    /// Update the table.
+    /// Write the table to the store.
     Write {
-        /// Version that must stand; 0 creates the table.
+        /// Version that the stored table must have; 0 creates the table.
         expected_version: Version,
-        /// New value.
+        /// Table to store, as JSON.
         value: String,
     },
-    /// The run has the sole right to send.
+    /// The run holds the claim and may send the request.
     Won {
-        /// The run.
+        /// Id of the run.
         run: RunId,
     },
-    /// The key was claimed before.
+    /// Another run holds the claim on the key.
     Repeated {
-        /// The run that asked.
+        /// Run that asked for the claim.
         run: RunId,
-        /// The claim that stands.
+        /// The existing claim.
         claim: Claim,
     },
     /// The claim could not be stored; the run must not send.
     Failed {
-        /// The run.
+        /// Id of the run.
         run: RunId,
     },
     /// Write to the log.
     Log(LogEvent),
 }
 
-/// `ClaimShard` carries claims of one shard of keys. All that wait go in one write.
+/// `ClaimShard` writes the claims of one shard of request keys to the store.
+///
+/// It makes one store call at a time. All changes that wait in the meantime go into the next write.
 #[derive(Debug)]
 pub struct ClaimShard {
     instance: InstanceId,
@@ -57,15 +59,15 @@
     pending: Vec<ClaimOp>,
     in_flight: Vec<ClaimOp>,
     candidate: Option<ClaimTable>,
-    is_called: bool,
-    must_write: bool,
+    is_store_call_pending: bool,
+    must_change_version: bool,
     retry_at: Option<Duration>,
-    /// When states of claims are stored at the latest, if no new claim takes them along.
-    due_at: Option<Duration>,
+    /// Deadline for storing changes of state, in case no new claim causes a write before.
+    state_write_due_at: Option<Duration>,
 }
 
 impl ClaimShard {
-    /// Makes a shard that knows nothing of its table.
+    /// Creates a shard that has not read its table yet.
     #[must_use]
     pub fn new(instance: &str, retention: Duration) -> Self {
         Self {
@@ -75,14 +77,16 @@
             pending: Vec::new(),
             in_flight: Vec::new(),
             candidate: None,
-            is_called: false,
-            must_write: false,
+            is_store_call_pending: false,
+            must_change_version: false,
             retry_at: None,
-            due_at: None,
+            state_write_due_at: None,
         }
     }
 
-    /// Asks for the sole right to send a request.
+    /// Claims the sole right to send a request for a run.
+    ///
+    /// Fails at once while the shard waits to read its table again after a lost answer.
     pub fn claim(
         &mut self,
         now: Duration,
@@ -102,10 +106,10 @@
                 state: ClaimState::Claimed,
             },
         });
-        self.pump(now, fx);
+        self.start_next_call(now, fx);
     }
 
-    /// Stores how a claimed request ended.
+    /// Stores the final state of a claimed request.
     pub fn finish(
         &mut self,
         now: Duration,
@@ -119,11 +123,12 @@
             run: run.clone(),
             state,
         });
-        self.due_at.get_or_insert(now + STATE_WAIT);
-        self.pump(now, fx);
+        self.state_write_due_at
+            .get_or_insert(now + STATE_WRITE_DELAY);
+        self.start_next_call(now, fx);
     }
 
-    /// Gives up the right of a run that was not sent.
+    /// Releases the claim of a run that was not sent.
     pub fn release(
         &mut self,
         now: Duration,
@@ -135,46 +140,46 @@
             key: key.clone(),
             run: run.clone(),
         });
-        self.pump(now, fx);
+        self.start_next_call(now, fx);
     }
 
-    /// Does what is due.
+    /// Starts the next store call if one is due.
     pub fn tick(&mut self, now: Duration, fx: &mut Vec<ClaimEffect>) {
-        self.pump(now, fx);
+        self.start_next_call(now, fx);
     }
 
-    /// Returns the time that the shard wants to be woken at, if any.
+    /// Returns the time of the next due [`tick`](Self::tick), if any.
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
-        if self.is_called || (self.pending.is_empty() && self.in_flight.is_empty()) {
+        if self.is_store_call_pending || (self.pending.is_empty() && self.in_flight.is_empty()) {
             return None;
         }
-        self.retry_at.or(self.due_at)
+        self.retry_at.or(self.state_write_due_at)
     }
 
-    /// Tells whether nothing waits for the store.
+    /// Returns whether no change waits to be stored.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.pending.is_empty() && self.in_flight.is_empty()
     }
 
-    fn pump(&mut self, now: Duration, fx: &mut Vec<ClaimEffect>) {
-        if self.is_called || self.retry_at.is_some_and(|at| now < at) {
+    fn start_next_call(&mut self, now: Duration, fx: &mut Vec<ClaimEffect>) {
+        if self.is_store_call_pending || self.retry_at.is_some_and(|at| now < at) {
             return;
         }
         let is_urgent = self
             .pending
             .iter()
             .any(|op| !matches!(op, ClaimOp::Finish { .. }));
-        let is_due = self.due_at.is_some_and(|at| at <= now);
+        let is_due = self.state_write_due_at.is_some_and(|at| at <= now);
         if self.in_flight.is_empty() && (is_urgent || is_due) {
             self.in_flight = std::mem::take(&mut self.pending);
-            self.due_at = None;
+            self.state_write_due_at = None;
         }
         if self.in_flight.is_empty() {
             return;
         }
-        self.is_called = true;
+        self.is_store_call_pending = true;
         if self.view.is_some() {
             self.write(now, fx);
         } else {
@@ -189,7 +194,7 @@
         let mut candidate = table.clone();
         let oldest = now.saturating_sub(self.retention + CLOCK_MARGIN);
         candidate.forget_before(u64::try_from(oldest.as_millis()).unwrap_or(u64::MAX));
-        let mut is_changed = self.must_write;
+        let mut is_changed = self.must_change_version;
         for op in &self.in_flight {
             let is_new = matches!(op, ClaimOp::Claim { .. });
             if is_new && candidate.claims.len() >= TABLE_CLAIMS_MAX {
@@ -200,12 +205,12 @@
             is_changed |= candidate.claims.len() != before || !is_new;
         }
         if !is_changed {
-            // All keys were claimed before; the table says so and needs no write.
-            self.is_called = false;
+            // All keys are already claimed in the table, so no write is needed.
+            self.is_store_call_pending = false;
             self.candidate = None;
-            self.committed(fx);
-            // Claims that came meanwhile would wait for a store answer that never comes.
-            self.pump(now, fx);
+            self.report_outcomes(fx);
+            // No store call is pending, so no answer would start the claims queued in the meantime.
+            self.start_next_call(now, fx);
             return;
         }
         candidate.writes += 1;
@@ -218,17 +223,17 @@
         }
     }
 
-    /// Takes the store's answer.
+    /// Handles the store's answer to the pending call.
     pub fn on_store(&mut self, now: Duration, answer: StoreAnswer, fx: &mut Vec<ClaimEffect>) {
-        self.is_called = false;
+        self.is_store_call_pending = false;
         match answer {
             StoreAnswer::Written { version } => {
                 self.retry_at = None;
-                self.must_write = false;
+                self.must_change_version = false;
                 if let Some(table) = self.candidate.take() {
                     self.view = Some((version, table));
                 }
-                self.committed(fx);
+                self.report_outcomes(fx);
             }
             StoreAnswer::Found(object) | StoreAnswer::Conflict(object) => {
                 self.retry_at = None;
@@ -236,7 +241,7 @@
             }
             StoreAnswer::Lost => self.answer_lost(now, fx),
         }
-        self.pump(now, fx);
+        self.start_next_call(now, fx);
     }
 
     fn read_table(&mut self, now: Duration, object: Option<Object>, fx: &mut Vec<ClaimEffect>) {
@@ -255,8 +260,8 @@
         }
     }
 
-    /// Draws the conclusions once the table in view holds all that was in flight.
-    fn committed(&mut self, fx: &mut Vec<ClaimEffect>) {
+    /// Reports the outcome of the claims in flight, once the current table reflects them all.
+    fn report_outcomes(&mut self, fx: &mut Vec<ClaimEffect>) {
         let Some((_, table)) = &self.view else {
             return;
         };
@@ -266,25 +271,26 @@
             };
             let run = claim.run;
             match table.claims.get(&key) {
-                Some(standing) if standing.run == run => fx.push(ClaimEffect::Won { run }),
-                Some(standing) => fx.push(ClaimEffect::Repeated {
+                Some(existing) if existing.run == run => fx.push(ClaimEffect::Won { run }),
+                Some(existing) => fx.push(ClaimEffect::Repeated {
                     run,
-                    claim: standing.clone(),
+                    claim: existing.clone(),
                 }),
                 None => fx.push(ClaimEffect::Failed { run }),
             }
         }
     }
 
-    /// Refuses all claims whose write may or may not have taken effect.
+    /// Fails all claims whose write may or may not have taken effect.
     ///
-    /// The caller gets its answer at once: nothing was sent, nor will be. The claim may stand in
-    /// the store, or get there late; so it is given up by a write that also outdates the late one.
+    /// The caller is answered at once, since its request was not sent and will not be. The lost
+    /// write may have stored the claim, or may still do so. The claim is therefore released by a
+    /// further write, which also changes the version and so makes a delayed write fail.
     fn answer_lost(&mut self, now: Duration, fx: &mut Vec<ClaimEffect>) {
         self.view = None;
         self.candidate = None;
-        self.must_write = true;
-        self.retry_at = Some(now + RETRY_AFTER);
+        self.must_change_version = true;
+        self.retry_at = Some(now + REREAD_DELAY);
         let mut kept = Vec::new();
         for op in self.in_flight.drain(..).chain(self.pending.drain(..)) {
             match op {
--- a/crates/damaskstile-requests/src/fingerprint.rs
+++ b/crates/damaskstile-requests/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! `fingerprint` names what a call asks for, the same at every instance and for every attempt.
+//! Fingerprints of contents, equal at every instance and for every attempt of a call.
 
 use std::fmt;
 
@@ -7,23 +7,24 @@
 
 use crate::content::Content;
 
-/// Bytes of the digest that are kept: too many for a caller to find two contents that share them.
+/// Length of the truncated digest, in bytes: enough that a caller cannot find a collision.
 const DIGEST_BYTES: usize = 16;
-/// Bytes that are shown in logs.
-const SHOWN_BYTES: usize = 6;
+/// Length of the digest prefix displayed in logs, in bytes.
+const DISPLAYED_BYTES: usize = 6;
 
-/// `Fingerprint` names what a call asks for.
+/// `Fingerprint` identifies the content of a call.
 ///
-/// Every attempt of a caller has an id of its own, so ids do not tell that the same is asked for
-/// once more. The account is part of the name: no caller can make calls of another account bear it.
+/// Each attempt of a caller has its own id, so repeats of the same content cannot be recognised by
+/// id. The fingerprint covers the account, so that no caller can produce the fingerprint of another
+/// account's calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fingerprint {
-    outline: u64,
+    coarse_hash: u64,
     digest: [u8; DIGEST_BYTES],
 }
 
 impl Fingerprint {
-    /// Names a content.
+    /// Computes the fingerprint of a content.
     ///
     /// ```
     /// use damaskstile_requests::{Content, Fingerprint};
@@ -49,15 +50,15 @@
         let mut digest = [0; DIGEST_BYTES];
         digest.copy_from_slice(&hasher.finalize()[..DIGEST_BYTES]);
         Self {
-            outline: Self::outline_of(content),
+            coarse_hash: Self::coarse_hash_of(content),
             digest,
         }
     }
 
-    /// Returns a name of a content that is found without reading its body. Contents that differ may
-    /// share it.
+    /// Returns a hash of everything but the body, of which only the length is included. Contents
+    /// that differ may share it.
     #[must_use]
-    pub fn outline_of(content: &Content<'_>) -> u64 {
+    pub fn coarse_hash_of(content: &Content<'_>) -> u64 {
         let length = content.body.len().to_string();
         stable_hash(&[
             content.account,
@@ -68,24 +69,24 @@
         ])
     }
 
-    /// Returns the first and the last of all names that share an outline.
-    pub(crate) fn range_of(outline: u64) -> std::ops::RangeInclusive<Self> {
+    /// Returns the range of all fingerprints with the given coarse hash.
+    pub(crate) fn range_of(coarse_hash: u64) -> std::ops::RangeInclusive<Self> {
         let with = |byte| Self {
-            outline,
+            coarse_hash,
             digest: [byte; DIGEST_BYTES],
         };
         with(0)..=with(u8::MAX)
     }
 
-    /// Returns the name as bytes, as peers tell it to each other.
+    /// Encodes the fingerprint as peers exchange it.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
-        let mut bytes = self.outline.to_be_bytes().to_vec();
+        let mut bytes = self.coarse_hash.to_be_bytes().to_vec();
         bytes.extend(self.digest);
         bytes
     }
 
-    /// Reads a name; `None` where the bytes are none.
+    /// Decodes a fingerprint; `None` if the bytes are not of the right length.
     ///
     /// ```
     /// use damaskstile_requests::Fingerprint;
@@ -93,9 +94,9 @@
     /// ```
     #[must_use]
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
-        let (outline, digest) = bytes.split_first_chunk()?;
+        let (coarse_hash, digest) = bytes.split_first_chunk()?;
         Some(Self {
-            outline: u64::from_be_bytes(*outline),
+            coarse_hash: u64::from_be_bytes(*coarse_hash),
             digest: digest.try_into().ok()?,
         })
     }
@@ -103,8 +104,8 @@
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let shown = self.digest.iter().take(SHOWN_BYTES);
-        shown
+        let displayed = self.digest.iter().take(DISPLAYED_BYTES);
+        displayed
             .into_iter()
             .try_for_each(|byte| write!(f, "{byte:02x}"))
     }
--- a/crates/damaskstile-requests/src/lib.rs
+++ b/crates/damaskstile-requests/src/lib.rs
@@ -1,4 +1,5 @@
-//! `damaskstile-requests` follows requests: their claims, their retries and their answers.
+//! Request handling of an instance: claims of non-idempotent requests, retries, assembly of
+//! answers, and quarantine of contents that crash targets.
 
 pub mod answer;
 pub mod attempts;
@@ -11,9 +12,9 @@
 pub mod retries;
 pub mod send_end;
 mod suspect;
-pub mod suspect_word;
+pub mod suspect_report;
 pub mod suspects;
-pub mod target_end;
+pub mod target_crash;
 pub mod verdicts;
 
 pub use answer::{Assembled, Assembly};
@@ -26,7 +27,7 @@
 pub use fingerprint::Fingerprint;
 pub use retries::RetryBudget;
 pub use send_end::SendEnd;
-pub use suspect_word::SuspectWord;
+pub use suspect_report::SuspectWord;
 pub use suspects::Suspects;
-pub use target_end::TargetEnd;
+pub use target_crash::TargetCrash;
 pub use verdicts::Verdicts;
