--- a/crates/damaskstile-gateway/src/answer.rs
+++ b/crates/damaskstile-gateway/src/answer.rs
@@ -1,36 +1,36 @@
-//! `answer` holds what the decisions need of an answer's head, in the project's own words.
+//! Head of a target's answer, independent of the dialect of its headers.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::NamedLimit;
 
 use crate::handling::Handling;
 
-/// `Load` is a target's report of its calls.
+/// Load of a target as it reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Calls that run.
+    /// Calls being executed.
     pub running: u64,
-    /// Calls that wait.
+    /// Calls queued.
     pub waiting: u64,
 }
 
-/// `AnswerHead` is what a target says of an answer, besides its status.
+/// What the headers of a target's answer say.
 #[derive(Debug, Clone, Default)]
 pub struct AnswerHead {
-    /// Name of the attempt that it answers.
+    /// Id of the attempt that the answer belongs to.
     pub id: Option<String>,
-    /// Whether the target vouches for the answer as its own.
+    /// Whether the target has signed the answer as its own.
     pub is_signed: bool,
-    /// Whether the call ran.
+    /// Whether the call was executed.
     pub handling: Handling,
-    /// Whether the target says that it leaves.
+    /// Whether the target announces that it is leaving.
     pub is_leaving: bool,
-    /// Time for which the target wants nothing from this instance.
+    /// Backoff: time for which the target wants no calls from this instance.
     pub pause: Option<Duration>,
-    /// The limit of calls that the target names.
+    /// Rate limit that the target advertises.
     pub named_limit: NamedLimit,
     /// The target's load.
     pub load: Option<Load>,
-    /// Time for which the connection may be used again; `None` where it may not.
+    /// Time for which the connection may be reused; `None` if it must be closed.
     pub reuse_for: Option<Duration>,
 }
--- a/crates/damaskstile-gateway/src/backlog.rs
+++ b/crates/damaskstile-gateway/src/backlog.rs
@@ -1,22 +1,22 @@
-//! `backlog` is what waits to be done at a steady rate.
+//! Model of a queue that is served at a constant rate.
 
 use damaskstile_core::prelude::*;
 
-/// Time over which the share of the rate that is in use is taken.
+/// Time constant of the moving average of the share in use.
 const SHARE_SPAN: Duration = Duration::from_secs(2);
 
-/// `Backlog` is what waits to be done at a steady rate: bytes for a link, work for a processor.
+/// A queue that is served at a constant rate: bytes for a link, seconds of work for a processor.
 #[derive(Debug, Clone)]
 pub struct Backlog {
     per_s: f64,
     waiting: f64,
-    /// What was added lately; what is older counts less.
+    /// Amount added recently, with exponential decay.
     recent: f64,
     at: Duration,
 }
 
 impl Backlog {
-    /// Makes an empty backlog of what is done at a rate.
+    /// Creates an empty queue with its rate of service, in units a second.
     #[must_use]
     pub fn new(per_s: f64) -> Self {
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Adds to it.
+    /// Adds an amount to the queue.
     ///
     /// ```
     /// use std::time::Duration;
@@ -43,19 +43,19 @@
         self.recent += amount;
     }
 
-    /// Has it be done at another rate from now on.
+    /// Changes the rate of service from now on.
     pub fn set_rate(&mut self, now: Duration, per_s: f64) {
         self.pass(now);
         self.per_s = per_s.max(f64::MIN_POSITIVE);
     }
 
-    /// Returns how long what waits takes.
+    /// Returns the time needed to work off the queue.
     pub fn delay(&mut self, now: Duration) -> Duration {
         self.pass(now);
         Duration::try_from_secs_f64(self.waiting / self.per_s).unwrap_or(Duration::MAX)
     }
 
-    /// Returns the share of the rate that was in use lately.
+    /// Returns the share of the rate that was in use recently.
     pub fn share(&mut self, now: Duration) -> f64 {
         self.pass(now);
         self.recent / (self.per_s * SHARE_SPAN.as_secs_f64())
--- a/crates/damaskstile-gateway/src/broken_run.rs
+++ b/crates/damaskstile-gateway/src/broken_run.rs
@@ -1,4 +1,4 @@
-//! `broken_run` follows up a run whose connection broke.
+//! Follow-up of runs whose connection broke.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,11 @@
 use crate::state::Terms;
 use crate::target_ends::TargetState;
 
-/// `BrokenRun` is a run whose connection broke before its answer was whole.
+/// A run, with what is needed to follow it up if its connection breaks before the answer is
+/// complete.
 #[derive(Debug)]
 pub(crate) struct BrokenRun {
-    /// Where it ran.
+    /// The incarnation that it was sent to.
     target: TargetIdentity,
     /// The target's address.
     address: SocketAddr,
@@ -23,7 +24,7 @@
 }
 
 impl BrokenRun {
-    /// Names the run of a call that is sent to its choice now.
+    /// Describes the run of a call that is sent to `choice` now.
     pub(crate) fn of(choice: &Choice, sent_at: Duration) -> Self {
         Self {
             target: choice.identity(),
@@ -32,9 +33,9 @@
         }
     }
 
-    /// Finds out whether the target has ended, and notes what ran there. Whoever sends the call
-    /// again waits for this, or a call that ends its targets would be sent once more before it is
-    /// known as such.
+    /// Checks whether the target has ended, and records the call's content if so. A retry of the
+    /// call waits for this; otherwise content that crashes targets would be sent once more before
+    /// it is quarantined.
     pub(crate) async fn follow_up(&self, gateway: &Gateway, call: &Sendable, terms: &Terms) {
         let now = gateway.now();
         let state = gateway.ends.look(now, &self.target, self.address).await;
@@ -49,8 +50,8 @@
             ("ran_ms", &ran_ms),
         ];
         gateway.log(EventCode::RunBroken, &fields);
-        // A connection breaks for many reasons. Counted without a look, a few reset links would make
-        // calls suspect that did no harm.
+        // Connections break for many reasons. If every break counted without this check, a few
+        // reset links would make harmless calls suspect.
         if state == TargetState::Ended {
             let account = terms.account.as_deref().unwrap_or_default();
             gateway.note_end(content, account, self.target.clone());
--- a/crates/damaskstile-gateway/src/busy_times.rs
+++ b/crates/damaskstile-gateway/src/busy_times.rs
@@ -1,4 +1,4 @@
-//! `busy_times` counts the time that an instance spends on each of its duties.
+//! Processor time by background task.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,15 +7,15 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// `BusyTimes` counts the time that an instance spends on each of its duties. All of them share one
-/// thread, so what one takes is what all others wait for.
+/// Counts the processor time that each background task of an instance uses. All tasks share one
+/// thread, so the time that one uses delays all others.
 #[derive(Debug, Default)]
 pub struct BusyTimes {
     counts: Mutex<BTreeMap<&'static str, Duration>>,
 }
 
 impl BusyTimes {
-    /// Runs a duty and counts the time that it takes, without the time that it waits.
+    /// Runs a task and counts the time spent in its polls, without the time that it waits.
     pub async fn count<F: Future>(&self, duty: &'static str, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|context| {
@@ -27,7 +27,7 @@
         .await
     }
 
-    /// Counts time spent on a duty.
+    /// Adds time spent on a task.
     ///
     /// ```
     /// use std::time::Duration;
@@ -41,12 +41,12 @@
         *self.lock().entry(duty).or_default() += took;
     }
 
-    /// Returns the times so far, by duty.
+    /// Returns the total times by task.
     pub fn counts(&self) -> BTreeMap<&'static str, Duration> {
         self.lock().clone()
     }
 
-    /// Returns the milliseconds since earlier counts as one line: `callers:40,peers:3`.
+    /// Returns the milliseconds by task since `before`, as one line: `callers:40,peers:3`.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/damaskstile-gateway/src/call.rs
+++ b/crates/damaskstile-gateway/src/call.rs
@@ -1,38 +1,40 @@
-//! `call` holds what the decisions need of a call's head, in the project's own words.
+//! Heads of calls, as received from a caller and as sent to a target, independent of the dialect of
+//! their headers.
 
 use std::net::SocketAddr;
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::Work;
 
-/// `CallHead` is what a caller asks for, besides method, path and body.
+/// What a caller asks for in its headers, besides method, path and body.
 #[derive(Debug, Clone, Default)]
 pub struct CallHead {
-    /// The caller's name of this attempt.
+    /// The caller's id of this attempt.
     pub id: Option<String>,
     /// Bearer key.
     pub key: Option<String>,
-    /// Time that the caller will wait.
+    /// Time that the caller is willing to wait.
     pub time_limit: Option<Duration>,
-    /// Prompt and output, for calls to models.
+    /// Size of prompt and output, for calls to models.
     pub work: Option<Work>,
-    /// Last event that the caller has of an earlier answer.
+    /// Id of the last event that the caller has of an earlier answer.
     pub last_event: Option<u64>,
 }
 
-/// `SendHead` is what a target is told besides what the caller sent.
+/// What is added to the caller's headers when a call is sent to a target.
 #[derive(Debug, Clone)]
 pub struct SendHead<'a> {
-    /// Target that the call is meant for; any other must not run it.
+    /// Target that the call is meant for; any other must not execute it.
     pub target: &'a str,
     /// Client account; `None` for calls without one.
     pub account: Option<&'a str>,
-    /// Time that is left.
+    /// Time left until the call's deadline.
     pub time_left: Duration,
-    /// Rank of the call; 0 is the most urgent.
+    /// Priority of the call; 0 is the most urgent.
     pub priority: u8,
-    /// Target that is likely to keep more of the prompt, to fetch it from.
+    /// Target that probably caches a longer part of the prompt, from which the cache can be
+    /// fetched.
     pub fetch_from: Option<SocketAddr>,
-    /// Event after which the answer goes on; `None` to leave what the caller said.
+    /// Id of the event after which the answer resumes; `None` to keep the caller's header.
     pub resume_after: Option<u64>,
 }
--- a/crates/damaskstile-gateway/src/call_cost.rs
+++ b/crates/damaskstile-gateway/src/call_cost.rs
@@ -1,16 +1,16 @@
-//! `call_cost` learns how much of the processor's time a call takes.
+//! Estimate of the processor time that a call takes.
 
 use damaskstile_core::prelude::*;
 
 use crate::look::Look;
 
-/// Time after which what was seen counts a third as much. Calls last for seconds, and what they take
-/// is to be shared among as many as came in that time.
+/// Time constant of the exponential decay. Calls last for seconds, so their cost is averaged over
+/// the calls that arrived in that time.
 const MEMORY: Duration = Duration::from_secs(5);
-/// Calls from which on what they took together says what one takes.
+/// Minimum number of calls for an estimate.
 const CALLS_MIN: f64 = 20.0;
 
-/// `CallCost` learns how much of the processor's time a call takes, all of its events with it.
+/// Estimates the processor time that a call takes, including the work for all of its events.
 #[derive(Debug, Clone, Default)]
 pub struct CallCost {
     calls: f64,
@@ -20,7 +20,7 @@
 }
 
 impl CallCost {
-    /// Takes in a look, and how many calls came since the one before.
+    /// Adds a load sample and the number of calls since the previous one.
     pub fn note(&mut self, look: &Look, calls: f64) {
         let kept = (-look.span.as_secs_f64() / MEMORY.as_secs_f64()).exp();
         self.calls = self.calls * kept + calls;
@@ -29,7 +29,7 @@
         self.span_s = self.span_s * kept + look.span.as_secs_f64();
     }
 
-    /// Returns the seconds that a call takes; 0 while too few were seen.
+    /// Returns the processor time of a call in seconds; 0 while too few calls were counted.
     ///
     /// ```
     /// use std::time::Duration;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the part of the processor's time that all else takes.
+    /// Returns the share of the processor's time that all other work takes.
     #[must_use]
     pub fn otherwise(&self) -> f64 {
         if self.span_s > 0.0 {
--- a/crates/damaskstile-gateway/src/call_times.rs
+++ b/crates/damaskstile-gateway/src/call_times.rs
@@ -1,4 +1,5 @@
-//! `call_times` remembers how long the calls of each route lasted.
+//! Durations of recent calls by route, used to decide which calls can still finish during a
+//! shutdown.
 
 mod of_route;
 
@@ -6,19 +7,20 @@
 
 pub use of_route::RouteTimes;
 
-/// `CallTimes` remembers how long the calls of each route lasted, whole answers with them.
+/// Durations of recent calls by route, including the time to deliver the whole answer.
 ///
-/// A stop takes a call only if it can be expected to be over in time. Routes differ by a factor
-/// of a hundred in that, and only what was seen here tells them apart.
+/// During a shutdown a call is accepted only if it is expected to finish in time. Call durations
+/// differ by a factor of a hundred between routes, and only the durations observed on this instance
+/// show which routes are slow.
 #[derive(Debug, Clone, Default)]
 pub struct CallTimes {
     routes: BTreeMap<String, RouteTimes>,
 }
 
 impl CallTimes {
-    /// Notes a call that its target ended, or that reached its time limit.
+    /// Records the duration of a call that its target completed, or that reached its time limit.
     pub fn note(&mut self, route: &str, took: Duration) {
-        // Most calls find their route, and those need no name of their own.
+        // The route is almost always present, so its name is cloned only when it is first seen.
         if let Some(times) = self.routes.get_mut(route) {
             times.note(took);
         } else {
@@ -27,8 +29,8 @@
         }
     }
 
-    /// Tells whether a call of a route can be expected to be over within some time. Of a route
-    /// that was not seen nothing can be expected.
+    /// Returns whether a call of a route is expected to finish within `time`. Always false for a
+    /// route without recorded calls.
     ///
     /// ```
     /// use std::time::Duration;
@@ -44,7 +46,7 @@
         times.is_some_and(|times| times.is_over_within(time))
     }
 
-    /// Forgets the routes that are gone, so that the record does not grow for ever.
+    /// Drops routes that no longer exist, so that the map does not grow without bound.
     pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
         self.routes.retain(|route, _| is_there(route));
     }
--- a/crates/damaskstile-gateway/src/call_times/of_route.rs
+++ b/crates/damaskstile-gateway/src/call_times/of_route.rs
@@ -1,26 +1,28 @@
-//! `of_route` is a bounded record of how long the calls of one route lasted.
+//! Bounded histogram of the call durations of one route.
 
 use damaskstile_core::prelude::*;
 
-/// Of so many calls that a stop takes, one may last longer than the stop can wait.
+/// A call is accepted during a shutdown if at most one such call in this many is expected to
+/// outlast it.
 ///
-/// A call that is cut loses its answer, or the rest of it where it may be resumed. A refused one
-/// loses some milliseconds, and its answer too where it meets another instance that stops and its
-/// caller asks no third time. Instances that stop in turn make that one in ten or so, and stricter
-/// bounds (20, 50) were measured to leave more calls without an answer than they save.
+/// A call that is cut off loses its answer, or the rest of it where it may be resumed. A refused
+/// call loses some milliseconds; it loses its answer too if its retry meets another instance that
+/// is shutting down, since callers retry only once. With instances restarted in turn that happens
+/// to about one in ten. Stricter bounds (20, 50) left more calls without an answer than they saved.
 const ONE_IN: u64 = 10;
-/// Calls of a generation; one to two of them are remembered. That is enough for ten calls that are
-/// longer than the bound, and is a minute or so of a busy route.
+/// Calls per generation; between one and two generations are remembered. That covers ten calls
+/// longer than the bound, and about a minute of a busy route.
 const GENERATION_CALLS: u64 = 512;
-/// Parts of each doubling of the time, as a power of two: times are told apart by an eighth.
+/// Buckets per doubling of the duration, as a power of two: durations are resolved to an eighth.
 const PARTS_BITS: u32 = 3;
-/// Longest time that is told apart, in milliseconds; nine hours, far beyond any limit of a call.
+/// Largest duration that is resolved, in milliseconds: nine hours, far beyond the time limit of any
+/// call.
 const LONGEST_MS: u64 = 1 << 25;
 
-/// `RouteTimes` is a bounded record of how long the calls of one route lasted.
+/// Bounded histogram of the call durations of one route.
 ///
-/// It counts calls by time in steps that grow with the time. Two generations take turns: when the
-/// newer one is full the older one is forgotten, so the record follows the route.
+/// Bucket widths grow with the duration. Two generations alternate: when the newer one is full the
+/// older one is dropped, so the histogram follows changes of the route.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTimes {
     newer: BTreeMap<u64, u64>,
@@ -30,7 +32,7 @@
 }
 
 impl RouteTimes {
-    /// Notes how long a call lasted.
+    /// Records the duration of a call.
     pub fn note(&mut self, took: Duration) {
         if self.newer_calls >= GENERATION_CALLS {
             self.older = std::mem::take(&mut self.newer);
@@ -40,11 +42,12 @@
         self.newer_calls += 1;
     }
 
-    /// Tells whether a call can be expected to be over within some time.
+    /// Returns whether a call is expected to finish within `time`.
     ///
-    /// The next call after `n` lasts longer than all of them with a chance of 1 in `n + 1`. Beyond
-    /// the longest the chance is taken to sink only as the time grows, which is slower than of any
-    /// route in view, so that a few short calls tell something and do not tell too much.
+    /// After `n` calls, the next one lasts longer than all of them with a probability of 1 in `n +
+    /// 1`. Beyond the longest duration seen, that probability is assumed to fall in inverse
+    /// proportion to the time. Real routes fall faster, so a few short calls give some information
+    /// without too much confidence.
     ///
     /// ```
     /// use std::time::Duration;
@@ -65,7 +68,7 @@
         let Some(longest_ms) = longest_ms.filter(|_| time_ms > 0) else {
             return false;
         };
-        // The step in which the time falls counts as longer.
+        // Calls in the bucket of `time` itself are counted as longer.
         let step = step_of(time);
         let longer: u64 = generations
             .iter()
@@ -84,7 +87,7 @@
         .min(LONGEST_MS)
 }
 
-/// Returns the step in which a time falls. Up to 8 ms a step is a millisecond.
+/// Returns the bucket of a duration. Up to 8 ms a bucket is one millisecond wide.
 fn step_of(time: Duration) -> u64 {
     let ms = millis(time);
     let doublings = ms.checked_ilog2().unwrap_or(0);
@@ -92,7 +95,7 @@
     (u64::from(shift) << PARTS_BITS) + (ms >> shift)
 }
 
-/// Returns the end of a step, in milliseconds.
+/// Returns the upper bound of a bucket, in milliseconds.
 fn end_of(step: u64) -> u64 {
     let parts = 1 << PARTS_BITS;
     let shift = (step >> PARTS_BITS).saturating_sub(1);
--- a/crates/damaskstile-gateway/src/caller_link.rs
+++ b/crates/damaskstile-gateway/src/caller_link.rs
@@ -1,4 +1,4 @@
-//! `caller_link` is the connection of a caller, for a look at whether it is still there.
+//! Detection of callers that have disconnected.
 
 use std::io::ErrorKind;
 use std::mem::MaybeUninit;
@@ -7,21 +7,22 @@
 use socket2::SockRef;
 use tokio::net::TcpStream;
 
-/// `CallerLink` is the connection of a caller, for a look at whether it is still there.
+/// A caller's connection, to check whether the caller is still there.
 ///
-/// The connection's task learns that with the next round of events, which comes late where the
-/// instance is overloaded or stood still. A call that is sent before is run for nobody.
+/// The connection's task learns of a disconnect from the event loop only, which is late if the
+/// instance is overloaded or was suspended. Without this check a call would be sent to a target
+/// although nobody waits for its answer.
 #[derive(Debug, Clone)]
 pub struct CallerLink(Arc<TcpStream>);
 
 impl CallerLink {
-    /// Makes a look at a connection.
+    /// Shares a connection with the task that serves it.
     #[must_use]
     pub fn new(stream: &Arc<TcpStream>) -> Self {
         Self(Arc::clone(stream))
     }
 
-    /// Tells whether the caller has closed the connection.
+    /// Returns whether the caller has closed the connection.
     #[must_use]
     pub fn has_left(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
--- a/crates/damaskstile-gateway/src/charge.rs
+++ b/crates/damaskstile-gateway/src/charge.rs
@@ -1,11 +1,11 @@
-//! `charge` is what a call counts for, as its reservation and its line in the logs both see it.
+//! Tokens charged to a call, shared by its reservation and its log record.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// `Charge` is what a call counts for so far.
+/// Tokens charged to a call so far.
 ///
-/// The reservation keeps it up to date and the record of the call reads it when the call ends, in
-/// whatever way and order the two are dropped.
+/// Updated by the reservation and read by the call's log record when the call ends, in whatever
+/// order the two are dropped.
 #[derive(Debug, Default)]
 pub struct Charge {
     used_tokens: AtomicU64,
@@ -18,7 +18,7 @@
         self.events.store(events, Ordering::Relaxed);
     }
 
-    /// Returns the tokens that the call counts for.
+    /// Returns the tokens charged to the call.
     ///
     /// ```
     /// assert_eq!(damaskstile_gateway::charge::Charge::default().used_tokens(), 0);
@@ -28,7 +28,7 @@
         self.used_tokens.load(Ordering::Relaxed)
     }
 
-    /// Returns the events of all its runs that came from targets.
+    /// Returns the events received from targets, over all runs of the call.
     ///
     /// ```
     /// assert_eq!(damaskstile_gateway::charge::Charge::default().events(), 0);
--- a/crates/damaskstile-gateway/src/clock.rs
+++ b/crates/damaskstile-gateway/src/clock.rs
@@ -1,13 +1,15 @@
-//! `clock` gives the time of the events: it never goes back, and it counts while suspended.
+//! Clock for decisions and events: it is monotonic and keeps counting while the machine is
+//! suspended.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// `Clock` counts on from the wall clock's time at the start.
+/// Time since the Unix epoch, read once from the wall clock at the start and advanced by the boot
+/// clock.
 ///
-/// The wall clock may be set back, and the usual monotonic clock stands still while the machine
-/// is suspended. Either would let an instance believe that old evidence is fresh.
+/// The wall clock may be set back, and the usual monotonic clock stops while the machine is
+/// suspended. Either could make an instance treat old evidence as fresh.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started_unix: Duration,
@@ -41,12 +43,12 @@
     Duration::new(seconds, nanos)
 }
 
-/// `BootTime` is what the boot clock shows, with the name of the machine's run.
+/// Reading of the boot clock, with the id of the boot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BootTime {
-    /// Name of the machine's run; empty where the system gives none.
+    /// Boot id of the machine; empty if the system has none.
     pub name: String,
-    /// Milliseconds that the boot clock shows.
+    /// Milliseconds since boot, including suspended time.
     pub ms: u64,
 }
 
@@ -62,7 +64,7 @@
     }
 }
 
-/// Returns the machine's time of day, in milliseconds since the Unix epoch. It may step.
+/// Returns the machine's wall clock time, in milliseconds since the Unix epoch. It may jump.
 #[must_use]
 pub fn own_unix_ms() -> u64 {
     let time = SystemTime::now()
--- a/crates/damaskstile-gateway/src/cold_options.rs
+++ b/crates/damaskstile-gateway/src/cold_options.rs
@@ -1,4 +1,4 @@
-//! `cold_options` sets what a cold target may get from all instances together.
+//! Settings for the rate of calls to cold targets.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,13 @@
 use damaskstile_routes::Catalogue;
 use damaskstile_targets::ColdLimit;
 
-/// `ColdOptions` sets what a cold target may get from all instances together, from the calls a
-/// second that its service says it bears.
+/// Sets the rate of calls that a cold target may get from all instances together, relative to the
+/// calls a second that its service declares for cold targets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdOptions {
-    /// So many times as many.
+    /// Factor applied to the declared rate.
     pub factor: f64,
-    /// And so many more.
+    /// Calls a second added to that.
     pub extra_calls: f64,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl ColdOptions {
-    /// Returns the limits that a catalogue sets for the cold targets of its services.
+    /// Returns the limits for cold targets by service, from the catalogue.
     ///
     /// ```
     /// use damaskstile_gateway::cold_options::ColdOptions;
--- a/crates/damaskstile-gateway/src/contact.rs
+++ b/crates/damaskstile-gateway/src/contact.rs
@@ -1,23 +1,25 @@
-//! `contact` remembers when the store answered, to judge what its silence means.
+//! Record of when the store answered, to detect outages and to estimate their length.
 
 use damaskstile_core::prelude::*;
 
-/// Time after an outage in which the list of targets may still lack some that live. Their entries
-/// come back within about two seconds; one that is missing after that is gone.
+/// Time after an outage in which the list of targets may still lack some that are alive. Their
+/// entries come back within about two seconds; one that is missing after that is gone.
 const AFTER_OUTAGE: Duration = Duration::from_secs(2);
-/// Shortest time without an answer that counts as an outage in which entries lapse. They do so only
-/// after several heartbeats, which are seconds. A single call that fails and the next one after its
-/// pause take 0.6 to 0.7 s; taken for an outage, it would keep targets in use that were removed.
+/// Shortest time without an answer that counts as an outage in which entries lapse. They lapse only
+/// after several missed heartbeats, which takes seconds. A single failed call and the next one
+/// after its backoff take 0.6 to 0.7 s; if that counted as an outage, targets that were removed
+/// would stay in use.
 const OUTAGE_MIN: Duration = Duration::from_secs(1);
 
-/// Length that an outage is expected to have before any was seen.
+/// Expected length of an outage before any has been observed.
 const OUTAGE_START: Duration = Duration::from_secs(5);
-/// Longest outage that is learned from: one of hours tells callers nothing that they can wait for.
+/// Cap on the observed length of an outage: one of hours is longer than any caller can usefully
+/// wait.
 const OUTAGE_MAX: Duration = Duration::from_secs(15);
-/// Shortest time that an outage is expected to go on, once it is longer than expected.
+/// Shortest expected remainder of an outage that has lasted longer than expected.
 const OUTAGE_LEFT_MIN: Duration = Duration::from_secs(1);
 
-/// `Contact` remembers when the store answered.
+/// Record of when the store answered.
 #[derive(Debug, Clone, Default)]
 #[allow(clippy::struct_field_names)] // each is a time
 pub struct Contact {
@@ -26,12 +28,12 @@
     failed_at: Option<Duration>,
     outage_ended_at: Option<Duration>,
     regained_at: Option<Duration>,
-    /// Length that outages have, the later ones weighing most.
+    /// Average length of outages, weighted towards recent ones.
     outage_length: Option<Duration>,
 }
 
 impl Contact {
-    /// Notes an answer; returns true where the store was lost before.
+    /// Records an answer; returns true if the store was unreachable before.
     pub fn answered(&mut self, now: Duration) -> bool {
         self.answered_at = Some(now);
         self.failed_at = None;
@@ -48,7 +50,7 @@
         true
     }
 
-    /// Notes a call without an answer; returns true where the store was not lost before.
+    /// Records a call without an answer; returns true if the store was reachable before.
     pub fn failed(&mut self, now: Duration) -> bool {
         self.failed_at = Some(now);
         let is_new = self.lost_at.is_none();
@@ -56,8 +58,8 @@
         is_new
     }
 
-    /// Tells whether the store is lost, or was so lately and so long that its list may lack targets
-    /// that live.
+    /// Returns whether the store is unreachable, or was so recently and for so long that its list
+    /// may lack targets that are alive.
     ///
     /// ```
     /// use std::time::Duration;
@@ -76,28 +78,29 @@
                 .is_some_and(|at| now.saturating_sub(at) < AFTER_OUTAGE)
     }
 
-    /// Tells whether the last call failed so lately that another one would most likely fail too.
+    /// Returns whether the last call failed within `pause`, so that another one would most likely
+    /// fail too.
     #[must_use]
     pub fn is_backing_off(&self, now: Duration, pause: Duration) -> bool {
         self.failed_at
             .is_some_and(|at| now.saturating_sub(at) < pause)
     }
 
-    /// Returns the time since the store answered again after an outage. A single call that failed
-    /// is none: an instance that writes for others would keep them waiting after each.
+    /// Returns the time since the last outage ended. A single failed call is not an outage:
+    /// otherwise an instance that writes for others would delay them after each failure.
     #[must_use]
     pub fn since_outage(&self, now: Duration) -> Option<Duration> {
         self.outage_ended_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Returns when the store last answered after a call without an answer.
+    /// Returns when the store last answered after a failed call.
     #[must_use]
     pub fn regained_at(&self) -> Option<Duration> {
         self.regained_at
     }
 
-    /// Returns how long the outage under way is likely to go on, by those that were seen; `None`
-    /// where the store answers.
+    /// Returns the expected remaining length of the current outage, based on earlier ones; `None`
+    /// if the store answers.
     ///
     /// ```
     /// use std::time::Duration;
@@ -119,7 +122,7 @@
         self.answered_at.map(|at| now.saturating_sub(at))
     }
 
-    /// Tells whether the last call got no answer.
+    /// Returns whether the last call got no answer.
     #[must_use]
     pub fn is_lost(&self) -> bool {
         self.lost_at.is_some()
--- a/crates/damaskstile-gateway/src/content_changes.rs
+++ b/crates/damaskstile-gateway/src/content_changes.rs
@@ -1,39 +1,38 @@
-//! `content_changes` says how one version of a stored text differs from another.
+//! Delta encoding between versions of a stored text.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::stable_hash_of_bytes;
 
-/// Versions whose outline is kept.
+/// Number of versions whose chunk hashes are kept.
 const VERSIONS_MAX: usize = 32;
-/// Byte after which a text is cut: the end of each object in it.
+/// Delimiter of the chunks: the end of each JSON object in the text.
 const CUT_AFTER: u8 = b'}';
 
-/// `ContentPiece` is a part of a text: chunks of an older version, and then bytes of its own.
+/// A part of a text: a range of chunks of an older version, followed by literal bytes.
 #[derive(prost::Message, Clone, PartialEq)]
 pub struct ContentPiece {
     /// First chunk of the older version.
     #[prost(uint64, tag = "1")]
     pub from_chunk: u64,
-    /// How many chunks of it follow.
+    /// Number of chunks copied from the older version.
     #[prost(uint64, tag = "2")]
     pub chunks: u64,
-    /// Bytes that come after them.
+    /// Literal bytes that follow the copied chunks.
     #[prost(bytes = "vec", tag = "3")]
     pub literal: Vec<u8>,
 }
 
-/// `ContentChanges` remembers the outlines of the latest versions of a text, so that whoever has one
-/// of them can be told what differs. An outline is a hash of each chunk, a few KB for a text of some
-/// hundred.
+/// Keeps the chunk hashes of the latest versions of a text, so that an instance that has one of
+/// them can be sent the difference only. The hashes take a few KB for a text of some hundred KB.
 #[derive(Debug, Clone, Default)]
 pub struct ContentChanges {
     outlines: VecDeque<(Version, Vec<u64>)>,
 }
 
 impl ContentChanges {
-    /// Remembers a version.
+    /// Adds a version.
     pub fn note(&mut self, version: Version, content: &[u8]) {
         let outline = chunks(content).map(stable_hash_of_bytes).collect();
         self.outlines.push_back((version, outline));
@@ -42,7 +41,8 @@
         }
     }
 
-    /// Returns how a text differs from an older version; `None` where that is not remembered.
+    /// Returns the difference between a text and an older version; `None` if that version is no
+    /// longer known.
     ///
     /// ```
     /// use damaskstile_gateway::content_changes::{ContentChanges, rebuild};
@@ -90,7 +90,7 @@
     }
 }
 
-/// Puts a text together from an older version and what differs; `None` where they do not fit.
+/// Rebuilds a text from an older version and the difference; `None` if they do not match.
 #[must_use]
 pub fn rebuild(base: &[u8], pieces: &[ContentPiece]) -> Option<Vec<u8>> {
     let base: Vec<&[u8]> = chunks(base).collect();
--- a/crates/damaskstile-gateway/src/counted_store.rs
+++ b/crates/damaskstile-gateway/src/counted_store.rs
@@ -1,7 +1,8 @@
-//! `counted_store` counts the calls to the store by what they are for and how they end.
+//! Counting wrapper for the store's client: counts calls by purpose and outcome.
 //!
-//! Each call to the platform's store has a price, also one that it refuses or never gets, and what
-//! a duty costs shows in no answer. So all calls of an instance are counted in one place.
+//! Every call to the platform's store is paid for, including those that it refuses or that get
+//! lost, and the cost of a background task shows in no answer. All calls of an instance therefore
+//! pass through this wrapper.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -15,10 +16,10 @@
 
 use crate::objects::{Change, Listing, ObjectStore, StoreError, StoreResult, StoredObject};
 
-/// What a call was for and how it ended: `list targets`, `answered`.
+/// Purpose and outcome of a call: `list targets`, `answered`.
 type CallKey = (String, &'static str);
 
-/// `CountedStore` makes calls to a store and counts them.
+/// Store client that counts its calls.
 pub struct CountedStore {
     store: Arc<dyn ObjectStore>,
     counts: Mutex<BTreeMap<CallKey, u64>>,
@@ -31,7 +32,7 @@
 }
 
 impl CountedStore {
-    /// Counts the calls to a store from now on.
+    /// Wraps a store client.
     #[must_use]
     pub fn new(store: Arc<dyn ObjectStore>) -> Self {
         Self {
@@ -40,13 +41,13 @@
         }
     }
 
-    /// Returns the calls so far, by what they were for and how they ended.
+    /// Returns the number of calls by purpose and outcome.
     pub fn counts(&self) -> BTreeMap<CallKey, u64> {
         let counts = self.counts.lock();
         counts.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the calls so far as one line: `list targets/answered:3,probe/lost:1`.
+    /// Returns the number of calls as one line: `list targets/answered:3,probe/lost:1`.
     #[must_use]
     pub fn summary(&self) -> String {
         let mut text = String::new();
@@ -80,7 +81,7 @@
     }
 }
 
-/// `Counting` counts a call when it ends, also where nobody waits for its answer any more.
+/// Counts a call when dropped, so that calls whose future is cancelled are counted too.
 struct Counting<'a> {
     store: &'a CountedStore,
     call: String,
--- a/crates/damaskstile-gateway/src/dialect.rs
+++ b/crates/damaskstile-gateway/src/dialect.rs
@@ -1,24 +1,24 @@
-//! `dialect` is the border to the headers that callers and targets speak.
+//! Interface to the header conventions of callers and targets.
 
 use http::{HeaderMap, request, response};
 
 use crate::answer::AnswerHead;
 use crate::call::{CallHead, SendHead};
 
-/// `Dialect` translates between headers and the project's own words.
+/// Translates between HTTP headers and this crate's types.
 pub trait Dialect: Send + Sync {
-    /// Reads what a caller asks for.
+    /// Parses the headers of a call.
     fn read_call(&self, head: &request::Parts) -> CallHead;
 
-    /// Turns a caller's headers into those for a target.
+    /// Replaces a caller's headers by those to send to a target.
     fn dress_send(&self, headers: &mut HeaderMap, send: &SendHead<'_>);
 
-    /// Reads what a target says of an answer.
+    /// Parses the headers of a target's answer.
     fn read_answer(&self, head: &response::Parts) -> AnswerHead;
 
-    /// Turns a target's headers into those for the caller.
+    /// Replaces a target's headers by those to send to the caller.
     fn dress_answer(&self, headers: &mut HeaderMap);
 
-    /// Makes the headers of an answer of this instance's own.
+    /// Returns the headers of an answer that this instance makes itself.
     fn own_answer(&self, id: Option<&str>) -> HeaderMap;
 }
--- a/crates/damaskstile-gateway/src/directory.rs
+++ b/crates/damaskstile-gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! `directory` is the border to what the platform's store holds of routes and targets.
+//! Interface to the routes and targets kept in the platform's store.
 
 use damaskstile_core::ids::DataCentreId;
 use damaskstile_routes::Catalogue;
@@ -6,7 +6,8 @@
 
 use crate::objects::StoredObject;
 
-/// `Directory` reads stored objects as the project's own types. Errors say what is wrong.
+/// Parses stored objects into this workspace's types. The errors describe what is wrong with the
+/// object.
 pub trait Directory: Send + Sync {
     /// Kind under which the catalogue is stored.
     fn catalogue_kind(&self) -> &'static str;
@@ -14,24 +15,24 @@
     /// Kind under which targets are listed.
     fn targets_kind(&self) -> &'static str;
 
-    /// Kind under which operators name emptied data centres.
+    /// Kind under which operators list evacuated data centres.
     fn emptied_kind(&self) -> &'static str;
 
-    /// Reads a catalogue; `None` for objects of the kind that are none.
+    /// Parses a catalogue; `None` for other objects of the same kind.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with the object.
     fn catalogue(&self, object: &StoredObject) -> Result<Option<Catalogue>, String>;
 
-    /// Reads a target's entry.
+    /// Parses a target's entry.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with the object.
     fn target(&self, object: &StoredObject) -> Result<Listed, String>;
 
-    /// Reads which data centre is emptied, by the name of the operator's entry.
+    /// Returns the evacuated data centre that an operator's entry names.
     ///
     /// # Errors
     ///
--- a/crates/damaskstile-gateway/src/events.rs
+++ b/crates/damaskstile-gateway/src/events.rs
@@ -1,24 +1,24 @@
-//! `events` cuts a stream of server-sent events into whole events.
+//! Splitter for streams of server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is kept while it is incomplete, in bytes. Events of a model hold a few
-/// tokens; one beyond this is no event, and keeping it would let a target fill the memory.
+/// Largest incomplete event that is buffered, in bytes. Events of a model hold a few tokens;
+/// without the limit a faulty target could exhaust the memory.
 const EVENT_BYTES_MAX: usize = 256 * 1024;
 
-/// `WholeEvent` is one event with its blank line.
+/// A complete event, including its terminating blank line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WholeEvent {
-    /// Its bytes.
+    /// Raw bytes.
     pub bytes: Bytes,
-    /// Its number, if it has one.
+    /// Numeric event id, if present.
     pub id: Option<u64>,
 }
 
-/// `EventCutter` cuts a stream of bytes into whole events.
+/// Splits a stream of bytes into complete events.
 ///
-/// A target may stop in the middle of an event. If the half were passed on, an event of the run
-/// that goes on elsewhere would be glued to it.
+/// A target may stop in the middle of an event. If the incomplete part were passed on, the first
+/// event of the resumed run would be appended to it.
 #[derive(Debug, Default)]
 pub struct EventCutter {
     buffer: BytesMut,
@@ -26,13 +26,13 @@
 }
 
 impl EventCutter {
-    /// Takes in bytes. Returns false where the event under way grows beyond all bounds.
+    /// Appends bytes. Returns false if the incomplete event exceeds the size limit.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
         self.buffer.len() <= EVENT_BYTES_MAX
     }
 
-    /// Returns the next whole event.
+    /// Returns the next complete event.
     ///
     /// ```
     /// use damaskstile_gateway::events::EventCutter;
@@ -50,7 +50,7 @@
         Some(WholeEvent { bytes, id })
     }
 
-    /// Tells whether no part of an event is left over.
+    /// Returns whether no part of an event is buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
--- a/crates/damaskstile-gateway/src/exchange.rs
+++ b/crates/damaskstile-gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! `exchange` takes one call from its caller to its answer.
+//! Serves one call: from admission over token reservation and sending to the answer for its caller.
 
 mod admission;
 mod answering;
@@ -32,11 +32,11 @@
 
 use admission::admit;
 
-/// Time past its limit after which a call is answered whatever it waits for. The waits inside it
-/// have limits of their own, which end it first and say more of the cause; callers are promised an
-/// answer within half a second.
+/// Grace period after a call's time limit. When it has passed, the call is answered whatever it is
+/// waiting for. The waits inside a call have their own limits, which normally expire first and
+/// report a more specific cause. Callers are promised an answer within half a second of the limit.
 const TIME_LIMIT_SLACK: Duration = Duration::from_millis(50);
-/// `Exchange` is one call on its way.
+/// A call being served.
 struct Exchange {
     gateway: Arc<Gateway>,
     call: Sendable,
@@ -47,7 +47,7 @@
     attempts: Attempts,
     tried: Vec<TargetId>,
     last_event: Option<u64>,
-    /// Whether a target may be at work on it.
+    /// Whether a target may be executing the call.
     is_sending: bool,
     caller: CallerLink,
 }
@@ -125,7 +125,7 @@
     refusal.reply(gateway, id)
 }
 
-/// Decides what follows a send that brought no answer for the caller.
+/// Decides what to do after a send that produced no answer for the caller.
 pub(crate) fn plan_next(gateway: &Gateway, terms: &Terms, attempts: &Attempts) -> Next {
     let is_repeatable = terms.route.kind.is_repeatable();
     attempts.next(is_repeatable, terms.route.attempts_max, || {
@@ -144,7 +144,7 @@
             }
             Err(refusal) => return self.refuse(&refusal),
         }
-        // The body is read first: closing a connection with bytes unread would reset it, and the
+        // The body is read first: closing a connection with unread bytes would reset it, and the
         // caller might never see the refusal.
         if self.is_closing() || !self.is_over_in_time() {
             let refusal = self.stopping();
@@ -159,7 +159,7 @@
         if let Some(refusal) = self.no_target() {
             return self.refuse(&refusal);
         }
-        // Known before any tokens are waited for.
+        // Checked before the call waits for tokens.
         if let Some(wait) = self.targets_pause() {
             let refusal = Refusal::not_run(RefusalCode::NoTarget, Some(wait));
             return self.refuse(&refusal);
@@ -193,14 +193,15 @@
 
     async fn send(&mut self, reservation: Reservation) -> Response<ReplyBody> {
         let (response, unused) = self.send_until_answered(reservation).await;
-        // A caller that leaves ends the call before this.
+        // If the caller disconnects, this future is dropped before this point.
         if let Some(mut reservation) = unused {
             reservation.failed();
         }
         response
     }
 
-    /// Sends the call until a target answers it; gives the reservation back where none does.
+    /// Sends the call, again to other targets if need be, until one answers. Returns the
+    /// reservation if none did, so that the caller of this method can settle it.
     async fn send_until_answered(
         &mut self,
         mut reservation: Reservation,
--- a/crates/damaskstile-gateway/src/exchange/admission.rs
+++ b/crates/damaskstile-gateway/src/exchange/admission.rs
@@ -1,4 +1,4 @@
-//! `admission` finds out what holds for a call before it is served.
+//! Resolves the route, service and account of a call before it is served.
 
 use damaskstile_core::prelude::*;
 use http::{header, request};
@@ -9,11 +9,12 @@
 use crate::reply::{RETRY_LATER, Refusal};
 use crate::state::Terms;
 
-/// Returns what holds for a call, and notes it in its record.
+/// Resolves the terms of a call (route, service, account and priority) and adds them to its log
+/// record.
 ///
 /// # Errors
 ///
-/// Returns why it is refused.
+/// Returns the refusal of a call that the catalogue does not allow.
 pub(super) fn admit(
     gateway: &Gateway,
     parts: &request::Parts,
--- a/crates/damaskstile-gateway/src/exchange/answering.rs
+++ b/crates/damaskstile-gateway/src/exchange/answering.rs
@@ -1,4 +1,4 @@
-//! `answering` passes a target's answer on to the caller.
+//! Passes a target's answer on to the caller, as a stream or as a whole.
 
 use std::sync::Arc;
 
@@ -14,10 +14,11 @@
 use crate::reservation::Reservation;
 use crate::run::{NoRun, Run};
 
-/// Largest answer that is kept to be sent again from another target, in bytes.
+/// Largest answer that is buffered, so that the call can be sent to another target if reading it
+/// fails, in bytes.
 const WHOLE_BYTES_MAX: usize = 8 * 1024 * 1024;
 
-/// Tells whether callers take a status for the promise that the call has not run.
+/// Returns whether callers treat a status as a guarantee that the call was not executed.
 fn is_promise(status: StatusCode) -> bool {
     let promises = [
         StatusCode::REQUEST_TIMEOUT,
@@ -29,7 +30,7 @@
 }
 
 impl Exchange {
-    /// Passes an answer on. Gives the reservation back where the call should be sent again.
+    /// Passes an answer on. Returns the reservation in the error if the call should be sent again.
     pub(super) async fn answer(
         &mut self,
         run: Run,
@@ -53,8 +54,9 @@
             let mut reservation = reservation;
             reservation.failed();
             self.note_time();
-            // Passed on, it would say in our name that the call has not run, and its caller would
-            // have it run twice. The target's own proof of that is not here.
+            // If this status were passed on, the caller would take it for our guarantee that the
+            // call was not executed and send it again, so it could run twice. The target has not
+            // proved that it did not run.
             return Ok(self.refuse(&Refusal::unknown(RefusalCode::TargetLost)));
         }
         self.pass_whole(run, reservation).await
@@ -104,8 +106,8 @@
         Ok(Response::from_parts(parts, whole(body)))
     }
 
-    /// Passes a stream on, once its first event is there. Until then its caller has been given
-    /// nothing, and is told what became of the call if no target gives any.
+    /// Passes a stream on once its first event has arrived. Nothing has been sent to the caller
+    /// until then, so it can still get a proper refusal if no target delivers an event.
     async fn relay(&mut self, run: Run, reservation: Reservation) -> Response<ReplyBody> {
         let mut parts = run.parts.clone();
         self.gateway.dialect.dress_answer(&mut parts.headers);
--- a/crates/damaskstile-gateway/src/exchange/refusing.rs
+++ b/crates/damaskstile-gateway/src/exchange/refusing.rs
@@ -1,4 +1,4 @@
-//! `refusing` answers a call that no target answers.
+//! Refusals of calls that no target answers.
 
 use damaskstile_core::prelude::*;
 use damaskstile_requests::Fingerprint;
@@ -7,11 +7,12 @@
 use super::{Exchange, refuse};
 use crate::reply::{RETRY_AT_ONCE, RETRY_LATER, RETRY_SOON, Refusal, ReplyBody};
 
-/// Time in which callers come back by chance, after what all of them wait for.
+/// Range of the random delay added to an advised wait, in milliseconds.
 const RETURN_SPREAD_MS: u64 = 300;
 
 impl Exchange {
-    /// Returns the refusal of a call for what is known to end its targets, by other attempts too.
+    /// Returns the refusal of a call whose content is quarantined because targets crashed under it,
+    /// possibly during attempts by other callers.
     pub(super) fn barred(&mut self) -> Option<Refusal> {
         let account = self.terms.account.as_deref();
         let refusal = self.gateway.barred(&self.call, account)?;
@@ -29,8 +30,9 @@
         refuse(&self.gateway, &mut self.record, refusal, id.as_deref())
     }
 
-    /// Returns the answer to a call that this instance cannot serve in time. Its connection is closed,
-    /// so that its caller reaches another one, now and later.
+    /// Checks the call against the instance's load; returns a refusal if it cannot be served in
+    /// time. The refusal closes the connection, so that the caller connects to another instance for
+    /// this call and later ones.
     pub(super) fn overloaded(&mut self) -> Option<Response<ReplyBody>> {
         let (now, bytes) = (self.gateway.now(), self.call.link_bytes());
         let objective = self.terms.route.objective;
@@ -59,8 +61,8 @@
         self.refuse(&refusal)
     }
 
-    /// Returns the refusal of a call that no target may get now. Where all that may want a pause,
-    /// the wait is known better.
+    /// Returns the refusal of a call for which no target is usable now; `None` if all candidates
+    /// are in backoff, since `targets_pause` then knows the exact wait.
     pub(super) fn no_target(&self) -> Option<Refusal> {
         let now = self.gateway.now();
         let state = self.gateway.state();
@@ -77,15 +79,14 @@
         Some(Refusal::not_run(code, Some(wait)))
     }
 
-    /// Returns a wait, longer by chance, so that those that were refused together come back some
-    /// time apart.
+    /// Adds a random delay to a wait, so that callers refused together do not come back together.
     fn spread(&self, wait: Duration) -> Duration {
         let spread_ms = self.gateway.state().random.below(RETURN_SPREAD_MS);
         wait.saturating_add(Duration::from_millis(spread_ms))
     }
 
-    /// Returns when a caller should come back where all targets of the service want a pause. Those
-    /// that were refused all through it come back some time apart.
+    /// Returns how long a caller should wait if all targets of the service are in backoff. A random
+    /// delay is added, so that callers refused during the backoff do not all come back at its end.
     pub(super) fn targets_pause(&self) -> Option<Duration> {
         let now = self.gateway.now();
         let left = {
--- a/crates/damaskstile-gateway/src/exchange/stopping.rs
+++ b/crates/damaskstile-gateway/src/exchange/stopping.rs
@@ -1,4 +1,4 @@
-//! `stopping` keeps calls from beginning what a stop would cut off.
+//! Handling of calls during a shutdown: refuses those that would not finish in time.
 
 use damaskstile_core::prelude::*;
 use http::Response;
@@ -12,9 +12,10 @@
         Refusal::not_run(RefusalCode::Stopping, Some(self.stopping_wait()))
     }
 
-    /// Returns when a caller that a stop refuses should come back. Most ask only once more; where
-    /// most instances stop together, at once would be lost on the next one that refuses (worth of
-    /// such a day in trials: 0.66 and 0.65 at once, 0.71 and 0.71 later).
+    /// Returns the wait advised to a caller that is refused because of a shutdown. Most callers
+    /// retry only once. While most instances are shutting down, an immediate retry would be wasted
+    /// on another one that refuses: trials of such a day scored 0.66 and 0.65 with immediate
+    /// retries, 0.71 and 0.71 with later ones.
     pub(super) fn stopping_wait(&self) -> Duration {
         let now = self.gateway.now();
         if self.gateway.state().are_most_peers_stopping(now) {
@@ -24,21 +25,21 @@
         }
     }
 
-    /// Tells whether a stop has come so far that no call is taken.
+    /// Returns whether the shutdown has reached the phase in which no new call is accepted.
     pub(super) fn is_closing(&self) -> bool {
         *self.gateway.phase.borrow() >= Phase::Closing
     }
 
-    /// Tells whether a run that begins now can be expected to be over before a stop would cut it
-    /// off. Without this a stream that is taken seconds after the order would be cut.
+    /// Returns whether a run that starts now is expected to finish before the shutdown would cut it
+    /// off. Without this check a stream accepted seconds after the shutdown signal would be cut.
     pub(super) fn is_over_in_time(&self) -> bool {
         let now = self.gateway.now();
         let route = &self.terms.route.name;
         self.gateway.is_over_in_time(route, now, self.deadline)
     }
 
-    /// Answers a call that a stop cannot wait for. A caller without an answer would not know
-    /// whether it may ask again.
+    /// Answers a call that the shutdown cannot wait for. A caller without an answer would not know
+    /// whether it may retry.
     pub(super) fn cut(&mut self) -> Response<ReplyBody> {
         if self.is_sending || self.attempts.has_run() {
             let response = self.refuse(&Refusal::unknown(RefusalCode::Stopping));
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Notes how long the call lasted.
+    /// Records the duration of the call for its route.
     pub(super) fn note_time(&self) {
         let now = self.gateway.now();
         let took = now.saturating_sub(self.record.began_at());
--- a/crates/damaskstile-gateway/src/exchange/tokens.rs
+++ b/crates/damaskstile-gateway/src/exchange/tokens.rs
@@ -1,4 +1,5 @@
-//! `tokens` reserves what a call may use, or says why it cannot.
+//! Reserves the tokens that a call may use: from the local balance, from a peer's loan, or from the
+//! store.
 
 use std::sync::Arc;
 
@@ -12,25 +13,27 @@
 use crate::reservation::Reservation;
 use crate::state::LendersToAsk;
 
-/// Longest wait for tokens that the store or a peer has: a few round trips, with conflicts, and
-/// still a small part of the time within which an answer is of full use.
+/// Longest wait for tokens that the store or a peer has: a few round trips, with write conflicts,
+/// and still a small part of the route's latency objective.
 const TOKENS_WAIT: Duration = Duration::from_millis(120);
-/// The same where one instance writes for all: the pause between two of its writes, a call to the
-/// store, two datagrams, and the same again if a datagram is lost.
+/// Longest wait for tokens in a large fleet, where one instance writes to the ledger for all
+/// others: the interval between two writes, a store call and two datagrams, and the same again if a
+/// datagram is lost.
 const WRITER_TOKENS_WAIT: Duration = Duration::from_millis(300);
 
-/// Lenders that one call asks at most, one after the other: those of its data centre, one of each
-/// other, and some that said that they have tokens.
+/// Most lenders that a call asks, one after the other: those of its data centre, one of each other
+/// data centre, and some that have reported free tokens.
 const LENDERS_MAX: usize = 10;
 
 impl Exchange {
-    /// Reserves the worst case, of tokens that are held here or that a peer lends; waits a moment
-    /// for tokens that the store has.
+    /// Reserves the most tokens that the call may use, held here or lent by a peer; waits briefly
+    /// for tokens that are in the store.
     pub(super) async fn reserve(&mut self) -> Result<Reservation, Refusal> {
         let work = self.call.work.clone();
         let tokens = work.prompt_tokens + work.output_tokens;
         let account = self.terms.account.clone().filter(|_| tokens > 0);
-        // Within an account the route's rank counts; the account's own is the same for all.
+        // Within an account only the route's priority counts; the account's own priority is the
+        // same for all of its calls.
         let rank = self.terms.route.priority;
         let now = self.gateway.now();
         let until = now + self.tokens_wait();
@@ -59,8 +62,8 @@
             .unwrap_or(1)
     }
 
-    /// Reserves tokens of an account, held here or lent; `None` where those who were asked have none
-    /// and cannot tell where there are.
+    /// Reserves tokens of an account, from the local balance or a loan; `None` if neither has
+    /// enough and no lender reported where more are.
     async fn reserve_of(
         &mut self,
         account: &str,
@@ -83,7 +86,7 @@
         self.reserve_held(Some(account), rank, until).await
     }
 
-    /// Returns whom to ask for a call's tokens; nobody where it needs no more than is held here.
+    /// Returns the lenders to ask for the call's tokens; empty if the local balance covers it.
     fn lenders(&self, account: &str, tokens: u64, rank: Rank) -> LendersToAsk {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
@@ -97,7 +100,8 @@
         lenders
     }
 
-    /// Borrows a call's tokens; `None` where the lenders have none and cannot tell where there are.
+    /// Borrows the call's tokens; `None` if the lenders have none and do not know where there are
+    /// any.
     async fn borrow(
         &mut self,
         mut lenders: Vec<Candidate>,
@@ -143,8 +147,8 @@
         Ok(None)
     }
 
-    /// Reserves tokens that are held here, or waits for those that the store has; `None` where they
-    /// are elsewhere.
+    /// Reserves tokens of the local balance, or waits for those in the store; `None` if they are
+    /// held by other instances.
     async fn reserve_held(
         &mut self,
         account: Option<&str>,
@@ -163,7 +167,8 @@
                 Ok(reservation) => return Ok(Some(reservation)),
                 Err(shortage) => shortage,
             };
-            // Once tokens are handed back, their lack says nothing of the budget.
+            // During a shutdown the balance is handed back, so a shortage here says nothing about
+            // the budget.
             if self.is_closing() {
                 return Err(self.stopping());
             }
@@ -175,13 +180,13 @@
             if !is_coming || wait.is_zero() {
                 return Err(self.short(shortage, tokens));
             }
-            // Either outcome leads to another look.
+            // Whether the round completed or the wait timed out, the balance is checked again.
             let _ = tokio::time::timeout(wait, round_done).await;
         }
     }
 
-    /// Returns how long to wait for tokens: at most half of the time within which an answer is of
-    /// full use.
+    /// Returns how long to wait for tokens: at most half of the route's latency objective, but no
+    /// less than `TOKENS_WAIT`, and never beyond the deadline.
     fn tokens_wait(&self) -> Duration {
         let wait = if self.gateway.state().is_large_fleet() {
             WRITER_TOKENS_WAIT
@@ -192,7 +197,7 @@
         wait.min(objective / 2).max(TOKENS_WAIT).min(self.left())
     }
 
-    /// Has missing tokens fetched from the store or a peer; returns whether they may come soon.
+    /// Requests missing tokens from the store or a peer; returns whether they may arrive soon.
     fn call_for_tokens(&self, shortage: Shortage, tokens: u64) -> bool {
         let gateway = &self.gateway;
         gateway.round_wanted.notify_one();
@@ -203,8 +208,8 @@
         let now = gateway.now();
         let mut state = gateway.state();
         if state.is_large_fleet() {
-            // Peers were asked to lend. What they give away is lost for all others where few calls
-            // come.
+            // Peers were already asked for a loan. Tokens transferred for good would be out of
+            // reach of all other instances if few calls arrive here.
             return false;
         }
         let missing = tokens.saturating_sub(state.holder.free_tokens(now, &account));
@@ -225,8 +230,8 @@
         let age = state.holder.ledger_age(now);
         let version = state.holder.ledger_version();
         let standing = state.holder.standing(&account);
-        // Tokens that others hold come back with the store. A caller that asks once more before
-        // that is most likely refused once more.
+        // Tokens that other instances hold become available when the store answers again. A caller
+        // that retries earlier would most likely be refused again.
         let until_back = state.contact.outage_left(now).unwrap_or(RETRY_LATER);
         drop(state);
         self.record.add("needed", tokens);
--- a/crates/damaskstile-gateway/src/fault.rs
+++ b/crates/damaskstile-gateway/src/fault.rs
@@ -1,15 +1,15 @@
-//! `fault` says what is wrong with a stored object, in a few words.
+//! Short descriptions of what is wrong with a stored object.
 
-/// Longest text of a fault. A wrong value is quoted in it, and another writer's may be as large as
-/// an object; logs and what is remembered of refused objects must not grow with it.
+/// Maximum length of a description, in characters. Decoders quote the wrong value, which may be as
+/// large as the object; log lines and the list of refused objects must not grow with it.
 const FAULT_CHARS_MAX: usize = 200;
-/// Begins the position that a decoder adds to its message.
+/// Start of the position that a decoder appends to its message.
 const POSITION: &str = " at line ";
 
-/// Returns what a decoder's error says, without the position and cut to a few words.
+/// Returns a decoder's error message without the position, truncated to the maximum length.
 ///
-/// The position moves with every count in the object, so with it each write of the same wrong
-/// object would be news, and logged.
+/// The position shifts with every change of a number in the object. If it were kept, each write of
+/// the same wrong object would be logged as a new fault.
 ///
 /// ```
 /// use damaskstile_gateway::fault::fault;
--- a/crates/damaskstile-gateway/src/front.rs
+++ b/crates/damaskstile-gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! `front` takes connections from callers.
+//! Accepts and serves connections from callers.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -16,15 +16,15 @@
 use crate::spawn_counted;
 use crate::watched_stream::WatchedStream;
 
-/// Smallest buffer for a head that the HTTP library takes, in bytes.
+/// Smallest buffer for a request head that the HTTP library accepts, in bytes.
 const HEAD_BYTES_MIN: usize = 8 * 1024;
-/// Connections that may wait to be accepted. Callers come back all at once after an outage, and
-/// a full queue costs them seconds.
+/// Length of the accept queue. Callers reconnect all at once after an outage, and a full queue
+/// delays them by seconds.
 const BACKLOG: u32 = 1024;
-/// Pause after a failure to accept, which means that descriptors ran out.
+/// Pause after a failed accept, which means that file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Listens for callers.
+/// Opens the listening socket for callers.
 ///
 /// # Errors
 ///
@@ -36,10 +36,10 @@
     socket.listen(BACKLOG)
 }
 
-/// Takes connections until a stop closes them.
+/// Accepts connections until the shutdown closes them.
 ///
-/// An instance that is closing still takes them: a caller whose call is refused knows that it has
-/// not run, and one whose connection is dropped knows nothing.
+/// An instance in shutdown still accepts connections: a caller whose call is refused knows that it
+/// was not executed, and one whose connection is dropped does not.
 pub async fn accept(gateway: Arc<Gateway>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
@@ -59,11 +59,11 @@
     }
 }
 
-/// Serves one connection. It is closed with the first answer during a stop, and at the stop's end
-/// once all that was written to it is sent.
+/// Serves one connection. During a shutdown it is closed after the next answer, or at the end of
+/// the shutdown when everything written to it has been sent.
 async fn converse(gateway: Arc<Gateway>, stream: TcpStream) {
     let _open = gateway.open_connection();
-    // An answer must not wait to be sent together with the next one.
+    // Disables Nagle's algorithm: an answer must not wait to be sent together with the next one.
     let _ = stream.set_nodelay(true);
     let limits = gateway
         .state()
@@ -80,8 +80,8 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // The library counts the idle time before a head as part of the head's time, so the
-        // longer of the two limits is the one that can be set.
+        // The library's timeout for the head includes the idle time before it, so the longer of the
+        // two limits has to be set.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
         .max_buf_size(limits.header_bytes.max(HEAD_BYTES_MIN))
         .serve_connection(TokioIo::new(stream), service);
@@ -90,7 +90,7 @@
     let mut is_ending = false;
     loop {
         tokio::select! {
-            // How a caller's connection ends is told by the records of its calls.
+            // Errors of the connection show in the log records of its calls.
             _ = connection.as_mut() => return,
             () = ending.as_mut(), if !is_ending => {
                 is_ending = true;
--- a/crates/damaskstile-gateway/src/gateway.rs
+++ b/crates/damaskstile-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! `gateway` is what all duties of an instance share.
+//! State and services shared by all background tasks of an instance.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -27,59 +27,60 @@
 use crate::stop_times::StopTimes;
 use crate::target_ends::TargetEnds;
 
-/// Messages that may wait to be sent to peers: a receipt for each of the largest fleet in view.
+/// Capacity of the queue of messages to peers: one receipt for each instance of the largest
+/// expected fleet.
 const OUTBOX_RING: usize = 512;
 
-/// `Gateway` is what all duties of an instance share.
+/// State and services shared by all background tasks of an instance.
 pub struct Gateway {
-    /// How it is set up.
+    /// Configuration.
     pub options: GatewayOptions,
-    /// Time of the decisions.
+    /// Clock that all decisions use.
     pub clock: Clock,
     /// When this instance started.
     pub started_at: Duration,
-    /// Headers of callers and targets.
+    /// Translates the headers of callers and targets.
     pub dialect: Box<dyn Dialect>,
-    /// Stored objects.
+    /// Parses stored objects.
     pub directory: Box<dyn Directory>,
-    /// The platform's store.
+    /// The platform's store, with its calls counted.
     pub store: CountedStore,
-    /// Kept connections to targets.
+    /// Pool of connections to targets.
     pub pool: Arc<Pool>,
-    /// Finds out whether targets have ended.
+    /// Checks whether targets have ended.
     pub ends: TargetEnds,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Bytes sent to peers.
+    /// Bytes sent to peers, by purpose.
     pub sent_bytes: SentBytes,
-    /// Time spent on each duty.
+    /// Processor time of each background task.
     pub busy_times: Arc<BusyTimes>,
-    /// How long what passes the link takes.
+    /// Longest recent durations of connects, body reads and blocked writes.
     pub link_times: Arc<LinkTimes>,
-    /// Numbered events.
+    /// Logger for numbered events.
     pub log: Logger,
-    /// Wakes the duty that writes to the ledger.
+    /// Wakes the task that writes to the ledger.
     pub round_wanted: Notify,
-    /// Wakes calls that wait for tokens.
+    /// Wakes calls that wait for tokens after each ledger round.
     pub round_done: Notify,
-    /// Messages for the duty that sends to peers.
+    /// Queue of messages for the task that sends to peers.
     pub outbox: mpsc::Sender<Outgoing>,
-    /// Wakes the duty that reads the catalogue, where a peer has a newer one.
+    /// Wakes the task that reads the catalogue when a peer has a newer one.
     pub catalogue_wanted: Notify,
-    /// Wakes the duty that tells peers.
+    /// Wakes the gossip task, which sends updates to peers.
     pub news: Notify,
-    /// Wakes calls that wait for a loan.
+    /// Wakes calls that wait for an answer to a loan request.
     pub loans_heard: Notify,
-    /// Wakes the duty that tells lenders which loans are over.
+    /// Wakes the task that reports ended loans to their lenders.
     pub loans_ended: Notify,
-    /// Wakes the duty that asks peers for tokens.
+    /// Wakes the task that requests tokens from peers.
     pub tokens_wanted: Notify,
-    /// Counts the outages of the store that are over, and wakes the watches that may have been lost
-    /// in one.
+    /// Number of store outages that have ended. A change wakes the store watches, which may have
+    /// been lost during the outage.
     pub outages_over: watch::Sender<u64>,
-    /// Tells all duties how far a stop has come.
+    /// Current phase of the shutdown, observed by all tasks.
     pub phase: watch::Sender<Phase>,
-    /// The moments of a stop, once one was ordered.
+    /// Schedule of the shutdown, set when it is ordered.
     pub stop_times: OnceLock<StopTimes>,
     open_calls: AtomicUsize,
     open_connections: AtomicUsize,
@@ -93,7 +94,8 @@
 }
 
 impl Gateway {
-    /// Makes a gateway that has not begun to serve, with the ring of its messages to peers.
+    /// Creates a gateway that is not serving yet, and the receiving end of its queue of messages to
+    /// peers.
     #[must_use]
     pub fn new(
         options: GatewayOptions,
@@ -138,13 +140,14 @@
         (gateway, outbox_out)
     }
 
-    /// Returns the state to decide by. It is held for a decision, never across a wait.
+    /// Locks the shared state. The lock is held for one decision, never across an await.
     pub fn state(&self) -> MutexGuard<'_, State> {
-        // A panic in another duty leaves the state as it was between two decisions.
+        // A panicking task leaves the state as it was between two decisions, so the poison flag is
+        // ignored.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the time of the decisions.
+    /// Returns the current time of the decision clock.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
@@ -154,7 +157,7 @@
         logs::write(&self.log, &LogEvent::new(code, fields));
     }
 
-    /// Notes bytes of an answer that came from a target and go on to a caller.
+    /// Records bytes of an answer that arrived from a target and are forwarded to a caller.
     pub(crate) fn note_passed(&self, bytes: usize) {
         let now = self.now();
         let pressure = &mut self.state().pressure;
@@ -162,8 +165,8 @@
         pressure.note_sent(now, bytes);
     }
 
-    /// Tells whether a call that began at some time can be expected to be over before a stop would
-    /// cut it off; always, while no stop was ordered.
+    /// Returns whether a call that began at `began_at` is expected to finish before the shutdown
+    /// would cut it off; always true while no shutdown is ordered.
     pub fn is_over_in_time(&self, route: &str, began_at: Duration, deadline: Duration) -> bool {
         let Some(times) = self.stop_times.get() else {
             return true;
@@ -175,25 +178,25 @@
         deadline <= times.cut_at || self.state().call_times.is_over_within(route, time)
     }
 
-    /// Waits until open calls are cut off.
+    /// Waits for the phase in which open calls are cut off.
     pub async fn cut(&self) {
         let mut phase = self.phase.subscribe();
-        // The phases live as long as the gateway.
+        // The sender lives as long as the gateway, so this cannot fail.
         let _ = phase.wait_for(|phase| *phase == Phase::Ending).await;
     }
 
-    /// Counts a caller's connection as open until the guard is dropped.
+    /// Counts a caller's connection as open until the returned guard is dropped.
     pub fn open_connection(self: &Arc<Self>) -> OpenConnection {
         self.open_connections.fetch_add(1, Ordering::Relaxed);
         OpenConnection::new(Arc::clone(self))
     }
 
-    /// Notes that a caller's connection is closed, with all that was written to it sent.
+    /// Called when a caller's connection is closed and everything written to it has been sent.
     pub(crate) fn close_connection(&self) {
         self.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Returns the number of callers' connections.
+    /// Returns the number of open connections from callers.
     pub fn open_connections(&self) -> usize {
         self.open_connections.load(Ordering::Relaxed)
     }
@@ -204,7 +207,7 @@
         OpenCall::new(Arc::clone(self))
     }
 
-    /// Notes that an open call has ended.
+    /// Called when an open call has ended.
     pub(crate) fn close_call(&self) {
         self.open_calls.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/damaskstile-gateway/src/handling.rs
+++ b/crates/damaskstile-gateway/src/handling.rs
@@ -1,13 +1,13 @@
-//! `handling` is what an answer tells of whether the call ran.
+//! What an answer says about whether the call was executed.
 
-/// `Handling` is what an answer tells of whether the call ran.
+/// What an answer says about whether the call was executed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Handling {
-    /// It may have run.
+    /// The call may have been executed.
     #[default]
     MayHaveRun,
-    /// The target proves that it has not run the call.
+    /// The target proves that it did not execute the call.
     NotRun,
-    /// Another target has the address, and has not run the call.
+    /// Another target has this address, and did not execute the call.
     Misdirected,
 }
--- a/crates/damaskstile-gateway/src/holdings.rs
+++ b/crates/damaskstile-gateway/src/holdings.rs
@@ -1,5 +1,5 @@
-//! `holdings` writes to the logs now and then what this instance holds of each account, how often it
-//! called the store and what it sent to peers.
+//! Periodic log lines on the balances of this instance, its store calls and the bytes that it sent
+//! to peers.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -8,13 +8,13 @@
 
 use crate::gateway::Gateway;
 
-/// Time between two lines. A day's table of budgets needs the last one only, and a line costs about
-/// as much as that of a call.
+/// Interval between two lines. Reports on a whole day need only the last line, and a line costs
+/// about as much as that of a call.
 const INTERVAL: Duration = Duration::from_secs(5);
-/// Accounts in one line, those with most tokens here first: about 1 KB.
+/// Accounts in one line, those with the largest balances first: about 1 KB.
 const ACCOUNTS_MAX: usize = 16;
 
-/// Writes what is held until the process ends.
+/// Logs the balances until the process ends.
 pub async fn keep(gateway: Arc<Gateway>) {
     let mut calls_before = String::new();
     let mut bytes_before = String::new();
@@ -34,7 +34,7 @@
     }
 }
 
-/// Writes what is held now: what was bought, is reserved and is free, by account.
+/// Logs the current balances: bought, reserved, unlocked and free tokens by account.
 pub fn note(gateway: &Gateway) {
     let now = gateway.now();
     let mut held: Vec<(u64, String)> = {
--- a/crates/damaskstile-gateway/src/lib.rs
+++ b/crates/damaskstile-gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! `damaskstile-gateway` takes calls from callers to targets and back.
+//! Gateway that passes calls from callers to targets, and their answers back.
 //!
-//! It hosts the decisions on routes, targets and tokens. What callers, targets and the platform's
-//! store speak is behind the traits [`Dialect`](dialect::Dialect),
-//! [`Directory`](directory::Directory) and [`ObjectStore`](objects::ObjectStore).
+//! It applies the decisions on routes, targets and tokens that other crates of the workspace make.
+//! The protocols of callers, targets and the platform's store are behind the traits
+//! [`Dialect`](dialect::Dialect), [`Directory`](directory::Directory) and
+//! [`ObjectStore`](objects::ObjectStore).
 
 pub mod answer;
 pub mod backlog;
@@ -82,14 +83,14 @@
 use crate::outgoing::Outgoing;
 use crate::peers::{Peers, serve_pulls};
 
-/// Time between two looks at the kept connections.
+/// Interval between two prunings of the connection pool.
 const PRUNE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Serves until the process is told to stop, and stops without cutting off a call.
+/// Serves until the process is told to stop, then shuts down gracefully.
 ///
 /// # Errors
 ///
-/// Returns an error where an address cannot be used.
+/// Returns an error if an address cannot be bound.
 pub async fn serve(gateway: Arc<Gateway>, outbox: Receiver<Outgoing>) -> anyhow::Result<()> {
     let options = &gateway.options;
     let callers = front::listen(options.callers_address)?;
@@ -124,7 +125,7 @@
     Ok(())
 }
 
-/// Spawns a duty whose time is counted.
+/// Spawns a background task whose processor time is counted.
 pub(crate) fn spawn_counted(
     gateway: &Arc<Gateway>,
     duty: &'static str,
--- a/crates/damaskstile-gateway/src/link_times.rs
+++ b/crates/damaskstile-gateway/src/link_times.rs
@@ -1,4 +1,4 @@
-//! `link_times` notes how long what passes the link takes.
+//! Durations of network operations, to diagnose a saturated link.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,12 +8,12 @@
 #[derive(Debug, Default)]
 struct Times {
     longest: BTreeMap<&'static str, Duration>,
-    /// Writes that wait, the oldest first.
+    /// Blocked writes, the oldest first.
     waiting: BTreeSet<(Instant, u64, &'static str)>,
 }
 
-/// `LinkTimes` notes how long what passes the link takes: connections, bodies, writes that wait for
-/// room. Slow for one target, the target is to blame; slow for all, the link is.
+/// Records the durations of connects, body reads and blocked writes. If they are long for one
+/// target, that target is slow; if they are long for all, the link is saturated.
 #[derive(Debug, Default)]
 pub struct LinkTimes {
     times: Mutex<Times>,
@@ -21,7 +21,7 @@
 }
 
 impl LinkTimes {
-    /// Notes how long something took.
+    /// Records the duration of an operation.
     ///
     /// ```
     /// use std::time::Duration;
@@ -37,7 +37,8 @@
         *longest = took.max(*longest);
     }
 
-    /// Returns the longest times since this was last asked, and how long the oldest write waits.
+    /// Returns the longest durations by operation since the previous call, including how long the
+    /// oldest blocked write has waited.
     pub fn take(&self) -> BTreeMap<&'static str, Duration> {
         let mut times = self.lock();
         let mut longest = std::mem::take(&mut times.longest);
@@ -49,7 +50,7 @@
         longest
     }
 
-    /// Notes that a write waits for room from now on; returns what ends that.
+    /// Records that a write is blocked from now on; returns the key for `end_wait`.
     pub(crate) fn wait(&self, what: &'static str) -> (Instant, u64, &'static str) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let waiting = (Instant::now(), number, what);
@@ -57,7 +58,7 @@
         waiting
     }
 
-    /// Notes that a write waits no more.
+    /// Records that a write is no longer blocked.
     pub(crate) fn end_wait(&self, waiting: (Instant, u64, &'static str)) {
         self.lock().waiting.remove(&waiting);
         self.note(waiting.2, waiting.0.elapsed());
--- a/crates/damaskstile-gateway/src/load.rs
+++ b/crates/damaskstile-gateway/src/load.rs
@@ -1,4 +1,4 @@
-//! `load` looks at what an instance carries, and writes to the logs where that is too much.
+//! Load sampling, and log lines while an instance is overloaded.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -9,16 +9,16 @@
 use crate::look::Look;
 use crate::readiness::Readiness;
 
-/// Time between two looks at how late the instance comes to them.
+/// Interval between two load samples.
 const LOOK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between two lines of an instance that carries too much.
+/// Interval between two log lines of an overloaded instance.
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
-/// Lateness from which on such lines are written.
+/// Scheduling delay from which on such lines are written.
 const LATE: Duration = Duration::from_millis(100);
-/// Duties that serve calls.
+/// Background tasks that serve calls.
 const CALL_DUTIES: [&str; 2] = ["callers", "targets"];
 
-/// Time spent on calls and on all else, since the start.
+/// Processor time spent on calls and on all other work since the start.
 #[derive(Debug, Clone, Copy)]
 struct Busy {
     with_calls: Duration,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Looks at what the instance carries until the process ends.
+/// Samples the load until the process ends.
 pub async fn watch(gateway: Arc<Gateway>) {
     let mut readiness = Readiness::Starting;
     let mut busy_before = gateway.busy_times.counts();
@@ -83,7 +83,7 @@
     }
 }
 
-/// Writes what the instance was busy with for some time, and how long things took meanwhile.
+/// Logs the processor time by task and the longest network operations of the last interval.
 fn note(gateway: &Gateway, span: Duration, lateness: Duration, busy: &str) {
     let mut longest = String::new();
     for (what, took) in gateway.link_times.take() {
--- a/crates/damaskstile-gateway/src/logs.rs
+++ b/crates/damaskstile-gateway/src/logs.rs
@@ -1,4 +1,4 @@
-//! `logs` writes numbered events as lines, without ever holding up the thread that logs.
+//! Log output for numbered events. Logging never blocks the calling thread.
 
 use std::io::Write;
 use std::sync::Mutex;
@@ -7,21 +7,21 @@
 use serde::Deserialize;
 use slog::{Drain, Logger, o};
 
-/// Events that may wait to be written; past it they are counted, and the count is written.
+/// Capacity of the queue of log events. Events beyond it are dropped, and their number is logged.
 const LOG_RING: usize = 4096;
 
-/// `LogFormat` is the form of the logs.
+/// Output format of the logs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// Lines for a person.
+    /// Human-readable lines.
     #[default]
     Terminal,
     /// One JSON object a line.
     Json,
 }
 
-/// Makes the logger. Lines are written by a thread of their own.
+/// Creates the logger. A dedicated thread writes the lines.
 pub fn logger<W>(format: LogFormat, instance: &str, output: W) -> Logger
 where
     W: Write + Send + 'static,
@@ -52,7 +52,7 @@
     Logger::root(drain, o!("instance" => instance))
 }
 
-/// Writes an event with its number.
+/// Logs an event with its number.
 pub fn write(log: &Logger, event: &LogEvent) {
     let number = event.code.number();
     let name = format!("{:?}", event.code);
--- a/crates/damaskstile-gateway/src/look.rs
+++ b/crates/damaskstile-gateway/src/look.rs
@@ -1,16 +1,16 @@
-//! `look` is what an instance finds when it looks at what it did since it last looked.
+//! Sample of an instance's load.
 
 use damaskstile_core::prelude::*;
 
-/// `Look` is what an instance finds when it looks at what it did since it last looked.
+/// Load of an instance since the previous sample.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Look {
-    /// Time since then.
+    /// Time since the previous sample.
     pub span: Duration,
-    /// How much later than meant the look comes.
+    /// Scheduling delay: how much later than planned the sample was taken.
     pub lateness: Duration,
-    /// Time spent on calls.
+    /// Processor time spent on calls.
     pub busy_with_calls: Duration,
-    /// Time spent on all else.
+    /// Processor time spent on all other work.
     pub busy_otherwise: Duration,
 }
--- a/crates/damaskstile-gateway/src/open_call.rs
+++ b/crates/damaskstile-gateway/src/open_call.rs
@@ -1,10 +1,10 @@
-//! `open_call` counts a call as open while it is held.
+//! Guard that counts a call as open.
 
 use std::sync::Arc;
 
 use crate::gateway::Gateway;
 
-/// `OpenCall` counts a call as open until it is dropped.
+/// Counts a call as open until it is dropped.
 #[derive(Debug)]
 pub struct OpenCall(Arc<Gateway>);
 
--- a/crates/damaskstile-gateway/src/open_connection.rs
+++ b/crates/damaskstile-gateway/src/open_connection.rs
@@ -1,10 +1,10 @@
-//! `open_connection` counts a caller's connection as open while it is held.
+//! Guard that counts a caller's connection as open.
 
 use std::sync::Arc;
 
 use crate::gateway::Gateway;
 
-/// `OpenConnection` counts a caller's connection as open until it is dropped.
+/// Counts a caller's connection as open until it is dropped.
 #[derive(Debug)]
 pub struct OpenConnection(Arc<Gateway>);
 
--- a/crates/damaskstile-gateway/src/operators.rs
+++ b/crates/damaskstile-gateway/src/operators.rs
@@ -1,4 +1,4 @@
-//! `operators` answers the balancer's question for readiness and gives metrics.
+//! HTTP endpoints for operations: readiness for the balancer, and metrics.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 type Server = HttpServer<Arc<Gateway>>;
 type Answer = Result<Response<Body>, HttpError>;
 
-/// Starts the server of the balancer's question.
+/// Starts the server for the balancer's readiness check.
 ///
 /// # Errors
 ///
@@ -28,7 +28,7 @@
     start(gateway, address, api)
 }
 
-/// Starts the server of metrics.
+/// Starts the server for metrics.
 ///
 /// # Errors
 ///
@@ -62,7 +62,7 @@
         .map_err(|error| HttpError::for_internal_error(error.to_string()))
 }
 
-/// Tells the balancer whether to send new connections here.
+/// Returns 200 if the balancer should send new connections here, 503 if not.
 #[endpoint { method = GET, path = "/v1/readiness" }]
 async fn get_readiness(rqctx: RequestContext<Arc<Gateway>>) -> Answer {
     let is_ready = Readiness::of(rqctx.context()) == Readiness::Ready;
@@ -74,7 +74,7 @@
     finish(status, "application/json", "{}".to_owned())
 }
 
-/// Gives the metrics in the customary text form.
+/// Returns the metrics in the `OpenMetrics` text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn get_metrics(rqctx: RequestContext<Arc<Gateway>>) -> Answer {
     let gateway = rqctx.context();
--- a/crates/damaskstile-gateway/src/options.rs
+++ b/crates/damaskstile-gateway/src/options.rs
@@ -1,4 +1,4 @@
-//! `options` sets up a gateway.
+//! Configuration of a gateway.
 
 use std::net::SocketAddr;
 
@@ -8,38 +8,39 @@
 
 use crate::cold_options::ColdOptions;
 
-/// `GatewayOptions` sets up a gateway.
+/// Configuration of a gateway.
 #[derive(Debug, Clone)]
 pub struct GatewayOptions {
-    /// Who this is.
+    /// Identity of this instance.
     pub identity: Identity,
-    /// Part of a core that this instance has, in percent. Of a large fleet the best equipped
-    /// instances write and watch for the others.
+    /// Processor capacity of this instance, in percent of a core. In a large fleet the instances
+    /// with the most capacity write to the ledger and watch the store for the others.
     pub capacity_percent: u64,
-    /// Bytes a second that this instance's link carries each way.
+    /// Capacity of this instance's link in each direction, in bytes a second.
     pub link_bytes_per_s: u64,
     /// Address for callers.
     pub callers_address: SocketAddr,
-    /// Address for the balancer's question whether to send work.
+    /// Address for the balancer's readiness check.
     pub readiness_address: SocketAddr,
     /// Address for metrics.
     pub metrics_address: SocketAddr,
     /// Address for messages from peers.
     pub peers_address: SocketAddr,
-    /// Addresses of peers to begin with.
+    /// Addresses of the first peers to contact.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole fleet starts for the first time, so that no caller waits.
+    /// Whether the whole fleet starts for the first time, so that there are no callers yet that a
+    /// wait could delay.
     pub is_first_start: bool,
-    /// Time within which a stop must be over.
+    /// Time limit of a shutdown.
     pub stop_limit: Duration,
-    /// Retries of the fleet, in percent of requests.
+    /// Retry budget of the fleet, in percent of its requests.
     pub retry_percent: u64,
-    /// Retries of the fleet beyond that, in a second.
+    /// Retries a second that the fleet may make in addition.
     pub extra_retries_per_s: u64,
-    /// Where tokens stand.
+    /// Options of the token escrow.
     pub escrow: EscrowOptions,
-    /// How targets are chosen.
+    /// Options of target selection.
     pub book: BookOptions,
-    /// What a cold target may get beyond the calls a second that it bears.
+    /// Rate of calls that a cold target may get.
     pub cold: ColdOptions,
 }
--- a/crates/damaskstile-gateway/src/patience.rs
+++ b/crates/damaskstile-gateway/src/patience.rs
@@ -1,4 +1,4 @@
-//! `patience` tells how long a silent target is waited for.
+//! Wait limit for a silent target.
 
 use damaskstile_core::prelude::*;
 use damaskstile_requests::Attempts;
@@ -7,33 +7,33 @@
 use crate::sendable::Sendable;
 use crate::state::Terms;
 
-/// Shortest time that a target is given before a repeatable call goes to another one. Below it a
-/// long prompt ahead in the batch would be taken for silence.
+/// Shortest wait before a repeatable call is sent to another target. With less, a long prompt ahead
+/// in the target's batch would be taken for silence.
 const PATIENCE_MIN: Duration = Duration::from_secs(1);
 
-/// `Patience` tells how long a silent target is waited for: as long as the call has time, unless
-/// another target could follow.
+/// Decides how long to wait for a silent target: until the call's deadline, or shorter if another
+/// target is available.
 #[derive(Debug)]
 pub struct Patience<'a> {
-    /// What is shared by all duties.
+    /// State shared by all background tasks of the instance.
     pub gateway: &'a Gateway,
     /// The call.
     pub call: &'a Sendable,
-    /// What holds for it.
+    /// Route, service and account of the call.
     pub terms: &'a Terms,
-    /// The sends before the one under way.
+    /// Outcomes of the sends before the current one.
     pub attempts: &'a Attempts,
     /// Targets that the call was sent to.
     pub tried: &'a [TargetId],
-    /// When the call must be answered.
+    /// Time by which the call must be answered.
     pub deadline: Duration,
-    /// When the call began, where another run would only go on with its stream; a run from the
-    /// beginning is counted from when it would be sent.
+    /// Start of the call, if another run would resume its stream; `None` if it would start over, in
+    /// which case its expected duration counts from the time of the send.
     pub goes_on_from: Option<Duration>,
 }
 
 impl Patience<'_> {
-    /// Returns until when the target may be silent before anything else is thought of.
+    /// Returns the time until which the target may stay silent before another one is considered.
     #[must_use]
     pub fn until(&self) -> Duration {
         let now = self.gateway.now();
@@ -45,8 +45,9 @@
         }
     }
 
-    /// Tells whether another target could follow now. Asked when the patience is over: what held
-    /// when the call was sent may not hold any more, and giving the target up would end the call.
+    /// Returns whether another target is available now. Checked again when the wait limit has
+    /// passed: the situation may have changed since the call was sent, and giving up the target
+    /// without a successor would end the call.
     #[must_use]
     pub fn is_followed_now(&self) -> bool {
         self.is_followed(self.gateway.now())
@@ -70,7 +71,7 @@
     }
 }
 
-/// Tells whether the route allows another send after the one under way.
+/// Returns whether the route allows another send after the current one.
 pub(crate) fn allows_another(terms: &Terms, attempts: &Attempts) -> bool {
     attempts.allow_another(terms.route.kind.is_repeatable(), terms.route.attempts_max)
 }
--- a/crates/damaskstile-gateway/src/phase.rs
+++ b/crates/damaskstile-gateway/src/phase.rs
@@ -1,15 +1,15 @@
-//! `phase` is how far a stop has come.
+//! Phases of a shutdown.
 
-/// `Phase` is how far a stop has come.
+/// Phase of a shutdown, in the order in which they follow each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// No stop was asked for.
+    /// No shutdown has been ordered.
     Serving,
-    /// The balancer is told to send no more work; what comes is still served where it will be over
-    /// in time.
+    /// The readiness check fails, so the balancer stops sending connections; calls are still
+    /// accepted if they will finish in time.
     Leaving,
-    /// No new work is taken; what comes is refused.
+    /// New calls are refused.
     Closing,
-    /// What is still open is cut off, connections are closed, and the process ends.
+    /// Open calls are cut off, connections are closed, and the process ends.
     Ending,
 }
--- a/crates/damaskstile-gateway/src/pool.rs
+++ b/crates/damaskstile-gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! `pool` keeps connections to targets for the next call.
+//! Pool of connections to targets.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,7 +16,7 @@
 use crate::link_times::LinkTimes;
 use crate::watched_stream::WatchedStream;
 
-/// Connections kept for one target.
+/// Idle connections kept per target.
 const KEPT_MAX: usize = 64;
 
 pub(crate) type Sender = SendRequest<Full<Bytes>>;
@@ -28,8 +28,8 @@
     usable_until: std::time::Instant,
 }
 
-/// `Pool` keeps connections to targets for the next call, by incarnation: a connection that was
-/// made to one leads to it as long as its process lives, also when the next serves already.
+/// Pool of idle connections to targets, keyed by incarnation: a connection leads to the process
+/// that accepted it for as long as that lives, even if its successor is already serving.
 #[derive(Debug, Default)]
 pub struct Pool {
     kept: Mutex<BTreeMap<TargetIdentity, Vec<Kept>>>,
@@ -38,7 +38,7 @@
 }
 
 impl Pool {
-    /// Makes an empty pool.
+    /// Creates an empty pool that records connect times and processor time.
     #[must_use]
     pub fn new(link_times: &Arc<LinkTimes>, busy_times: &Arc<BusyTimes>) -> Arc<Self> {
         Arc::new(Self {
@@ -48,11 +48,11 @@
         })
     }
 
-    /// Returns a kept connection to a target, or makes one.
+    /// Returns an idle connection to a target, or opens one.
     ///
     /// # Errors
     ///
-    /// Returns why no connection was made; nothing has been sent then.
+    /// Returns the reason why no connection was made; nothing has been sent in that case.
     pub async fn lease(
         self: &Arc<Self>,
         target: &TargetIdentity,
@@ -70,13 +70,14 @@
             .map_err(std::io::Error::other)?;
         let busy_times = Arc::clone(&self.busy_times);
         let task = tokio::spawn(async move {
-            // How the connection ends shows in the answer that was read from it.
+            // Errors of the connection show in the answer that is read from it.
             let _ = busy_times.count("targets", connection).await;
         });
         Ok(Lease::new(self, target, sender, task.abort_handle(), false))
     }
 
-    /// Closes the connections that are no longer usable, and all to incarnations not in the list.
+    /// Closes the connections that are no longer usable, and all to incarnations that are not
+    /// listed.
     pub fn prune(&self, is_listed: impl Fn(&TargetIdentity) -> bool) {
         let now = std::time::Instant::now();
         let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
@@ -93,7 +94,7 @@
         });
     }
 
-    /// Keeps a connection; returns false where there are enough.
+    /// Returns a connection to the pool; returns false if the pool is full for this target.
     pub(crate) fn keep(
         &self,
         target: &TargetIdentity,
--- a/crates/damaskstile-gateway/src/pressure.rs
+++ b/crates/damaskstile-gateway/src/pressure.rs
@@ -1,5 +1,5 @@
-//! `pressure` tells how much of its link and of its processor an instance uses, and when that is
-//! more than they bear.
+//! Overload detection: how much of its link and processor an instance uses, and whether new calls
+//! can be served in time.
 
 use damaskstile_core::prelude::*;
 
@@ -7,62 +7,62 @@
 use crate::call_cost::CallCost;
 use crate::look::Look;
 
-/// Part of the link and of the processor that calls may fill. The rest is for headers,
-/// acknowledgements, and what cannot wait: answers to calls that are due, and what the store and
-/// peers are told.
+/// Share of the link and of the processor that calls may use. The rest is for headers,
+/// acknowledgements and urgent traffic: answers in progress, store calls and gossip.
 const USABLE: f64 = 0.8;
-/// Delay on the link, or of what the processor has to do, from which on an instance is overloaded. A
-/// quarter of a second is half of the shortest objective for a first token in view.
+/// Queueing delay, on the link or at the processor, above which an instance is overloaded: a
+/// quarter of a second, half of the shortest objective for a first token in view.
 const DELAY_LIMIT: Duration = Duration::from_millis(250);
-/// Looks in a row that are so late until the processor counts as overloaded.
+/// Consecutive late load samples after which the processor counts as overloaded.
 const LATE_LOOKS: u32 = 3;
-/// Looks that come later than this tell of a pause of the machine, and not of what calls take.
+/// Load samples later than this indicate a pause of the machine rather than the cost of calls.
 const PAUSE_MIN: Duration = Duration::from_secs(1);
-/// Part of the time in which a processor has work, from which on what waits for it counts. What calls
-/// took before, or take on another machine, is no reason to refuse any.
+/// Share of the time in which the processor is busy, above which its queue is taken into account.
+/// Below it, an estimate from earlier or from another machine is no reason to refuse calls.
 const BUSY_SHARE: f64 = 0.6;
-/// Part of what a call takes of the processor that is taken for one that is refused: it is read and
-/// answered, and not sent.
+/// Cost of a refused call relative to a served one: it is read and answered, but not sent.
 const REFUSED_PART: f64 = 0.25;
-/// Time without overload after which an instance takes new connections again. Much shorter, and its
-/// callers would come back before the queue is gone.
+/// Shortest cool-down: time without overload after which an instance accepts new connections again.
+/// If it were much shorter, callers would return before the queue has drained.
 const CALM_MIN: Duration = Duration::from_secs(16);
-/// The longest such time. It grows each time that an instance is overloaded soon after it took new
-/// connections: a balancer that sends all callers of an account to one instance sends them back as
-/// soon as it is ready, and they would go to and fro between two that cannot bear them.
+/// Longest cool-down. The cool-down grows each time an instance is overloaded soon after it
+/// accepted new connections: a balancer that sends all callers of an account to one instance sends
+/// them back as soon as it is ready, and they would oscillate between two instances that cannot
+/// bear them.
 const CALM_MAX: Duration = Duration::from_secs(64);
-/// Factor by which it grows.
+/// Factor by which the cool-down grows.
 const CALM_GROWTH: u32 = 4;
-/// Use from which on an instance that was overloaded has no room for new connections yet.
+/// Share in use above which an instance that was overloaded still has no room for new connections.
 const FULL_SHARE: f64 = 0.5;
 
-/// `Pressure` tells how much of its link and of its processor an instance uses.
+/// Load of an instance's link and processor.
 ///
-/// A balancer that chooses by a hash of the caller may give one instance many times the share of
-/// another. Its queues then delay all of its calls until they time out, while its neighbours are
-/// idle. An overloaded instance asks for no new connections, and refuses what it cannot serve in
-/// time, with the connection: so it gives up as many callers as it cannot bear, and the others stay.
+/// A balancer that hashes by caller may give one instance many times the share of another. Its
+/// queues then delay all of its calls until they time out, while its neighbours are idle. An
+/// overloaded instance therefore reports that it is not ready for new connections, refuses the
+/// calls that it cannot serve in time, and closes their connections. This way it sheds only the
+/// callers that it cannot bear and keeps the others.
 #[derive(Debug, Clone)]
 pub struct Pressure {
     received: Backlog,
     sent: Backlog,
     work: Backlog,
     call_cost: CallCost,
-    /// Calls since the last look.
+    /// Calls since the last load sample, weighted by cost.
     calls: f64,
-    /// When it was last overloaded.
+    /// Time of the last overload.
     overloaded_at: Option<Duration>,
-    /// Time without overload until it takes new connections again.
+    /// Current cool-down.
     calm: Duration,
     late_looks: u32,
-    /// How late the last look came.
+    /// Scheduling delay of the last load sample.
     lateness: Duration,
-    /// Whether the processor had little rest up to the last look.
+    /// Whether the processor was mostly busy up to the last load sample.
     is_busy: bool,
 }
 
 impl Pressure {
-    /// Makes the pressure on an instance whose link carries so many bytes a second each way.
+    /// Creates the load of an instance whose link carries this many bytes a second each way.
     #[must_use]
     #[allow(clippy::cast_precision_loss)] // some hundred MB at most
     pub fn new(link_bytes_per_s: u64) -> Self {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Notes bytes that came over the link.
+    /// Records bytes received over the link.
     ///
     /// ```
     /// use std::time::Duration;
@@ -96,17 +96,17 @@
         self.look_at_delay(now);
     }
 
-    /// Notes bytes that go out over the link.
+    /// Records bytes sent over the link.
     #[allow(clippy::cast_precision_loss)] // sizes of messages
     pub fn note_sent(&mut self, now: Duration, bytes: usize) {
         self.sent.add(now, bytes as f64);
         self.look_at_delay(now);
     }
 
-    /// Tells whether the instance can begin to serve another call within a time, which takes so many
-    /// bytes of the way out, and counts it if so. One that would wait longer is better refused at
-    /// once: another instance may have room. Times shorter than that for which the instance counts as
-    /// overloaded are no reason, since most callers ask only once more.
+    /// Returns whether the instance can begin to serve another call within `within`, and counts the
+    /// call if so. `bytes` is what the call takes on the outgoing link. A call that would wait
+    /// longer is better refused at once: another instance may have room. A `within` below the
+    /// overload limit is raised to that limit, since most callers retry only once.
     ///
     /// ```
     /// use std::time::Duration;
@@ -140,10 +140,10 @@
         has_room
     }
 
-    /// Takes in what the instance did since its last look.
+    /// Updates the estimates from a load sample.
     ///
-    /// Once late may be a pause of its machine; several times in a row it has less processor time
-    /// than its calls take.
+    /// A single late sample may be a pause of the machine; several in a row mean that the calls
+    /// need more processor time than the instance has.
     ///
     /// ```
     /// use std::time::Duration;
@@ -181,14 +181,15 @@
         }
     }
 
-    /// Tells whether the instance was overloaded lately and should get no new connections.
+    /// Returns whether the instance was overloaded within the cool-down and should get no new
+    /// connections.
     #[must_use]
     pub fn is_high(&self, now: Duration) -> bool {
         let is_recent = |at| now.saturating_sub(at) < self.calm;
         self.overloaded_at.is_some_and(is_recent)
     }
 
-    /// Returns how long what waits takes: on the way in, on the way out, and at the processor.
+    /// Returns the queueing delays of the incoming link, the outgoing link and the processor.
     pub fn delays(&mut self, now: Duration) -> [Duration; 3] {
         let Self {
             received,
@@ -199,7 +200,8 @@
         [received, sent, work].map(|backlog| backlog.delay(now))
     }
 
-    /// Returns the share in use of what calls may fill, of the link or of the processor.
+    /// Returns the share in use of the capacity that calls may use, of the link or of the
+    /// processor, whichever is higher.
     pub fn share(&mut self, now: Duration) -> f64 {
         let link = self.received.share(now).max(self.sent.share(now));
         link.max(self.work.share(now))
--- a/crates/damaskstile-gateway/src/readiness.rs
+++ b/crates/damaskstile-gateway/src/readiness.rs
@@ -1,32 +1,32 @@
-//! `readiness` tells whether an instance takes new connections, and why not.
+//! Readiness of an instance for new connections.
 
 use std::time::Duration;
 
 use crate::gateway::Gateway;
 use crate::phase::Phase;
 
-/// Time after a start in which an instance that holds no tokens yet is not ready: its first write
-/// waits for peers that may write for it. After that it may be the store that is away, and what
-/// needs no tokens is served without it.
+/// Time after the start in which an instance without tokens is not ready: its first ledger write
+/// waits for peers that may write for it. Later than that the store may be unreachable, and calls
+/// that need no tokens are served without it.
 const TOKENS_PATIENCE: Duration = Duration::from_secs(2);
 
-/// `Readiness` tells whether an instance takes new connections, and why not.
+/// Whether an instance accepts new connections, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// It takes them.
+    /// New connections are accepted.
     Ready,
-    /// It is being stopped.
+    /// The instance is shutting down.
     Stopping,
-    /// It knows no catalogue yet.
+    /// No catalogue has been loaded yet.
     Starting,
-    /// It has just started and holds no tokens yet.
+    /// The instance has just started and holds no tokens yet.
     WithoutTokens,
-    /// It carries more than its link or its processor does.
+    /// The link or the processor is overloaded.
     Overloaded,
 }
 
 impl Readiness {
-    /// Finds out whether an instance takes new connections now.
+    /// Determines the current readiness.
     #[must_use]
     pub fn of(gateway: &Gateway) -> Self {
         if *gateway.phase.borrow() != Phase::Serving {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     ///
     /// ```
     /// use damaskstile_gateway::readiness::Readiness;
--- a/crates/damaskstile-gateway/src/relay.rs
+++ b/crates/damaskstile-gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! `relay` passes a target's stream on to its caller, event by event.
+//! Relays a target's event stream to the caller, and resumes it at another target if a run fails.
 
 mod going_on;
 mod over;
@@ -25,66 +25,67 @@
 
 pub use over::Over;
 
-/// Pause of a stream after which it goes on at another target, where it may. Callers give up
-/// after two seconds or more, and a preempted run pauses for less than a second.
+/// Pause between events after which a stream is resumed at another target, if it may be. Callers
+/// give up after two seconds or more, and a preempted run pauses for less than a second.
 const STALL_LIMIT: Duration = Duration::from_millis(1_500);
 
-/// `Relay` is a stream on its way to its caller.
+/// A stream being relayed to its caller.
 #[derive(Debug)]
 pub struct Relay {
-    /// What is shared by all duties.
+    /// State shared by all background tasks of the instance.
     pub gateway: Arc<Gateway>,
-    /// The call, to send it again.
+    /// The call, kept so that it can be sent again.
     pub call: Sendable,
-    /// What holds for it.
+    /// Route, service and account of the call.
     pub terms: Terms,
-    /// Tokens held.
+    /// Tokens reserved for the call.
     pub reservation: Reservation,
-    /// Its line in the logs.
+    /// The call's log record.
     pub record: Record,
-    /// Its sends.
+    /// Outcomes of the call's sends so far.
     pub attempts: Attempts,
-    /// Targets that it was sent to.
+    /// Targets that the call was sent to.
     pub tried: Vec<TargetId>,
-    /// When the caller gets its final answer in any case.
+    /// Time by which the stream ends in any case.
     pub deadline: Duration,
-    /// The run under way.
+    /// The current run.
     pub run: Option<Run>,
-    /// Counts the call as open.
+    /// Keeps the call counted as open.
     pub open: OpenCall,
     /// The caller's connection.
     pub caller: CallerLink,
-    /// Last event that the caller has.
+    /// Id of the last event sent to the caller.
     pub last_event: Option<u64>,
-    /// Cuts the stream into events.
+    /// Splits the stream into events.
     pub cutter: EventCutter,
-    /// When the last event came.
+    /// Arrival time of the last event.
     pub event_at: Option<Duration>,
-    /// Longest pause between two events.
+    /// Longest pause between two events so far.
     pub pause_max: Duration,
-    /// Whether the run under way is waited out, since no other could follow it when it paused.
+    /// Whether a pause of the current run is no longer a reason to resume, since no other target
+    /// was available when it paused.
     pub is_waited_out: bool,
-    /// The first event, while the head of the answer is passed on.
+    /// The first event, buffered until the head of the answer has been sent.
     pub first_frame: Option<Frame<Bytes>>,
-    /// Whether the stream is over.
+    /// How the stream ended; `None` while it is open.
     pub over: Option<Over>,
 }
 
-/// How the stream of one run went on.
+/// Next outcome of reading the current run's stream.
 enum Piece {
     Event(WholeEvent),
     End,
     /// The connection ended before the stream.
     Closed(&'static str),
-    /// No event came for long.
+    /// No event arrived within the limit.
     Stalled,
-    /// The run is of no more use.
+    /// The run cannot be continued.
     Broken(&'static str),
     TooLate,
 }
 
 impl Relay {
-    /// Makes the answer's body.
+    /// Converts the relay into the body of the answer.
     #[must_use]
     pub fn into_body(self) -> ReplyBody {
         let stream = futures_util::stream::unfold(self, |mut relay| async move {
@@ -98,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what the caller is told where the stream is broken off before that.
+    /// Returns the refusal code if the stream was broken off before its first event.
     pub async fn begin(&mut self) -> Result<(), RefusalCode> {
         self.first_frame = match self.next_frame().await {
             Some(Ok(frame)) => Some(frame),
@@ -142,7 +143,8 @@
                     }
                 }
                 Piece::Stalled => {
-                    // Let go before its successor is chosen, a run would be lost that may go on.
+                    // The current run is kept until a successor has been chosen: dropping it
+                    // earlier would lose a run that may still continue.
                     let Some(next) = self.choose_next(SendEnd::Unknown) else {
                         self.is_waited_out = true;
                         continue;
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Counts an event; returns its bytes where the caller does not have it yet.
+    /// Records an event; returns its bytes unless the caller already has it.
     fn take_event(&mut self, event: WholeEvent) -> Option<Bytes> {
         self.record.first_byte();
         let now = self.gateway.now();
@@ -221,14 +223,14 @@
         Some(event.bytes)
     }
 
-    /// Ends a stream that a stop cannot wait for.
+    /// Breaks off a stream that the shutdown cannot wait for.
     fn cut(&mut self) -> std::io::Error {
         let error = self.break_off(RefusalCode::Stopping, "stopping");
         self.record.end(EventCode::CallCut, "cut_by_stop");
         error
     }
 
-    /// Notes how long the call lasted.
+    /// Records the duration of the call for its route.
     fn note_time(&self) {
         let now = self.gateway.now();
         let took = now.saturating_sub(self.record.began_at());
--- a/crates/damaskstile-gateway/src/relay/going_on.rs
+++ b/crates/damaskstile-gateway/src/relay/going_on.rs
@@ -1,4 +1,4 @@
-//! `going_on` has a stream go on at another target.
+//! Resumes a stream at another target after its run failed or stalled.
 
 use damaskstile_core::prelude::*;
 use damaskstile_requests::{Next, SendEnd};
@@ -13,8 +13,8 @@
 use crate::send;
 
 impl Relay {
-    /// Tells whether the stream may go on at another target: the route allows it, and no stop
-    /// would cut it off there. While it may not, a target's silence is waited out.
+    /// Returns whether the stream may be resumed at another target: the route allows repeated
+    /// sends, and no shutdown would cut it off there. Otherwise a silent target is waited for.
     pub(super) fn may_go_on(&self) -> bool {
         let (route, began_at) = (&self.terms.route, self.record.began_at());
         let is_over_in_time = || {
@@ -24,13 +24,14 @@
         route.kind.is_repeatable() && is_over_in_time()
     }
 
-    /// Tells whether the call asks for what is known to end its targets, by other attempts too.
+    /// Returns whether the call's content is quarantined by now, also because of attempts by other
+    /// callers.
     fn is_barred(&self) -> bool {
         let account = self.terms.account.as_deref();
         self.gateway.barred(&self.call, account).is_some()
     }
 
-    /// Finds out what became of a target that closed the connection in the middle of the stream.
+    /// Checks whether the target that closed the connection in mid-stream has ended.
     pub(super) async fn note_closed(&mut self) {
         let Some(run) = &self.run else {
             return;
@@ -39,8 +40,8 @@
         sent.follow_up(&self.gateway, &self.call, &self.terms).await;
     }
 
-    /// Chooses the target at which the stream goes on once a run has ended so; `None` where it may go
-    /// on nowhere. A run under way stays.
+    /// Chooses the target at which the stream resumes if the current run ends with `end`; `None` if
+    /// it cannot be resumed. The current run is left untouched.
     pub(super) fn choose_next(&mut self, end: SendEnd) -> Option<Choice> {
         if !self.may_go_on() || self.is_barred() || self.left().is_zero() {
             return None;
@@ -62,7 +63,8 @@
         Some(choice)
     }
 
-    /// Lets the run under way go, and goes on at the target that was chosen for that.
+    /// Drops the current run and resumes the stream at the chosen target, or at further ones if
+    /// that fails. Returns false if none took the call.
     pub(super) async fn go_on(&mut self, cause: &'static str, next: Option<Choice>) -> bool {
         if let Some(run) = self.run.take() {
             run.running.note(false);
--- a/crates/damaskstile-gateway/src/relay/over.rs
+++ b/crates/damaskstile-gateway/src/relay/over.rs
@@ -1,12 +1,12 @@
-//! `over` tells how a stream ended for its caller.
+//! Outcome of a relayed stream.
 
 use damaskstile_core::prelude::*;
 
-/// `Over` tells how a stream ended for its caller.
+/// How a relayed stream ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Over {
-    /// With its last event.
+    /// Complete, including its last event.
     Whole,
-    /// Broken off.
+    /// Broken off before its last event, for this reason.
     BrokenOff(RefusalCode),
 }
--- a/crates/damaskstile-gateway/src/reply.rs
+++ b/crates/damaskstile-gateway/src/reply.rs
@@ -1,4 +1,4 @@
-//! `reply` makes the answers of an instance's own.
+//! Answers that an instance makes itself.
 
 use bytes::Bytes;
 use damaskstile_core::prelude::*;
@@ -9,29 +9,29 @@
 
 use crate::gateway::Gateway;
 
-/// `ReplyBody` is the body of an answer; an error in it breaks the connection off, so that a cut
-/// answer never looks whole.
+/// Body of an answer. An error in it breaks the connection, so that a truncated answer never looks
+/// complete.
 pub type ReplyBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Wait that is advised where another instance can serve the call now: none.
+/// Advised wait if another instance can serve the call now: none.
 pub const RETRY_AT_ONCE: Duration = Duration::ZERO;
-/// Wait that is advised where the cause passes as soon as a message or two went round.
+/// Advised wait if the cause passes after a message round trip or two.
 pub const RETRY_SOON: Duration = Duration::from_millis(200);
-/// Wait that is advised where instances or targets have to come back.
+/// Advised wait if instances or targets have to come back first.
 pub const RETRY_LATER: Duration = Duration::from_millis(600);
 
-/// Wait that is advised where only a top-up helps. Operators make one within minutes at best, so
-/// coming back sooner would be refused again.
+/// Advised wait if only a top-up helps. Operators take minutes at best to make one, so earlier
+/// retries would be refused again.
 pub const RETRY_AFTER_TOP_UP: Duration = Duration::from_secs(5);
 
-/// `Refusal` is an answer of this instance's own.
+/// An answer that this instance makes itself instead of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub code: RefusalCode,
-    /// Whether the call may have run.
+    /// Whether the call may have been executed.
     pub has_run: bool,
-    /// When coming back may help.
+    /// Advised wait before a retry.
     pub retry_after: Option<Duration>,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl Refusal {
-    /// Makes the refusal of a call that has not run and never will.
+    /// Creates the refusal of a call that was not executed and will not be.
     #[must_use]
     pub fn not_run(code: RefusalCode, retry_after: Option<Duration>) -> Self {
         Self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Makes the answer to a call that may have run.
+    /// Creates the answer to a call that may have been executed.
     #[must_use]
     pub fn unknown(code: RefusalCode) -> Self {
         Self {
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Returns the status. Only those that promise that the call has not run are used for it.
+    /// Returns the HTTP status. Statuses that guarantee that the call was not executed are used for
+    /// nothing else.
     ///
     /// ```
     /// use damaskstile_core::codes::RefusalCode;
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Makes the answer.
+    /// Builds the HTTP response.
     #[must_use]
     pub fn reply(&self, gateway: &Gateway, id: Option<&str>) -> Response<ReplyBody> {
         let body = RefusalBody {
@@ -120,7 +121,7 @@
     }
 }
 
-/// Makes a body that is there as a whole.
+/// Creates a body from bytes that are all available.
 #[must_use]
 pub fn whole(bytes: Bytes) -> ReplyBody {
     Full::new(bytes)
--- a/crates/damaskstile-gateway/src/run.rs
+++ b/crates/damaskstile-gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! `run` sends a call to one target and follows it there.
+//! Sends a call to one target and waits for the head of its answer.
 
 use std::io::ErrorKind;
 use std::pin::pin;
@@ -24,27 +24,27 @@
 use crate::sendable::Sendable;
 use crate::target_says;
 
-/// `Run` is an answer that a target has begun.
+/// An answer whose head has arrived from a target.
 #[derive(Debug)]
 pub struct Run {
     /// Status and headers.
     pub parts: response::Parts,
-    /// What the target says of it.
+    /// Decoded headers of the answer.
     pub head: AnswerHead,
-    /// Body, still to come.
+    /// Body, not read yet.
     pub body: Incoming,
-    /// The connection, closed when dropped.
+    /// The connection; closed when dropped.
     pub lease: Lease,
-    /// The call's place at the target.
+    /// Counts the call as running at the target.
     pub running: Running,
 }
 
-/// `NoRun` tells why a send brought no answer for the caller.
+/// Why a send produced no answer for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoRun {
-    /// What it proves.
+    /// What is known about the call's execution.
     pub end: SendEnd,
-    /// What happened, for the logs.
+    /// Cause, for the logs.
     pub cause: &'static str,
 }
 
@@ -54,13 +54,13 @@
     }
 }
 
-/// Sends a call to one target and waits for the head of its answer, until `patience` is over and
-/// another target could follow. The time that its connection takes counts: left out, it came on top
-/// of the route's time-out.
+/// Sends a call to one target and waits for the head of its answer, until the wait limit in
+/// `patience` expires while another target is available. The time to connect counts towards the
+/// limit; otherwise it would be added to the route's time-out.
 ///
 /// # Errors
 ///
-/// Returns what the failed send proves.
+/// Returns what the failed send proves about the execution of the call.
 pub async fn start(
     gateway: &Arc<Gateway>,
     caller: &CallerLink,
@@ -86,15 +86,16 @@
             return Err(NoRun::new(SendEnd::NotSent, "no_connection"));
         }
     };
-    // Making a connection takes up to a few hundred milliseconds over a full link, and what is heard
-    // meanwhile may take the target out of use. It would get the call although this instance knows
-    // better; nothing of the call was sent yet, so any other target may have it.
+    // Connecting takes up to a few hundred milliseconds over a saturated link, and updates received
+    // meanwhile may have taken the target out of use. Nothing of the call has been sent yet, so any
+    // other target may still take it.
     let now = gateway.now();
     if !gateway.state().book.claim_send(now, &choice.identity()) {
         return Err(NoRun::new(SendEnd::NotSent, "leaving"));
     }
     if caller.has_left() {
-        // The connection's task drops the call as soon as it sees that.
+        // The connection's task drops this future as soon as it notices that the caller has
+        // disconnected.
         std::future::pending::<()>().await;
     }
     let send = SendHead {
@@ -119,7 +120,8 @@
         Ok(Ok(answer)) => answer,
         Ok(Err(SendError::NotSent)) => return Err(NoRun::new(SendEnd::NotSent, "closed_before")),
         Ok(Err(SendError::Broken(_))) => {
-            // A kept connection that its target closes in time says nothing of the target.
+            // Targets close pooled connections when their idle time is up, so a break on one says
+            // nothing about the target.
             if !lease.is_reused {
                 running.note(false);
             }
@@ -152,7 +154,7 @@
     request
 }
 
-/// Decides whether an answer is the one to this call and tells of a run.
+/// Checks that an answer belongs to this call and shows that the call was executed.
 fn judge(gateway: &Gateway, call: &Sendable, run: Run) -> Result<Run, NoRun> {
     let choice = &run.running.choice;
     let is_own = run.head.id.is_none() || call.id.is_none() || run.head.id == call.id;
@@ -162,8 +164,8 @@
         let mut state = gateway.state();
         state.book.report(now, choice, load.running, load.waiting);
     }
-    // An answer to an earlier call may arrive late, where the next one is expected. Passed on,
-    // it would give this caller another's answer. The connection is closed with the run.
+    // A late answer to an earlier call may arrive where the next one is expected. Passing it on
+    // would give this caller another caller's answer. The connection is closed with the run.
     if !is_own {
         run.running.note(false);
         return Err(NoRun::new(SendEnd::Unknown, "foreign_answer"));
--- a/crates/damaskstile-gateway/src/running.rs
+++ b/crates/damaskstile-gateway/src/running.rs
@@ -1,4 +1,4 @@
-//! `running` counts a call at its target while it runs there.
+//! Guard that counts a call as running at its target.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::outgoing::Outgoing;
 use crate::peers::Reading;
 
-/// `Running` counts a call at its target while it runs there.
+/// Counts a call as running at its target until it is dropped.
 #[derive(Debug)]
 pub struct Running {
     gateway: Arc<Gateway>,
@@ -26,12 +26,12 @@
             let now = gateway.now();
             let mut state = gateway.state();
             state.book.sent(now, &choice, work);
-            // A word to all peers takes as much of the link as the prompt itself.
+            // A message to all peers takes as much of the link as the prompt itself.
             let has_room = !state.pressure.is_high(now);
             state.book.reading_to_tell(&choice).filter(|_| has_room)
         };
         if let Some(time) = reading {
-            // Peers that are not told choose as if they had not heard.
+            // Best effort: a peer that misses the message chooses targets without it.
             let reading = Reading::new(choice.identity(), time);
             let _ = gateway.outbox.try_send(Outgoing::Reading(reading));
         }
@@ -50,7 +50,7 @@
         self.sent_at
     }
 
-    /// Notes that an event came; the first one tells how fast the target reads.
+    /// Records an event; the time to the first one shows how fast the target processes prompts.
     pub fn event(&mut self) {
         if !self.is_prefilled {
             let took = self.gateway.now().saturating_sub(self.sent_at);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Notes how the target served the call.
+    /// Records whether the target served the call.
     pub fn note(&self, is_success: bool) {
         let now = self.gateway.now();
         let book = &mut self.gateway.state().book;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Notes that nothing takes connections at the target.
+    /// Records that the target's address refuses connections.
     pub(crate) fn ended(&self) {
         self.silent();
         let now = self.gateway.now();
@@ -86,7 +86,7 @@
         book.note_ended(now, &self.choice.identity());
     }
 
-    /// Notes that the target did not answer at all.
+    /// Records that the target did not answer at all.
     pub(crate) fn silent(&self) {
         let now = self.gateway.now();
         self.gateway.state().book.silent(now, &self.choice);
--- a/crates/damaskstile-gateway/src/send.rs
+++ b/crates/damaskstile-gateway/src/send.rs
@@ -1,4 +1,4 @@
-//! `send` chooses a target for a call and notes what follows from it.
+//! Target selection for a send, with its bookkeeping.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::Choice;
@@ -8,8 +8,9 @@
 use crate::reservation::Reservation;
 use crate::sendable::Sendable;
 
-/// Chooses a target for a call, other than those tried, and notes it in all that the call has:
-/// from here on it may run. `None` where there is no other target.
+/// Chooses a target for a call, excluding those in `tried`, and records the choice in the call's
+/// state. From here on the call counts as possibly executed. Returns `None` if no other target is
+/// available.
 pub(crate) fn choose(
     gateway: &Gateway,
     service: &str,
--- a/crates/damaskstile-gateway/src/sendable.rs
+++ b/crates/damaskstile-gateway/src/sendable.rs
@@ -1,14 +1,14 @@
-//! `sendable` is a call as it goes to any target.
+//! A call in the form in which it can be sent to any target.
 
 use bytes::Bytes;
 use damaskstile_requests::Content;
 use damaskstile_targets::Work;
 use http::{HeaderMap, Method, Uri, header};
 
-/// Bytes of a call's head, with those of the packets that carry it.
+/// Estimated size of a call's head and of the packet headers that carry it.
 const HEAD_BYTES: usize = 1_000;
 
-/// `Sendable` is a call as it goes to any target.
+/// A call in the form in which it can be sent to any target, repeatedly if need be.
 #[derive(Debug, Clone)]
 pub struct Sendable {
     /// Method.
@@ -19,20 +19,21 @@
     pub headers: HeaderMap,
     /// Body, unchanged.
     pub body: Bytes,
-    /// The caller's name of the attempt.
+    /// The caller's id of the attempt.
     pub id: Option<String>,
-    /// What it asks of a target.
+    /// Tokens and placement that the call asks of a target.
     pub work: Work,
 }
 
 impl Sendable {
-    /// Returns about how many bytes it takes on a link.
+    /// Returns the approximate number of bytes that the call takes on the link.
     #[must_use]
     pub fn link_bytes(&self) -> usize {
         self.body.len() + HEAD_BYTES
     }
 
-    /// Returns what it asks for, for a client account.
+    /// Returns the content of the call that is checked for crashes of targets, for a client
+    /// account.
     #[must_use]
     pub fn content<'a>(&'a self, account: Option<&'a str>) -> Content<'a> {
         let host = self.headers.get(header::HOST);
--- a/crates/damaskstile-gateway/src/sent_bytes.rs
+++ b/crates/damaskstile-gateway/src/sent_bytes.rs
@@ -1,17 +1,17 @@
-//! `sent_bytes` counts what an instance sends to its peers, by what it is for.
+//! Bytes sent to peers, by purpose.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// `SentBytes` counts what an instance sends to its peers, by what it is for.
+/// Counts the bytes that an instance sends to its peers, by purpose.
 #[derive(Debug, Default)]
 pub struct SentBytes {
     counts: Mutex<BTreeMap<&'static str, u64>>,
 }
 
 impl SentBytes {
-    /// Counts bytes that were sent.
+    /// Adds bytes that were sent.
     ///
     /// ```
     /// use damaskstile_gateway::sent_bytes::SentBytes;
@@ -25,12 +25,12 @@
         *self.lock().entry(duty).or_default() += bytes;
     }
 
-    /// Returns the bytes so far, by what they were for.
+    /// Returns the total bytes by purpose.
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
         self.lock().clone()
     }
 
-    /// Returns the bytes so far as one line: `digest:500,list:120`.
+    /// Returns the total bytes as one line: `digest:500,list:120`.
     #[must_use]
     pub fn summary(&self) -> String {
         let mut text = String::new();
--- a/crates/damaskstile-gateway/src/stop.rs
+++ b/crates/damaskstile-gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! `stop` ends an instance without cutting off a call.
+//! Graceful shutdown: lets open calls finish and hands back tokens before the process ends.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use crate::rounds;
 use crate::stop_times::StopTimes;
 
-/// Time between two looks at what is still open.
+/// Interval between two checks for open calls.
 const LOOK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits for the order to stop and carries it out.
+/// Waits for SIGTERM or SIGINT and shuts the instance down.
 ///
 /// # Errors
 ///
@@ -35,7 +35,8 @@
 
     tokio::time::sleep(times.closing_at.saturating_sub(began_at)).await;
     gateway.phase.send_replace(Phase::Closing);
-    // What no open call holds goes back now, so that little is left to do after the last call.
+    // The balance that no open call has reserved is handed back now, so that little is left to do
+    // after the last call.
     gateway.state().holder.stop();
     gateway.tokens_wanted.notify_one();
     gateway.round_wanted.notify_one();
@@ -45,29 +46,29 @@
     }
     let cut_calls = gateway.open_calls();
     gateway.phase.send_replace(Phase::Ending);
-    // Calls that are cut let go of their tokens, and their callers are told.
+    // Gives cut calls time to release their tokens and to answer their callers.
     tokio::time::sleep(LOOK_INTERVAL).await;
     end(&gateway, &times, cut_calls).await;
     Ok(())
 }
 
-/// Tells whether nothing is left to hand back. What is lent comes back when the calls that borrowed
-/// it are over; a process that ended before would leave it to count as spent.
+/// Returns whether nothing is left to hand back. Loaned tokens return when the borrowing calls have
+/// ended; if the process ended before that, they would count as spent.
 fn has_handed_back(gateway: &Gateway) -> bool {
     let state = gateway.state();
     state.lender.open_loans() == 0 && state.holder.is_handed_back()
 }
 
-/// Hands back what is held, and waits for callers to read what was written to them.
+/// Hands back the remaining balance, and waits for callers to read what was written to them.
 ///
-/// Answers of which a part still waits in the process are cut when it ends: a caller that reads
-/// slowly would lose the end of an answer that counts as given.
+/// When the process ends, unsent parts of answers are lost: a caller that reads slowly would miss
+/// the end of an answer that is logged as delivered.
 async fn end(gateway: &Gateway, times: &StopTimes, cut_calls: usize) {
-    // What peers handed over goes back to them, the rest to the store.
+    // Tokens transferred from peers are returned to them, the rest goes to the store.
     gateway.tokens_wanted.notify_one();
     let mut is_handed_back;
     loop {
-        // Asked anew each time: a call whose caller does not read lets go of its tokens late.
+        // Checked in each iteration: a call whose caller does not read releases its tokens late.
         is_handed_back = has_handed_back(gateway);
         let is_done = is_handed_back && gateway.open_connections() == 0;
         if is_done || gateway.now() >= times.end_at {
--- a/crates/damaskstile-gateway/src/stop_times.rs
+++ b/crates/damaskstile-gateway/src/stop_times.rs
@@ -1,35 +1,37 @@
-//! `stop_times` are the moments of a stop, fixed when the order comes.
+//! Schedule of a shutdown, fixed when the signal arrives.
 
 use damaskstile_core::prelude::*;
 
-/// Time for which an instance that is leaving still takes calls that will be over in time. The
-/// balancer asks once a second and needs two refusals, so it knows after 2.2 s at most, and callers
-/// on open connections learn of it with an answer. Later calls get a refusal, which costs little.
-/// Callers may count on calls of the first three seconds; the tenth below that is for the time
-/// until the order is seen here, which was 10 ms at most in the logs of an idle machine.
+/// Time for which an instance that is shutting down still accepts calls that will finish in time.
+/// The balancer polls readiness once a second and needs two failures, so it knows after 2.2 s at
+/// most; callers on open connections learn of it from the next answer. Later calls are refused,
+/// which costs little. Callers may rely on calls of the first three seconds being accepted; the
+/// tenth of a second below that covers the delay until the signal is handled, at most 10 ms in the
+/// logs of an idle machine.
 const LEAVING_TIME: Duration = Duration::from_millis(2_900);
-/// Part of the stop's time that is left after the last call. All that no open call holds is handed
-/// back by then, so what is left is one conditional write, and a second one after a conflict, of
-/// some 20 ms each. Each tenth of a second more would cut off more calls.
+/// Time reserved at the end of a shutdown, after the last call. Everything that no open call holds
+/// has been handed back by then, so what is left is one conditional write, and a second one after a
+/// conflict, of some 20 ms each. Each further tenth of a second would cut off more calls.
 const HAND_BACK_TIME: Duration = Duration::from_millis(300);
-/// Largest part of the limit that this may be, one in so many: it counts where limits are short.
+/// Upper bound of that time as a fraction of the shutdown limit (one in this many); applies where
+/// the limit is short.
 const HAND_BACK_PART: u32 = 20;
 
-/// `StopTimes` are the moments of a stop, fixed when the order comes.
+/// Schedule of a shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopTimes {
-    /// When the order came.
+    /// When the shutdown signal arrived.
     pub began_at: Duration,
-    /// From when on no call is taken.
+    /// From when on no new call is accepted.
     pub closing_at: Duration,
     /// When calls that are still open are cut off.
     pub cut_at: Duration,
-    /// When the process ends, whatever is not done.
+    /// When the process ends, even if work is left.
     pub end_at: Duration,
 }
 
 impl StopTimes {
-    /// Fixes the moments of a stop that must be over within a limit.
+    /// Computes the schedule of a shutdown that must complete within `limit`.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/damaskstile-gateway/src/suspicion.rs
+++ b/crates/damaskstile-gateway/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! `suspicion` keeps what a gateway knows of contents that end targets, and says so in the logs.
+//! Detection of crash-inducing content: checks, updates and log lines.
 
 use damaskstile_core::prelude::*;
 use damaskstile_requests::{Fingerprint, SuspectWord, Verdicts};
@@ -8,11 +8,11 @@
 use crate::reply::Refusal;
 use crate::sendable::Sendable;
 
-/// Where an instance's own word is meant in place of a peer's.
+/// Log value for a verdict reached by this instance rather than reported by a peer.
 const OWN: &str = "own";
 
 impl Gateway {
-    /// Returns the refusal of a call for what is known to end its targets, which has not run.
+    /// Returns the refusal of a call whose content is quarantined; such a call was not executed.
     pub(crate) fn barred(&self, call: &Sendable, account: Option<&str>) -> Option<Refusal> {
         let now = self.now();
         let content = call.content(account);
@@ -20,7 +20,7 @@
         Some(Refusal::not_run(RefusalCode::CrashesTargets, Some(left)))
     }
 
-    /// Notes that a target ended while it ran a call.
+    /// Records that a target ended while it ran a call.
     pub(crate) fn note_end(&self, content: Fingerprint, account: &str, target: TargetIdentity) {
         let now = self.now();
         let verdicts = {
@@ -31,7 +31,7 @@
         self.log_verdicts(OWN, &verdicts);
     }
 
-    /// Notes that a target ran a call to its end.
+    /// Records that a target completed a call.
     pub(crate) fn note_success(&self, call: &Sendable, account: Option<&str>) {
         let now = self.now();
         let content = call.content(account);
@@ -40,10 +40,11 @@
         self.log_verdicts(OWN, &verdicts);
     }
 
-    /// Tells peers what was found here.
+    /// Sends the verdicts reached here to peers.
     fn tell(&self, verdicts: &Verdicts) {
         if let Some(content) = verdicts.news {
-            // Where the ring is full, the next end under the content tells this one too.
+            // If the queue is full the report is dropped; the report of the next end under this
+            // content includes this one.
             let _ = self.outbox.try_send(Outgoing::Suspect(content));
         }
         if !verdicts.barred.is_empty() {
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Takes in what a peer tells. That a content is refused is passed on at once: in a large fleet a
-    /// digest goes to few, and the same is likely to be asked of any instance next.
+    /// Handles a peer's report. A quarantine is passed on at once: in a large fleet a digest
+    /// reaches only a few peers, and the same content is likely to be sent to any instance next.
     pub(crate) fn hear_suspect(&self, from: &str, word: SuspectWord) {
         let now = self.now();
         let verdicts = self.state().suspects.hear(now, word);
--- a/crates/damaskstile-gateway/src/target_ends.rs
+++ b/crates/damaskstile-gateway/src/target_ends.rs
@@ -1,4 +1,4 @@
-//! `target_ends` finds out whether a target has ended, once a call to it broke.
+//! Checks whether a target has ended after a call to it broke.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,26 +8,25 @@
 use tokio::sync::OnceCell;
 use tokio::time::timeout;
 
-/// Longest wait for an answer to a connection: many round trips within a region. Whoever waits
-/// for it has a call to send again.
+/// Connect time-out: many round trips within a region. The retry of a call waits for the result.
 const LOOK_LIMIT: Duration = Duration::from_millis(100);
-/// Time for which what was found holds. All calls at a target that ends break within milliseconds,
-/// and a target that starts again may take connections a second later.
+/// Time for which a result is reused. When a target ends, all its calls break within milliseconds;
+/// a target that restarts may accept connections a second later.
 const FOUND_FOR: Duration = Duration::from_millis(300);
 
-/// `TargetState` is what became of a target at which a call broke.
+/// State of a target after a call to it broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetState {
-    /// It takes connections: only the call broke.
+    /// The target accepts connections: only the call broke.
     Lives,
-    /// Nothing takes connections at its address.
+    /// The target's address refuses connections.
     Ended,
-    /// Nobody answers: it may have lost power, or a link is cut.
+    /// No reply: the target may have lost power, or a link is down.
     Unknown,
 }
 
 impl TargetState {
-    /// Returns the word for it in logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -38,7 +37,7 @@
     }
 }
 
-/// `TargetEnds` finds out whether targets have ended. Calls that break together look once.
+/// Checks whether targets have ended. Calls that break at the same time share one check.
 #[derive(Debug, Default)]
 pub struct TargetEnds {
     looks: Mutex<BTreeMap<TargetIdentity, Look>>,
@@ -51,7 +50,7 @@
 }
 
 impl TargetEnds {
-    /// Finds out whether an incarnation of a target, at which a call broke just now, has ended.
+    /// Checks whether an incarnation of a target, at which a call has just broken, has ended.
     pub async fn look(
         &self,
         now: Duration,
@@ -73,7 +72,7 @@
     }
 }
 
-/// Asks for a connection and gives it up at once.
+/// Opens a connection and drops it at once.
 async fn connect(address: SocketAddr) -> TargetState {
     match timeout(LOOK_LIMIT, TcpStream::connect(address)).await {
         Ok(Ok(_)) => TargetState::Lives,
--- a/crates/damaskstile-gateway/src/target_says.rs
+++ b/crates/damaskstile-gateway/src/target_says.rs
@@ -1,4 +1,4 @@
-//! `target_says` takes in what a target says of itself in an answer.
+//! Handling of what a target's answers say about the target itself.
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
@@ -10,16 +10,16 @@
 use crate::running::Running;
 use crate::target_list::incarnation_text;
 
-/// Part of a pause by which an instance stays away longer, by chance.
+/// Random extra backoff, as a fraction of the requested one (one in this many).
 const PAUSE_SPREAD_PART: u32 = 5;
-/// Pause up to which it is a part of it.
+/// Longest backoff to which that fraction is applied.
 const PAUSE_SPREAD_OF_MAX: Duration = Duration::from_secs(10);
 
-/// Takes in what the target of a call says of itself in the head of an answer, to that call or to an
-/// earlier one.
+/// Handles what the target says about itself in the head of an answer. `is_own` tells whether the
+/// answer belongs to this call; otherwise it is a late one to an earlier call.
 pub(crate) fn heed(gateway: &Gateway, head: &AnswerHead, running: &Running, is_own: bool) {
     let choice = &running.choice;
-    // There another target speaks.
+    // The answer is from another target at the same address.
     if head.handling == Handling::Misdirected {
         return;
     }
@@ -29,18 +29,18 @@
     if let Some(pause) = head.pause.filter(|pause| !pause.is_zero()) {
         heed_pause(gateway, choice, pause);
     }
-    // That an earlier answer names no limit says nothing of now.
+    // A late answer without an advertised limit does not mean that there is none now.
     if is_own || head.named_limit != NamedLimit::Absent {
         heed_limit(gateway, choice, running.sent_at(), head.named_limit);
     }
 }
 
-/// Takes in that a target says in an answer that it leaves.
+/// Handles a target's announcement that it is leaving.
 ///
-/// It may not reach the store for long, and neither the list nor peers tell of it until it has. The
-/// word is on the process that the connection leads to, so any answer on it counts, also one that
-/// turns the call away or answers another one, and it counts from its head on: calls that follow
-/// while a stream goes on would reach a target that has left.
+/// The target may be unable to reach the store for long, in which case neither the list nor peers
+/// report it. The announcement is about the process at the other end of the connection, so any
+/// answer on it counts, even a rejection or one to another call. It counts as soon as the head
+/// arrives: calls sent while a long stream continues would reach a target that has left.
 fn heed_leaving(gateway: &Gateway, choice: &Choice) {
     let target = choice.identity();
     let now = gateway.now();
@@ -56,11 +56,11 @@
     }
 }
 
-/// Takes in that a target wants nothing from this instance for a time.
+/// Handles a target's request for backoff.
 ///
-/// Calls sent before it is over are turned away again, each after a way to the target and back, and
-/// keep a target busy that has no room. Instances that were told the same at the same moment come
-/// back some time apart.
+/// Calls sent during the backoff would be rejected after a round trip each, and keep a target busy
+/// that has no capacity. A random extra time spreads the return of instances that got the same
+/// request at the same moment.
 fn heed_pause(gateway: &Gateway, choice: &Choice, pause: Duration) {
     let now = gateway.now();
     let mut state = gateway.state();
@@ -76,7 +76,7 @@
     gateway.log(EventCode::TargetPaused, &fields);
 }
 
-/// Takes in whether a target names a limit of the calls that it takes.
+/// Handles the rate limit that a target advertises, or its absence.
 fn heed_limit(gateway: &Gateway, choice: &Choice, sent_at: Duration, named: NamedLimit) {
     let now = gateway.now();
     let target = choice.identity();
@@ -89,7 +89,7 @@
     }
 }
 
-/// Logs that a target names another limit than before, or none any more.
+/// Logs that a target's advertised limit has changed or been removed.
 pub(crate) fn log_limit(
     gateway: &Gateway,
     target: &TargetIdentity,
--- a/crates/damaskstile-gateway/src/target_words.rs
+++ b/crates/damaskstile-gateway/src/target_words.rs
@@ -1,26 +1,25 @@
-//! `target_words` remembers at which version of the list targets were gone, to tell older words of
-//! them from newer ones.
+//! Versions of the target list at which targets were delisted, to discard older reports.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::{Listed, Refused};
 
-/// Targets remembered. Late words are seconds old, and a fleet of hundreds of targets replaces all
-/// of them a few times an hour at most.
+/// Maximum number of delisted targets remembered. Late reports are seconds old, and a fleet of
+/// hundreds of targets replaces all of them a few times an hour at most.
 const GONE_MAX: usize = 4096;
 
-/// `TargetWords` remembers at which version of the list targets were gone.
+/// Versions of the target list at which targets were delisted.
 ///
-/// Lists and digests overtake each other: a list that a peer or the store made before a target
-/// vanished may come after the word that it has. Taken for the newest because it came last, it
-/// would bring back a target that takes no more work, and nothing need say so again soon. All
-/// words bear versions of the store, so the higher one counts, in whatever order they come.
+/// Lists and digests may arrive out of order: a list that a peer or the store made before a target
+/// was delisted may arrive after the report of the delisting. If the last arrival counted as the
+/// newest, it would bring back a target that accepts no more work, possibly for long. All reports
+/// carry versions of the store, so the higher version counts, in whatever order they arrive.
 #[derive(Debug, Clone, Default)]
 pub struct TargetWords {
     gone_at: BTreeMap<TargetId, Version>,
 }
 
 impl TargetWords {
-    /// Notes that a target was gone at a version.
+    /// Records that a target was delisted at a version.
     pub fn note_gone(&mut self, target: &str, version: Version) {
         let gone_at = self.gone_at.entry(target.to_owned()).or_default();
         *gone_at = version.max(*gone_at);
@@ -36,14 +35,14 @@
         }
     }
 
-    /// Returns the version at which a target was last known to be gone; 0 where it never was.
+    /// Returns the last known version at which a target was delisted; 0 if there is none.
     #[must_use]
     pub fn gone_at(&self, target: &str) -> Version {
         self.gone_at.get(target).copied().unwrap_or_default()
     }
 
-    /// Leaves out of a list the targets that were gone at a later version, and forgets what the
-    /// list is newer than.
+    /// Removes from a list the targets that were delisted at the list's version or later, and
+    /// forgets the delistings that the list supersedes.
     ///
     /// ```
     /// use damaskstile_gateway::target_words::TargetWords;
@@ -66,7 +65,8 @@
         all
     }
 
-    /// Takes in that a target was listed at a version; returns false where it was gone later.
+    /// Records that a target was listed at a version; returns false if it was delisted at that
+    /// version or later.
     pub fn take_entry(&mut self, version: Version, target: &str) -> bool {
         let is_newer = version > self.gone_at(target);
         if is_newer {
--- a/crates/damaskstile-gateway/src/watched_stream.rs
+++ b/crates/damaskstile-gateway/src/watched_stream.rs
@@ -1,4 +1,4 @@
-//! `watched_stream` is a connection that notes how long its writes wait for room.
+//! Connection that measures how long its writes are blocked.
 
 use std::io::{ErrorKind, IoSlice, Read, Result};
 use std::net::Shutdown;
@@ -13,7 +13,7 @@
 
 use crate::link_times::LinkTimes;
 
-/// `WatchedStream` is a connection that notes how long its writes wait for room.
+/// TCP stream that measures how long its writes are blocked.
 #[derive(Debug)]
 pub(crate) struct WatchedStream {
     stream: Arc<TcpStream>,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Writes once there is room.
+    /// Writes when the socket has room.
     fn poll_with(
         &mut self,
         context: &mut Context<'_>,
@@ -68,11 +68,11 @@
     }
 }
 
-/// Reads what is there. Less than there is room for is all that there is, and the connection counts as
-/// read without another look at it.
+/// Reads the available bytes. A read that does not fill the buffer has drained the socket, so the
+/// readiness is cleared without another read.
 fn read_at_once(stream: &TcpStream, buffer: &mut [u8]) -> Result<usize> {
     let mut read = Err(ErrorKind::WouldBlock.into());
-    // The outcome is in `read`; what is returned says whether there may be more.
+    // The result is in `read`; the closure's result only tells tokio whether more may be available.
     let _ = stream.try_io(Interest::READABLE, || {
         read = (&*SockRef::from(stream)).read(buffer);
         match &read {
--- a/crates/damaskstile-gateway/tests/behind.rs
+++ b/crates/damaskstile-gateway/tests/behind.rs
@@ -1,4 +1,5 @@
-//! Watches and lists of targets that are behind, and entries that lapsed for a watcher.
+//! Handling of stale watch events and lists of targets, and of entries that lapsed during an
+//! outage.
 
 mod support;
 
@@ -18,15 +19,14 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::Notify;
 
-/// Time within which what is waited for must happen.
+/// Time limit for each expected event.
 const LIMIT: Duration = Duration::from_secs(5);
-/// Version of the list that the store gives, of the change that the watch tells, and of the list
-/// that a peer had.
+/// Versions of the store's list, of the change that the watch reports, and of a peer's list.
 const LISTED: Version = 280;
 const WATCHED: Version = 285;
 const NEWER: Version = 290;
 
-/// A store whose first watch tells, once it is let go, that a target is gone.
+/// A store whose first watch reports, once it is released, that a target was delisted.
 #[derive(Debug, Default)]
 struct LateStore {
     let_go: Notify,
@@ -117,9 +117,9 @@
 
 #[tokio::test]
 async fn a_watch_that_is_behind_takes_out_no_target_that_a_newer_list_names() {
-    // Symptom: a sound target gets no calls, and peers are told that it vanished. Sequence: it
-    // vanishes and comes back; a peer's list that names it is taken in; then a watch tells of the
-    // vanishing alone. Cause: what came last was taken for what is newest.
+    // Guards against a healthy target getting no calls because peers are told that it was delisted.
+    // It is delisted and listed again; a peer's list that contains it is accepted; then a delayed
+    // watch reports only the delisting. The event that arrived last used to count as the newest.
 
     // Arrange
     let store = Arc::new(LateStore::default());
@@ -139,7 +139,7 @@
     assert!(choose(&gateway, &["t1"]).is_some());
 }
 
-/// Makes the digest of a peer that watches the store for a large fleet.
+/// Returns the digest of a peer that watches the store for a large fleet.
 fn watchers_digest() -> Digest {
     Digest {
         targets_version: NEWER,
@@ -153,10 +153,10 @@
 
 #[tokio::test]
 async fn a_follower_waits_for_lapsed_entries_as_the_watcher_does_whose_list_it_pulls() {
-    // Symptom: after an outage of some seconds most instances of a large fleet have no target until
-    // the entries return, while the few that watch the store use them all. Sequence: the entries
-    // lapse; a watcher noticed the outage and waits for them; a follower asked the store nothing
-    // meanwhile and pulls the watcher's list. Cause: it judged by its own contact alone.
+    // Guards against most instances of a large fleet having no target after an outage of some
+    // seconds, while the few that watch the store use all of them. The entries lapse; a watcher
+    // that noticed the outage keeps them; a follower, which made no store call meanwhile, pulls the
+    // watcher's list. It used to judge the list by its own contact with the store alone.
 
     // Arrange
     let store: Arc<dyn ObjectStore> = Arc::new(LateStore::default());
--- a/crates/damaskstile-gateway/tests/call_times.rs
+++ b/crates/damaskstile-gateway/tests/call_times.rs
@@ -1,4 +1,4 @@
-//! What the record of how long calls lasted lets a stop take.
+//! Which calls a shutdown accepts, based on the recorded call durations.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Cases of each property; each takes microseconds.
+/// Cases per property; each takes microseconds.
 const CASES: u32 = 500;
-/// Time between the order to stop and the end, less the platform's margin.
+/// Time limit of the shutdown, less the platform's margin.
 const STOP_LIMIT: Duration = Duration::from_millis(7_500);
 
 fn config() -> Config {
@@ -34,8 +34,8 @@
     times
 }
 
-/// Draws how long a stream lasts, in milliseconds: the product of three draws, so that most are
-/// short and some last several times as long as the middle one.
+/// Draws the duration of a stream in milliseconds: the product of three uniform draws, so most are
+/// short and some last several times the median.
 fn draw_stream_ms(random: &mut Random) -> u64 {
     let draw = |random: &mut Random| 10 + random.below(90);
     let product = draw(random) * draw(random) * draw(random);
@@ -113,10 +113,10 @@
 
 #[test]
 fn at_no_moment_of_a_stop_are_many_of_the_calls_taken_that_it_cuts() {
-    // Symptom: a stop cuts streams in the middle. Sequence: streams that last up to 14 s go on
-    // coming for 3 s after the order, and all that are open 7.2 s after it are cut. Cause: each
-    // was taken, however long streams of its route last. Here 300 stops are played in virtual
-    // time, each after a new draw of what was seen before.
+    // Guards against a shutdown cutting streams off in the middle. Streams of up to 14 s keep
+    // arriving for 3 s after the signal, and all that are open 7.2 s after it are cut. They used to
+    // be accepted however long streams of their route last. 300 shutdowns are simulated in virtual
+    // time, each after a new draw of recorded durations.
 
     // Arrange
     let mut random = Random::new(7);
@@ -142,9 +142,9 @@
         }
     }
 
-    // Assert: of those that come in the last half second one in seven would be cut. Of those that
-    // are taken at most one in eight is, at any time: the bound is one in ten, and 150 calls tell it
-    // only about. At first nearly all are taken.
+    // Assert: of the streams that arrive in the last half second, one in seven would be cut. Of the
+    // accepted ones at most one in eight is cut at any time: the bound is one in ten, and 150
+    // recorded calls estimate it only roughly. At first nearly all are accepted.
     assert!(
         would_be_cut[5] * 7 > came[5],
         "{would_be_cut:?} of {came:?}"
--- a/crates/damaskstile-gateway/tests/charges.rs
+++ b/crates/damaskstile-gateway/tests/charges.rs
@@ -1,4 +1,4 @@
-//! What a call is charged, however it ends.
+//! Tokens charged to a call, for each way it can end.
 
 mod support;
 
@@ -39,9 +39,9 @@
 
 #[test]
 fn a_caller_that_leaves_before_the_first_event_is_charged_the_prompt() {
-    // Symptom: accounts run out although the answers that callers were given used less than was
-    // bought. Sequence: a caller leaves, or a connection to a target breaks, before an event came.
-    // Cause: the most that the call could have generated was charged, which nobody was given.
+    // Guards against accounts running out although the delivered answers used less than was bought.
+    // A caller disconnects, or a connection to a target breaks, before the first event. The call
+    // used to be charged the maximum it could have generated, which nobody received.
 
     // Arrange
     let mut reservation = reservation();
@@ -55,9 +55,9 @@
 
 #[test]
 fn a_call_that_failed_before_its_caller_was_given_anything_is_charged_nothing() {
-    // Symptom: callers are refused for want of tokens while their account has not been given what
-    // it bought: in a day on which targets lose answers, 3 in 100 of it. Cause: calls whose targets
-    // failed were charged their prompts.
+    // Guards against callers being refused for lack of tokens while their account has not received
+    // what it bought: 3 in 100 of it on a day on which targets lose answers. Calls whose targets
+    // failed used to be charged their prompts.
 
     // Arrange
     let mut in_vain = reservation();
@@ -96,7 +96,7 @@
     // Arrange
     let mut reservation = reservation();
 
-    // Act: three runs, of which the second proves that it has not run.
+    // Act: three runs, of which the second proves that it was not executed.
     reservation.sending();
     (0..50).for_each(|_| reservation.delivering());
     reservation.sending();
@@ -105,7 +105,7 @@
     reservation.sending();
     (0..200).for_each(|_| reservation.delivering());
 
-    // Assert: what the first run gave stays charged, the prompt counts once.
+    // Assert: the output of the first run stays charged, the prompt is charged once.
     assert_eq!(between, PROMPT_TOKENS + 50 * TOKENS_PER_EVENT);
     assert_eq!(reservation.used_tokens(), PROMPT_TOKENS + OUTPUT_TOKENS);
     assert_eq!(reservation.used_tokens(), reservation.reserved_tokens());
@@ -113,8 +113,8 @@
 
 #[test]
 fn an_answer_whose_tokens_nobody_counts_is_charged_at_its_most() {
-    // Symptom: an account gets more than it bought. Sequence: a route of a model's service is no
-    // stream, and its answers are passed on whole. Cause: they were charged as no output.
+    // Guards against an account getting more than it bought. A route of a model's service is not a
+    // stream, so its answers are passed on whole. They used to be charged as if they had no output.
 
     // Arrange
     let mut reservation = reservation();
--- a/crates/damaskstile-gateway/tests/content_changes.rs
+++ b/crates/damaskstile-gateway/tests/content_changes.rs
@@ -1,10 +1,10 @@
-//! Catalogues that travel by what differs: the same bytes at the other end, and few of them.
+//! Delta encoding of catalogues: the rebuilt bytes are identical, and the delta is small.
 
 use damaskstile_core::prelude::*;
 use damaskstile_gateway::content_changes::{ContentChanges, rebuild};
 use proptest::prelude::*;
 
-/// Makes a text of objects, as stored catalogues are.
+/// Builds a JSON text of objects, like a stored catalogue.
 fn text(version: u64, objects: &[u64]) -> Vec<u8> {
     let objects: Vec<String> = objects
         .iter()
@@ -26,7 +26,8 @@
 
 #[test]
 fn a_route_that_is_added_to_a_thousand_costs_as_much_as_the_route() {
-    // Guards against: a whole catalogue for each instance of a large fleet and each version.
+    // Guards against sending the whole catalogue to each instance of a large fleet for each
+    // version.
 
     // Arrange
     let objects: Vec<u64> = (0..1_500).collect();
@@ -87,7 +88,7 @@
             chunks,
             literal: Vec::new(),
         };
-        // Whether it fits or not, there is an answer.
+        // The pieces may or may not fit; either way the function must return.
         let _ = rebuild(&base, &[piece]);
     }
 }
--- a/crates/damaskstile-gateway/tests/events.rs
+++ b/crates/damaskstile-gateway/tests/events.rs
@@ -1,10 +1,10 @@
-//! Streams are cut into whole events, however their bytes arrive.
+//! Splitting of streams into complete events, independent of how their bytes are fragmented.
 
 use damaskstile_gateway::events::EventCutter;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// Cases of each property; each takes microseconds.
+/// Cases per property; each takes microseconds.
 const CASES: u32 = 1_000;
 
 fn config() -> Config {
@@ -16,7 +16,7 @@
     }
 }
 
-/// Cuts a stream that arrives in pieces of the given lengths.
+/// Splits a stream that arrives in fragments of the given lengths.
 fn cut(stream: &[u8], lengths: &[usize]) -> (Vec<Option<u64>>, Vec<u8>, bool) {
     let mut cutter = EventCutter::default();
     let (mut ids, mut passed, mut rest) = (Vec::new(), Vec::new(), stream);
--- a/crates/damaskstile-gateway/tests/messages.rs
+++ b/crates/damaskstile-gateway/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Messages between instances: any bytes are read or refused, and none is read as another.
+//! Decoding of messages between instances: arbitrary bytes are decoded or rejected, and messages
+//! round-trip.
 
 use damaskstile_core::prelude::TargetIdentity;
 use damaskstile_gateway::peers::{AccountTokens, Datagram, DatagramBody, Digest, GiveTokens};
@@ -55,8 +56,9 @@
 
 #[test]
 fn a_digest_names_incarnations_and_targets_without_a_start_as_before() {
-    // Symptom: during an upgrade of the fleet instances call targets that their peers know to
-    // drain. Cause: a digest's fields changed their meaning, and the other version cannot read it.
+    // Guards against instances sending calls to targets that their peers know to be draining,
+    // during a rolling upgrade of the fleet. A digest's fields changed their meaning, and instances
+    // of the other version could not read it.
 
     // Arrange
     let identity = TargetIdentity::new;
--- a/crates/damaskstile-gateway/tests/pressure.rs
+++ b/crates/damaskstile-gateway/tests/pressure.rs
@@ -1,19 +1,19 @@
-//! When an instance carries more than its link does.
+//! Overload detection of an instance's link and processor.
 
 use std::time::Duration;
 
 use damaskstile_gateway::look::Look;
 use damaskstile_gateway::pressure::Pressure;
 
-/// Link of a small instance: 10 Mbit/s.
+/// Link of a small instance: 10 Mbit/s, in bytes a second.
 const LINK_BYTES_PER_S: u64 = 1_250_000;
-/// Body and head of a long prompt.
+/// Size of a long prompt with its head.
 const CALL_BYTES: usize = 10_000;
 
-/// Time within which calls are to be begun.
+/// Objective for beginning a call.
 const WITHIN: Duration = Duration::from_millis(250);
 
-/// Sends so many long prompts a second, evenly, for some time; returns how many are refused.
+/// Sends long prompts at a constant rate for some time; returns how many are refused.
 fn load(pressure: &mut Pressure, calls_per_s: u64, from: Duration, span: Duration) -> usize {
     let gap = Duration::from_secs(1) / u32::try_from(calls_per_s).unwrap();
     let mut now = from;
@@ -28,10 +28,10 @@
 
 #[test]
 fn an_instance_that_many_callers_hash_to_asks_for_no_new_connections() {
-    // Symptom: a fifth of a data centre's calls time out while its other instances are idle.
-    // Sequence: the hash gives one instance 200 calls a second, of 10 KB each, over a link of
-    // 10 Mbit/s; connections to targets fail for want of an answer in time. Cause: the instance
-    // said that it is ready all the while.
+    // Guards against a fifth of a data centre's calls timing out while its other instances are
+    // idle. The balancer's hash gives one instance 200 calls a second, of 10 KB each, over a link
+    // of 10 Mbit/s; connections to targets fail because replies are late. The instance used to
+    // report that it was ready all the while.
 
     // Arrange
     let mut pressure = Pressure::new(LINK_BYTES_PER_S);
@@ -40,7 +40,8 @@
     // Act
     let refused = load(&mut pressure, 200, Duration::ZERO, span);
 
-    // Assert: half of them go elsewhere, but for those that wait a quarter of a second.
+    // Assert: half of the calls go elsewhere, except for a quarter of a second's worth that is
+    // queued.
     assert!(pressure.is_high(span));
     assert!((250..=300).contains(&refused), "{refused}");
 }
@@ -51,7 +52,7 @@
     let mut pressure = Pressure::new(LINK_BYTES_PER_S);
     let span = Duration::from_secs(3);
 
-    // Act: nine calls a second are an even share; twenty at once take a fifth of a second.
+    // Act: nine calls a second are an even share; a burst of twenty takes a fifth of a second.
     load(&mut pressure, 9, Duration::ZERO, span);
     (0..20).for_each(|_| pressure.note_received(span, CALL_BYTES));
 
@@ -65,34 +66,34 @@
     let mut pressure = Pressure::new(LINK_BYTES_PER_S);
     let ms = Duration::from_millis;
 
-    // Act and assert: twice as many as it bears.
+    // Act and assert: twice the capacity.
     let refused = load(&mut pressure, 200, Duration::ZERO, ms(4_000));
     assert!((300..400).contains(&refused), "{refused}");
 
-    // As many as it bears: they stay, and no others are asked for.
+    // At the capacity: the callers stay, and no new connections are accepted.
     let refused = load(&mut pressure, 60, ms(5_000), ms(6_000));
     assert_eq!(refused, 0);
     pressure.look(ms(11_000), &Look::default());
     assert!(pressure.is_high(ms(11_000)));
 
-    // Nearly none: it asks for others after a calm.
+    // Nearly idle: new connections are accepted after the cool-down.
     assert!(pressure.is_high(ms(26_000)));
     assert!(!pressure.is_high(ms(28_000)));
 }
 
 #[test]
 fn a_call_that_would_wait_too_long_is_refused_at_once() {
-    // Guards against: calls that wait seconds in sockets for the way out, where another instance has
-    // room.
+    // Guards against calls that wait for seconds in sockets for the outgoing link, while another
+    // instance has room.
 
     // Arrange
     let mut pressure = Pressure::new(LINK_BYTES_PER_S);
 
-    // Act: two hundred at once, where some hundred a second have room.
+    // Act: two hundred at once, where about a hundred a second fit.
     let admitted = (0..200).filter(|_| pressure.admit(Duration::ZERO, CALL_BYTES, WITHIN));
     let admitted = admitted.count();
 
-    // Assert: a quarter of a second of the usable link.
+    // Assert: a quarter of a second of the usable link is admitted.
     assert!((20..=30).contains(&admitted), "{admitted}");
     assert!(pressure.is_high(Duration::ZERO));
     assert!(pressure.admit(Duration::from_secs(1), CALL_BYTES, WITHIN));
@@ -100,9 +101,10 @@
 
 #[test]
 fn a_processor_that_calls_take_whole_refuses_what_it_cannot_serve() {
-    // Guards against: the same where calls wait for the processor, with the link nearly idle.
+    // Guards against calls that wait for the processor while another instance has room, with the
+    // link nearly idle.
 
-    // Arrange: ten milliseconds for each of a hundred calls a second.
+    // Arrange: ten milliseconds of processor time for each of a hundred calls a second.
     let mut pressure = Pressure::new(LINK_BYTES_PER_S);
     let ms = Duration::from_millis;
     let span = ms(250);
@@ -123,7 +125,8 @@
         pressure.look(from + span, &look);
     }
 
-    // Assert: what is left is what it bears, beside its own work and the refusals.
+    // Assert: the admitted calls are those that the processor can serve, beside its other work and
+    // the refusals.
     let last: u32 = admitted[12..].iter().sum();
     assert!((8 * 12..=8 * 20).contains(&last), "{admitted:?}");
     assert!(pressure.is_high(span * 20));
@@ -131,7 +134,8 @@
 
 #[test]
 fn a_pause_of_the_machine_is_not_taken_for_work() {
-    // Guards against: calls refused after a pause, since the pause was taken for what they cost.
+    // Guards against calls being refused after a pause of the machine because the pause counted as
+    // their cost.
 
     // Arrange
     let mut pressure = Pressure::new(LINK_BYTES_PER_S);
@@ -158,8 +162,8 @@
 
 #[test]
 fn an_instance_that_comes_late_to_everything_refuses_until_it_is_on_time() {
-    // Guards against: calls taken one after the other by an instance that is seconds behind, for which
-    // their callers do not wait.
+    // Guards against calls being accepted by an instance whose event loop lags by seconds, for
+    // which their callers do not wait.
 
     // Arrange
     let mut pressure = Pressure::new(LINK_BYTES_PER_S);
@@ -169,7 +173,7 @@
         ..Look::default()
     };
 
-    // Act and assert: once or twice late may be a pause of the machine.
+    // Act and assert: one or two late samples may be a pause of the machine.
     pressure.look(second, &late);
     pressure.look(second * 2, &late);
     assert!(pressure.admit(second * 2, 10, WITHIN));
@@ -179,22 +183,22 @@
     assert!(pressure.admit(second * 4, 10, WITHIN));
 }
 
-/// A balancer that sends new connections to the first instance that was ready in one of its last
-/// two looks, and callers that each keep a connection.
+/// Simulation of a balancer that sends new connections to the first instance that was ready in one
+/// of its last two checks, and of callers that each keep a connection.
 struct Swarm {
     instances: Vec<Pressure>,
     misses: Vec<u32>,
-    /// The instance that each caller is connected to.
+    /// Index of the instance that each caller is connected to.
     callers: Vec<usize>,
-    /// Whether they keep their connections.
+    /// Whether callers keep their connections between calls.
     is_keeping: bool,
     refused: usize,
-    /// Times that an instance became overloaded.
+    /// How often an instance became overloaded.
     overloads: usize,
 }
 
 impl Swarm {
-    /// Makes one of instances with these links, in the order in which the balancer takes them.
+    /// Creates instances with these links, in the balancer's order of preference.
     fn new(links_bytes_per_s: &[u64], callers: usize, is_keeping: bool) -> Self {
         let links = links_bytes_per_s.iter();
         Self {
@@ -211,7 +215,7 @@
         self.misses.iter().position(|misses| *misses < 2).unwrap()
     }
 
-    /// Lets all callers call once, one after the other, within some time.
+    /// Lets each caller make one call, evenly spread over `span`.
     fn pass(&mut self, from: Duration, span: Duration) {
         let count = u32::try_from(self.callers.len()).unwrap();
         for index in 0..self.callers.len() {
@@ -253,10 +257,10 @@
 
 #[test]
 fn an_account_that_no_instance_bears_alone_does_not_swing_between_two() {
-    // Guards against: instances that give up all callers at once and get all of them back after a
-    // calm, so that each is overloaded and empty in turn.
+    // Guards against instances that shed all callers at once and get all of them back after the
+    // cool-down, so that each is overloaded and empty in turn.
 
-    // Arrange: 180 calls a second, where an instance bears 100.
+    // Arrange: 180 calls a second, where an instance can serve 100.
     let mut swarm = Swarm::new(&[LINK_BYTES_PER_S; 4], 180, true);
     let second = Duration::from_secs(1);
 
@@ -271,7 +275,7 @@
         swarm.look(second * (index + 1));
     }
 
-    // Assert: they have found their places, and most stay there.
+    // Assert: the callers have settled, and most stay where they are.
     let moved = swarm.callers.iter().zip(&callers_first);
     let moved = moved.filter(|(now, before)| now != before).count();
     assert!(moved < 60, "{moved} moved");
@@ -281,8 +285,9 @@
 
 #[test]
 fn callers_that_connect_anew_for_each_call_come_to_an_instance_that_bears_them() {
-    // Guards against: the same where a balancer moves all calls of an account at once. Two narrow
-    // instances that are ready again after seconds had all of them in turn, for ever.
+    // Guards against the same oscillation where a balancer moves all calls of an account at once.
+    // Two instances with small links that were ready again after seconds got all calls in turn,
+    // indefinitely.
 
     // Arrange
     let links = [LINK_BYTES_PER_S, LINK_BYTES_PER_S, 20 * LINK_BYTES_PER_S];
@@ -295,6 +300,6 @@
         swarm.look(second * (index + 1));
     }
 
-    // Assert: each narrow one tried it once, and once or twice again.
+    // Assert: each instance with a small link was overloaded once, and once or twice more.
     assert!(swarm.overloads <= 6, "{} overloads", swarm.overloads);
 }
--- a/crates/damaskstile-gateway/tests/sends.rs
+++ b/crates/damaskstile-gateway/tests/sends.rs
@@ -1,4 +1,5 @@
-//! What a call that was given to a target does where the target begins to leave before it is sent.
+//! Sending of a call to a target that goes out of use, or cannot be reached, while the call waits
+//! for its connection.
 
 mod support;
 
@@ -23,9 +24,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{Instant, timeout};
 
-/// Time that a call may take here: far more than a connection on one machine needs.
+/// Time limit of a call in these tests: far more than a local connection needs.
 const LIMIT: Duration = Duration::from_secs(2);
-/// Time after which a connection on one machine that is not made waits in a full queue.
+/// Time after which a local connection attempt is known to wait in a full accept queue.
 const QUEUE_WAIT: Duration = Duration::from_millis(200);
 /// Resolution of timers.
 const TIMER_STEP: Duration = Duration::from_millis(2);
@@ -66,7 +67,7 @@
     }
 }
 
-/// Takes one connection and reads all that is sent on it.
+/// Accepts one connection and reads all that is sent on it.
 async fn read_all(listener: TcpListener) -> Vec<u8> {
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut bytes = Vec::new();
@@ -74,7 +75,7 @@
     bytes
 }
 
-/// Makes the connection of a caller that is there, with the caller's end of it.
+/// Connects a caller; returns the instance's end and the caller's end of the connection.
 async fn caller() -> (CallerLink, TcpStream) {
     let listener = TcpListener::bind(unused_address()).await.unwrap();
     let connecting = TcpStream::connect(listener.local_addr().unwrap());
@@ -84,7 +85,7 @@
 }
 
 /// Sends a call for which a target was chosen, and runs `meanwhile` while the call waits for its
-/// connection. Returns how the send ended and what the target read.
+/// connection. Returns how the send failed, if it did, and what the target read.
 async fn send_with(meanwhile: impl FnOnce(&Gateway)) -> (Option<NoRun>, Vec<u8>) {
     let listener = TcpListener::bind(unused_address()).await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -114,10 +115,10 @@
 
 #[tokio::test]
 async fn a_call_that_waits_for_its_connection_is_not_sent_to_a_target_that_left() {
-    // Symptom: a target gets a call after it said that it leaves, from an instance that knew.
-    // Sequence: the target is chosen; the connection to it takes its time, hundreds of
-    // milliseconds over a full link; meanwhile the instance hears that the target leaves; then
-    // the connection is there and the call is sent. Cause: nobody looked again.
+    // Guards against a call being sent to a target that the instance knows to be leaving. The
+    // target is chosen; connecting takes hundreds of milliseconds over a saturated link; meanwhile
+    // the instance learns that the target is leaving; then the connection is ready and the call is
+    // sent. The target's state used not to be checked again after connecting.
 
     // Arrange and act
     let (no_run, read) = send_with(|gateway| {
@@ -127,7 +128,7 @@
     })
     .await;
 
-    // Assert: nothing was sent, so even a call that runs at most once may go to another target.
+    // Assert: nothing was sent, so even a non-idempotent call may go to another target.
     assert_eq!(String::from_utf8_lossy(&read), "");
     assert_eq!(no_run.map(|no_run| no_run.end), Some(SendEnd::NotSent));
     let mut attempts = Attempts::default();
@@ -159,7 +160,7 @@
     assert_eq!(no_run.map(|no_run| no_run.end), Some(SendEnd::Unknown));
 }
 
-/// Makes a target that takes no more connections, with those that fill its queue.
+/// Opens a listener whose accept queue is full, with the connections that fill it.
 async fn deaf_target() -> (TcpListener, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind(unused_address()).unwrap();
@@ -174,9 +175,9 @@
 
 #[tokio::test]
 async fn a_call_whose_connection_is_not_made_ends_within_its_time() {
-    // Symptom: calls have no answer half a second after their route's time-out. Sequence: a call
-    // that has little time left is given to a target; the target's link is full, so the connection
-    // is not made. Cause: the wait for the connection had a limit of its own, on top of the call's.
+    // Guards against calls without an answer half a second after their route's time-out. A call
+    // with little time left is given to a target whose link is saturated, so the connection is not
+    // made. The connect time-out used to be added to the call's own limit.
 
     // Arrange
     let (listener, _queued) = deaf_target().await;
--- a/crates/damaskstile-gateway/tests/step_down.rs
+++ b/crates/damaskstile-gateway/tests/step_down.rs
@@ -19,12 +19,12 @@
 use futures_util::future::BoxFuture;
 use support::gateway;
 
-/// Peers of the instance, all better suited to watch than it is.
+/// Peers of the instance, all ranked before it as watchers.
 const PEERS: u8 = 30;
 /// Time within which the instance must read a catalogue that a peer has. Its watch waits for 10 s.
 const BOUND: Duration = Duration::from_secs(2);
 
-/// A store whose watches never end, and that counts what is listed.
+/// A store whose watches never end, and that counts its list calls.
 #[derive(Debug, Default)]
 struct MuteStore {
     lists: AtomicUsize,
@@ -72,7 +72,7 @@
     SocketAddr::from(([127, 0, 0, last], 7200))
 }
 
-/// Has the instance hear its peers, to which the store answers.
+/// Registers peers that are in contact with the store, as if their digests had just arrived.
 fn hear_peers(gateway: &Gateway) {
     let now = gateway.now();
     for index in 2..=PEERS {
@@ -91,10 +91,10 @@
 
 #[tokio::test]
 async fn an_instance_that_need_not_watch_any_more_leaves_its_open_watch() {
-    // Symptom: after an outage an instance of a large fleet has a new catalogue ten seconds late.
-    // Sequence: while it heard of nobody it watched itself; its peers are back and tell of a newer
-    // catalogue; the store has lost its watch. Cause: it stayed in the watch that it no longer
-    // needed, where it does not hear that it should read the catalogue.
+    // Guards against an instance of a large fleet getting a new catalogue ten seconds late after an
+    // outage. While it heard from no peer it watched the store itself; its peers are back and
+    // report a newer catalogue; the store has lost its watch. The instance used to stay in the
+    // watch that it no longer needed, where it did not notice the request to read the catalogue.
 
     // Arrange
     let store = Arc::new(MuteStore::default());
@@ -119,9 +119,10 @@
 
 #[tokio::test]
 async fn an_instance_that_watches_for_nobody_finds_out_that_the_store_is_back() {
-    // Symptom: an instance of a large fleet uses targets for 1.5 s more than others, long after an
-    // outage. Sequence: its one call in the outage fails; peers watch and write for it from then
-    // on, so it makes no other. Cause: it held the store for lost until its next list, 20 s later.
+    // Guards against an instance of a large fleet keeping targets in use for 1.5 s longer than
+    // other instances do, long after an outage. Its only call during the outage fails; peers watch
+    // and write for it from then on, so it makes no other call. It used to treat the store as
+    // unreachable until its next list, 20 s later.
 
     // Arrange
     let gateway = gateway(address(1), Arc::new(MuteStore::default()));
--- a/crates/damaskstile-gateway/tests/suspects.rs
+++ b/crates/damaskstile-gateway/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Who collects the ends of targets under a content.
+//! Choice of the instances that collect reports on crash-inducing content.
 
 mod support;
 
@@ -16,7 +16,7 @@
     SocketAddr::from(([127, 0, 0, 1], 10_000 + index))
 }
 
-/// Makes an instance that knows so many peers.
+/// Creates an instance that knows this many peers.
 fn instance_among(peers: u16) -> Arc<Gateway> {
     let gateway = gateway(unused_address(), Arc::new(Away));
     let now = gateway.now();
@@ -51,7 +51,7 @@
 
 #[test]
 fn the_same_few_of_a_large_fleet_collect_the_ends_of_one_content() {
-    // Arrange: one of two instances has not heard of all.
+    // Arrange: the two instances do not know the same peers.
     let (one, other) = (instance_among(295), instance_among(290));
 
     // Act
@@ -66,7 +66,7 @@
         used.extend(of_one);
     }
 
-    // Assert: those that both know collect for both, and the work is spread.
+    // Assert: collectors known to both are chosen by both, and the work is spread.
     assert!(shared >= 380, "{shared}");
     assert!(used.len() > 150, "{}", used.len());
 }
--- a/crates/damaskstile-gateway/tests/target_words.rs
+++ b/crates/damaskstile-gateway/tests/target_words.rs
@@ -1,4 +1,4 @@
-//! What is kept of targets beside the book: connections, and counts for operators.
+//! Per-target resources beside the target table: pooled connections, and metrics for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use damaskstile_targets::TargetCounts;
 use tokio::net::TcpListener;
 
-/// Time for which a target keeps an idle connection.
+/// Time for which a target keeps an idle connection open.
 const REUSE: Duration = Duration::from_secs(10);
 
 #[tokio::test]
 async fn a_connection_to_one_incarnation_is_not_used_for_the_next() {
-    // Symptom: a call that was meant for a target that started again runs at its predecessor and
-    // is cut off when that ends. Sequence: the predecessor drains and still serves; the new
-    // incarnation is listed under the same name. Cause: connections were kept by name.
+    // Guards against a call for a restarted target being executed by its predecessor and cut off
+    // when that ends. The predecessor drains and still serves; the new incarnation is listed under
+    // the same name. Connections used to be pooled by name only.
 
     // Arrange
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
