--- a/crates/damaskstile-gateway/src/backlog.rs
+++ b/crates/damaskstile-gateway/src/backlog.rs
@@ -38,30 +38,30 @@
     /// assert_eq!(backlog.delay(Duration::from_millis(200)), Duration::from_millis(300));
     /// ```
     pub fn add(&mut self, now: Duration, amount: f64) {
-        self.pass(now);
+        self.advance(now);
         self.waiting += amount;
         self.recent += amount;
     }
 
     /// Changes the rate of service from now on.
     pub fn set_rate(&mut self, now: Duration, per_s: f64) {
-        self.pass(now);
+        self.advance(now);
         self.per_s = per_s.max(f64::MIN_POSITIVE);
     }
 
     /// Returns the time needed to work off the queue.
     pub fn delay(&mut self, now: Duration) -> Duration {
-        self.pass(now);
+        self.advance(now);
         Duration::try_from_secs_f64(self.waiting / self.per_s).unwrap_or(Duration::MAX)
     }
 
     /// Returns the share of the rate that was in use recently.
     pub fn share(&mut self, now: Duration) -> f64 {
-        self.pass(now);
+        self.advance(now);
         self.recent / (self.per_s * SHARE_SPAN.as_secs_f64())
     }
 
-    fn pass(&mut self, now: Duration) {
+    fn advance(&mut self, now: Duration) {
         let passed_s = now.saturating_sub(self.at).as_secs_f64();
         self.at = self.at.max(now);
         self.waiting = (self.waiting - self.per_s * passed_s).max(0.0);
--- a/crates/damaskstile-gateway/src/broken_run.rs
+++ b/crates/damaskstile-gateway/src/broken_run.rs
@@ -7,9 +7,9 @@
 use damaskstile_targets::Choice;
 
 use crate::gateway::Gateway;
-use crate::sendable::Sendable;
+use crate::outbound_call::OutboundCall;
 use crate::state::Terms;
-use crate::target_ends::TargetState;
+use crate::target_ends::TargetLiveness;
 
 /// A run, with what is needed to follow it up if its connection breaks before the answer is
 /// complete.
@@ -36,9 +36,12 @@
     /// Checks whether the target has ended, and records the call's content if so. A retry of the
     /// call waits for this; otherwise content that crashes targets would be sent once more before
     /// it is quarantined.
-    pub(crate) async fn follow_up(&self, gateway: &Gateway, call: &Sendable, terms: &Terms) {
+    pub(crate) async fn follow_up(&self, gateway: &Gateway, call: &OutboundCall, terms: &Terms) {
         let now = gateway.now();
-        let state = gateway.ends.look(now, &self.target, self.address).await;
+        let state = gateway
+            .end_checks
+            .check(now, &self.target, self.address)
+            .await;
         let content = Fingerprint::of(&call.content(terms.account.as_deref()));
         let ran_ms = now.saturating_sub(self.sent_at).as_millis().to_string();
         let fields = [
@@ -52,7 +55,7 @@
         gateway.log(EventCode::RunBroken, &fields);
         // Connections break for many reasons. If every break counted without this check, a few
         // reset links would make harmless calls suspect.
-        if state == TargetState::Ended {
+        if state == TargetLiveness::Ended {
             let account = terms.account.as_deref().unwrap_or_default();
             gateway.note_end(content, account, self.target.clone());
             let now = gateway.now();
--- a/crates/damaskstile-gateway/src/call_cost.rs
+++ b/crates/damaskstile-gateway/src/call_cost.rs
@@ -2,11 +2,11 @@
 
 use damaskstile_core::prelude::*;
 
-use crate::look::Look;
+use crate::load_sample::LoadSample;
 
 /// Time constant of the exponential decay. Calls last for seconds, so their cost is averaged over
 /// the calls that arrived in that time.
-const MEMORY: Duration = Duration::from_secs(5);
+const DECAY_TIME: Duration = Duration::from_secs(5);
 /// Minimum number of calls for an estimate.
 const CALLS_MIN: f64 = 20.0;
 
@@ -15,18 +15,18 @@
 pub struct CallCost {
     calls: f64,
     busy_s: f64,
-    otherwise_s: f64,
+    other_s: f64,
     span_s: f64,
 }
 
 impl CallCost {
     /// Adds a load sample and the number of calls since the previous one.
-    pub fn note(&mut self, look: &Look, calls: f64) {
-        let kept = (-look.span.as_secs_f64() / MEMORY.as_secs_f64()).exp();
+    pub fn note(&mut self, sample: &LoadSample, calls: f64) {
+        let kept = (-sample.span.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
         self.calls = self.calls * kept + calls;
-        self.busy_s = self.busy_s * kept + look.busy_with_calls.as_secs_f64();
-        self.otherwise_s = self.otherwise_s * kept + look.busy_otherwise.as_secs_f64();
-        self.span_s = self.span_s * kept + look.span.as_secs_f64();
+        self.busy_s = self.busy_s * kept + sample.busy_with_calls.as_secs_f64();
+        self.other_s = self.other_s * kept + sample.busy_with_other.as_secs_f64();
+        self.span_s = self.span_s * kept + sample.span.as_secs_f64();
     }
 
     /// Returns the processor time of a call in seconds; 0 while too few calls were counted.
@@ -34,18 +34,18 @@
     /// ```
     /// use std::time::Duration;
     /// use damaskstile_gateway::call_cost::CallCost;
-    /// use damaskstile_gateway::look::Look;
+    /// use damaskstile_gateway::load_sample::LoadSample;
     /// let mut cost = CallCost::default();
-    /// let look = Look {
+    /// let sample = LoadSample {
     ///     span: Duration::from_secs(1),
     ///     busy_with_calls: Duration::from_millis(200),
-    ///     ..Look::default()
+    ///     ..LoadSample::default()
     /// };
-    /// cost.note(&look, 100.0);
-    /// assert!((cost.of_call_s() - 0.002).abs() < 1e-9);
+    /// cost.note(&sample, 100.0);
+    /// assert!((cost.per_call_s() - 0.002).abs() < 1e-9);
     /// ```
     #[must_use]
-    pub fn of_call_s(&self) -> f64 {
+    pub fn per_call_s(&self) -> f64 {
         if self.calls < CALLS_MIN {
             0.0
         } else {
@@ -55,9 +55,9 @@
 
     /// Returns the share of the processor's time that all other work takes.
     #[must_use]
-    pub fn otherwise(&self) -> f64 {
+    pub fn other_share(&self) -> f64 {
         if self.span_s > 0.0 {
-            (self.otherwise_s / self.span_s).min(1.0)
+            (self.other_s / self.span_s).min(1.0)
         } else {
             0.0
         }
--- a/crates/damaskstile-gateway/src/call_times.rs
+++ b/crates/damaskstile-gateway/src/call_times.rs
@@ -1,11 +1,11 @@
 //! Durations of recent calls by route, used to decide which calls can still finish during a
 //! shutdown.
 
-mod of_route;
+mod route_times;
 
 use damaskstile_core::prelude::*;
 
-pub use of_route::RouteTimes;
+pub use route_times::RouteTimes;
 
 /// Durations of recent calls by route, including the time to deliver the whole answer.
 ///
@@ -37,13 +37,13 @@
     /// use damaskstile_gateway::call_times::CallTimes;
     /// let mut times = CallTimes::default();
     /// times.note("short", Duration::from_millis(20));
-    /// assert!(times.is_over_within("short", Duration::from_secs(4)));
-    /// assert!(!times.is_over_within("unseen", Duration::from_secs(4)));
+    /// assert!(times.finishes_within("short", Duration::from_secs(4)));
+    /// assert!(!times.finishes_within("unseen", Duration::from_secs(4)));
     /// ```
     #[must_use]
-    pub fn is_over_within(&self, route: &str, time: Duration) -> bool {
+    pub fn finishes_within(&self, route: &str, time: Duration) -> bool {
         let times = self.routes.get(route);
-        times.is_some_and(|times| times.is_over_within(time))
+        times.is_some_and(|times| times.finishes_within(time))
     }
 
     /// Drops routes that no longer exist, so that the map does not grow without bound.
--- a/crates/damaskstile-gateway/src/call_times/of_route.rs
+++ b/crates/damaskstile-gateway/src/call_times/route_times.rs
@@ -9,15 +9,15 @@
 /// call loses some milliseconds; it loses its answer too if its retry meets another instance that
 /// is shutting down, since callers retry only once. With instances restarted in turn that happens
 /// to about one in ten. Stricter bounds (20, 50) left more calls without an answer than they saved.
-const ONE_IN: u64 = 10;
+const EXPECTED_CUT_ONE_IN: u64 = 10;
 /// Calls per generation; between one and two generations are remembered. That covers ten calls
 /// longer than the bound, and about a minute of a busy route.
 const GENERATION_CALLS: u64 = 512;
 /// Buckets per doubling of the duration, as a power of two: durations are resolved to an eighth.
-const PARTS_BITS: u32 = 3;
+const BUCKET_BITS: u32 = 3;
 /// Largest duration that is resolved, in milliseconds: nine hours, far beyond the time limit of any
 /// call.
-const LONGEST_MS: u64 = 1 << 25;
+const DURATION_MAX_MS: u64 = 1 << 25;
 
 /// Bounded histogram of the call durations of one route.
 ///
@@ -38,7 +38,7 @@
             self.older = std::mem::take(&mut self.newer);
             self.older_calls = std::mem::take(&mut self.newer_calls);
         }
-        *self.newer.entry(step_of(took)).or_default() += 1;
+        *self.newer.entry(bucket_of(took)).or_default() += 1;
         self.newer_calls += 1;
     }
 
@@ -54,50 +54,50 @@
     /// use damaskstile_gateway::call_times::RouteTimes;
     /// let mut times = RouteTimes::default();
     /// times.note(Duration::from_secs(2));
-    /// assert!(!times.is_over_within(Duration::from_secs(4)));
+    /// assert!(!times.finishes_within(Duration::from_secs(4)));
     /// ```
     #[must_use]
-    pub fn is_over_within(&self, time: Duration) -> bool {
+    pub fn finishes_within(&self, time: Duration) -> bool {
         let time_ms = millis(time);
         let generations = [&self.newer, &self.older];
         let longest_ms = generations
             .iter()
             .filter_map(|counts| counts.last_key_value())
-            .map(|(step, _)| end_of(*step))
+            .map(|(bucket, _)| bucket_end_ms(*bucket))
             .max();
         let Some(longest_ms) = longest_ms.filter(|_| time_ms > 0) else {
             return false;
         };
         // Calls in the bucket of `time` itself are counted as longer.
-        let step = step_of(time);
+        let bucket = bucket_of(time);
         let longer: u64 = generations
             .iter()
-            .flat_map(|counts| counts.range(step..))
+            .flat_map(|counts| counts.range(bucket..))
             .map(|(_, calls)| calls)
             .sum();
         let calls = self.newer_calls + self.older_calls;
         let longer_calls_ms = longer * time_ms + longest_ms.min(time_ms);
-        longer_calls_ms * ONE_IN <= (calls + 1) * time_ms
+        longer_calls_ms * EXPECTED_CUT_ONE_IN <= (calls + 1) * time_ms
     }
 }
 
 fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis())
-        .unwrap_or(LONGEST_MS)
-        .min(LONGEST_MS)
+        .unwrap_or(DURATION_MAX_MS)
+        .min(DURATION_MAX_MS)
 }
 
 /// Returns the bucket of a duration. Up to 8 ms a bucket is one millisecond wide.
-fn step_of(time: Duration) -> u64 {
+fn bucket_of(time: Duration) -> u64 {
     let ms = millis(time);
     let doublings = ms.checked_ilog2().unwrap_or(0);
-    let shift = doublings.saturating_sub(PARTS_BITS);
-    (u64::from(shift) << PARTS_BITS) + (ms >> shift)
+    let shift = doublings.saturating_sub(BUCKET_BITS);
+    (u64::from(shift) << BUCKET_BITS) + (ms >> shift)
 }
 
 /// Returns the upper bound of a bucket, in milliseconds.
-fn end_of(step: u64) -> u64 {
-    let parts = 1 << PARTS_BITS;
-    let shift = (step >> PARTS_BITS).saturating_sub(1);
-    (step - shift * parts + 1) << shift
+fn bucket_end_ms(bucket: u64) -> u64 {
+    let parts = 1 << BUCKET_BITS;
+    let shift = (bucket >> BUCKET_BITS).saturating_sub(1);
+    (bucket - shift * parts + 1) << shift
 }
--- a/crates/damaskstile-gateway/src/caller_link.rs
+++ b/crates/damaskstile-gateway/src/caller_connection.rs
@@ -13,9 +13,9 @@
 /// instance is overloaded or was suspended. Without this check a call would be sent to a target
 /// although nobody waits for its answer.
 #[derive(Debug, Clone)]
-pub struct CallerLink(Arc<TcpStream>);
+pub struct CallerConnection(Arc<TcpStream>);
 
-impl CallerLink {
+impl CallerConnection {
     /// Shares a connection with the task that serves it.
     #[must_use]
     pub fn new(stream: &Arc<TcpStream>) -> Self {
--- a/crates/damaskstile-gateway/src/contact.rs
+++ b/crates/damaskstile-gateway/src/contact.rs
@@ -4,7 +4,7 @@
 
 /// Time after an outage in which the list of targets may still lack some that are alive. Their
 /// entries come back within about two seconds; one that is missing after that is gone.
-const AFTER_OUTAGE: Duration = Duration::from_secs(2);
+const LIST_RECOVERY_TIME: Duration = Duration::from_secs(2);
 /// Shortest time without an answer that counts as an outage in which entries lapse. They lapse only
 /// after several missed heartbeats, which takes seconds. A single failed call and the next one
 /// after its backoff take 0.6 to 0.7 s; if that counted as an outage, targets that were removed
@@ -12,12 +12,12 @@
 const OUTAGE_MIN: Duration = Duration::from_secs(1);
 
 /// Expected length of an outage before any has been observed.
-const OUTAGE_START: Duration = Duration::from_secs(5);
+const OUTAGE_LENGTH_DEFAULT: Duration = Duration::from_secs(5);
 /// Cap on the observed length of an outage: one of hours is longer than any caller can usefully
 /// wait.
-const OUTAGE_MAX: Duration = Duration::from_secs(15);
+const OUTAGE_LENGTH_MAX: Duration = Duration::from_secs(15);
 /// Shortest expected remainder of an outage that has lasted longer than expected.
-const OUTAGE_LEFT_MIN: Duration = Duration::from_secs(1);
+const OUTAGE_REMAINING_MIN: Duration = Duration::from_secs(1);
 
 /// Record of when the store answered.
 #[derive(Debug, Clone, Default)]
@@ -45,7 +45,7 @@
         if length >= OUTAGE_MIN {
             self.outage_ended_at = Some(now);
             let before = self.outage_length.unwrap_or(length);
-            self.outage_length = Some((before + length.min(OUTAGE_MAX)) / 2);
+            self.outage_length = Some((before + length.min(OUTAGE_LENGTH_MAX)) / 2);
         }
         true
     }
@@ -75,7 +75,7 @@
         self.lost_at.is_some()
             || self
                 .outage_ended_at
-                .is_some_and(|at| now.saturating_sub(at) < AFTER_OUTAGE)
+                .is_some_and(|at| now.saturating_sub(at) < LIST_RECOVERY_TIME)
     }
 
     /// Returns whether the last call failed within `pause`, so that another one would most likely
@@ -112,8 +112,8 @@
     #[must_use]
     pub fn outage_left(&self, now: Duration) -> Option<Duration> {
         let passed = now.saturating_sub(self.lost_at?);
-        let expected = self.outage_length.unwrap_or(OUTAGE_START);
-        Some(expected.saturating_sub(passed).max(OUTAGE_LEFT_MIN))
+        let expected = self.outage_length.unwrap_or(OUTAGE_LENGTH_DEFAULT);
+        Some(expected.saturating_sub(passed).max(OUTAGE_REMAINING_MIN))
     }
 
     /// Returns the time since the last answer.
--- a/crates/damaskstile-gateway/src/content_changes.rs
+++ b/crates/damaskstile-gateway/src/content_changes.rs
@@ -8,7 +8,7 @@
 /// Number of versions whose chunk hashes are kept.
 const VERSIONS_MAX: usize = 32;
 /// Delimiter of the chunks: the end of each JSON object in the text.
-const CUT_AFTER: u8 = b'}';
+const CHUNK_END: u8 = b'}';
 
 /// A part of a text: a range of chunks of an older version, followed by literal bytes.
 #[derive(prost::Message, Clone, PartialEq)]
@@ -28,16 +28,16 @@
 /// them can be sent the difference only. The hashes take a few KB for a text of some hundred KB.
 #[derive(Debug, Clone, Default)]
 pub struct ContentChanges {
-    outlines: VecDeque<(Version, Vec<u64>)>,
+    versions: VecDeque<(Version, Vec<u64>)>,
 }
 
 impl ContentChanges {
     /// Adds a version.
     pub fn note(&mut self, version: Version, content: &[u8]) {
-        let outline = chunks(content).map(stable_hash_of_bytes).collect();
-        self.outlines.push_back((version, outline));
-        if self.outlines.len() > VERSIONS_MAX {
-            self.outlines.pop_front();
+        let hashes = chunks(content).map(stable_hash_of_bytes).collect();
+        self.versions.push_back((version, hashes));
+        if self.versions.len() > VERSIONS_MAX {
+            self.versions.pop_front();
         }
     }
 
@@ -54,27 +54,27 @@
     /// ```
     #[must_use]
     pub fn since(&self, version: Version, content: &[u8]) -> Option<Vec<ContentPiece>> {
-        let (_, outline) = self.outlines.iter().find(|(known, _)| *known == version)?;
-        let places = outline.iter().zip(0..).collect::<BTreeMap<&u64, u64>>();
+        let (_, hashes) = self.versions.iter().find(|(known, _)| *known == version)?;
+        let positions = hashes.iter().zip(0..).collect::<BTreeMap<&u64, u64>>();
         let mut pieces: Vec<ContentPiece> = Vec::new();
         let mut next = 0;
         for chunk in chunks(content) {
             let hash = stable_hash_of_bytes(chunk);
-            let is_next = usize::try_from(next).is_ok_and(|next| outline.get(next) == Some(&hash));
-            let place = if is_next {
+            let is_next = usize::try_from(next).is_ok_and(|next| hashes.get(next) == Some(&hash));
+            let position = if is_next {
                 Some(next)
             } else {
-                places.get(&hash).copied()
+                positions.get(&hash).copied()
             };
             let last = pieces.last_mut();
-            match (place, last) {
-                (Some(place), Some(last))
-                    if last.literal.is_empty() && last.from_chunk + last.chunks == place =>
+            match (position, last) {
+                (Some(position), Some(last))
+                    if last.literal.is_empty() && last.from_chunk + last.chunks == position =>
                 {
                     last.chunks += 1;
                 }
-                (Some(place), _) => pieces.push(ContentPiece {
-                    from_chunk: place,
+                (Some(position), _) => pieces.push(ContentPiece {
+                    from_chunk: position,
                     chunks: 1,
                     literal: Vec::new(),
                 }),
@@ -84,7 +84,7 @@
                     ..ContentPiece::default()
                 }),
             }
-            next = place.map_or(next, |place| place + 1);
+            next = position.map_or(next, |position| position + 1);
         }
         Some(pieces)
     }
@@ -107,5 +107,5 @@
 }
 
 fn chunks(content: &[u8]) -> impl Iterator<Item = &[u8]> {
-    content.split_inclusive(|byte| *byte == CUT_AFTER)
+    content.split_inclusive(|byte| *byte == CHUNK_END)
 }
--- a/crates/damaskstile-gateway/src/counted_store.rs
+++ b/crates/damaskstile-gateway/src/counted_store.rs
@@ -1,4 +1,4 @@
-//! Counting wrapper for the store's client: counts calls by purpose and outcome.
+//! Wrapper for the store's client that counts calls by purpose and outcome.
 //!
 //! Every call to the platform's store is paid for, including those that it refuses or that get
 //! lost, and the cost of a background task shows in no answer. All calls of an instance therefore
@@ -64,7 +64,7 @@
         call: String,
         answer: BoxFuture<'_, StoreResult<T>>,
     ) -> StoreResult<T> {
-        let mut counting = Counting {
+        let mut counting = CountOnDrop {
             store: self,
             call,
             outcome: "given_up",
@@ -82,13 +82,13 @@
 }
 
 /// Counts a call when dropped, so that calls whose future is cancelled are counted too.
-struct Counting<'a> {
+struct CountOnDrop<'a> {
     store: &'a CountedStore,
     call: String,
     outcome: &'static str,
 }
 
-impl Drop for Counting<'_> {
+impl Drop for CountOnDrop<'_> {
     fn drop(&mut self) {
         let counts = self.store.counts.lock();
         let mut counts = counts.unwrap_or_else(PoisonError::into_inner);
--- a/crates/damaskstile-gateway/src/events.rs
+++ b/crates/damaskstile-gateway/src/events.rs
@@ -8,7 +8,7 @@
 
 /// A complete event, including its terminating blank line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WholeEvent {
+pub struct CompleteEvent {
     /// Raw bytes.
     pub bytes: Bytes,
     /// Numeric event id, if present.
@@ -20,12 +20,12 @@
 /// A target may stop in the middle of an event. If the incomplete part were passed on, the first
 /// event of the resumed run would be appended to it.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     buffer: BytesMut,
     scanned: usize,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Appends bytes. Returns false if the incomplete event exceeds the size limit.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
@@ -35,19 +35,19 @@
     /// Returns the next complete event.
     ///
     /// ```
-    /// use damaskstile_gateway::events::EventCutter;
-    /// let mut cutter = EventCutter::default();
-    /// cutter.push(b"id: 4\ndata: x\n\nid: 5\n");
-    /// assert_eq!(cutter.next_event().unwrap().id, Some(4));
-    /// assert!(cutter.next_event().is_none());
-    /// assert!(!cutter.is_empty());
+    /// use damaskstile_gateway::events::EventSplitter;
+    /// let mut splitter = EventSplitter::default();
+    /// splitter.push(b"id: 4\ndata: x\n\nid: 5\n");
+    /// assert_eq!(splitter.next_event().unwrap().id, Some(4));
+    /// assert!(splitter.next_event().is_none());
+    /// assert!(!splitter.is_empty());
     /// ```
-    pub fn next_event(&mut self) -> Option<WholeEvent> {
+    pub fn next_event(&mut self) -> Option<CompleteEvent> {
         let end = self.find_end()?;
         let bytes = self.buffer.split_to(end).freeze();
         self.scanned = 0;
         let id = event_id(&bytes);
-        Some(WholeEvent { bytes, id })
+        Some(CompleteEvent { bytes, id })
     }
 
     /// Returns whether no part of an event is buffered.
--- a/crates/damaskstile-gateway/src/exchange.rs
+++ b/crates/damaskstile-gateway/src/exchange.rs
@@ -17,18 +17,18 @@
 use hyper::body::Incoming;
 
 use crate::broken_run::BrokenRun;
-use crate::caller_link::CallerLink;
+use crate::caller_connection::CallerConnection;
 use crate::gateway::Gateway;
 use crate::open_call::OpenCall;
-use crate::patience::Patience;
+use crate::outbound_call::OutboundCall;
 use crate::phase::Phase;
 use crate::record::Record;
 use crate::reply::{RETRY_LATER, RETRY_SOON, Refusal, ReplyBody};
 use crate::reservation::Reservation;
 use crate::run;
 use crate::send;
-use crate::sendable::Sendable;
 use crate::state::Terms;
+use crate::wait_limit::WaitLimit;
 
 use admission::admit;
 
@@ -39,7 +39,7 @@
 /// A call being served.
 struct Exchange {
     gateway: Arc<Gateway>,
-    call: Sendable,
+    call: OutboundCall,
     terms: Terms,
     record: Record,
     deadline: Duration,
@@ -49,13 +49,13 @@
     last_event: Option<u64>,
     /// Whether a target may be executing the call.
     is_sending: bool,
-    caller: CallerLink,
+    caller: CallerConnection,
 }
 
 /// Serves one call.
 pub async fn serve(
     gateway: Arc<Gateway>,
-    caller: CallerLink,
+    caller: CallerConnection,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
     let open = gateway.open_call();
@@ -71,7 +71,7 @@
                 .map_or(terms.route.timeout, |limit| limit.min(terms.route.timeout));
             let mut exchange = Exchange {
                 gateway: Arc::clone(&gateway),
-                call: Sendable {
+                call: OutboundCall {
                     method: parts.method,
                     uri: parts.uri,
                     headers: parts.headers,
@@ -95,9 +95,9 @@
             let time_is_up = tokio::time::sleep(limit + TIME_LIMIT_SLACK);
             tokio::select! {
                 biased;
-                response = exchange.go(body) => response,
+                response = exchange.process(body) => response,
                 () = gateway.cut() => exchange.cut(),
-                () = time_is_up => exchange.too_late(),
+                () = time_is_up => exchange.deadline_exceeded(),
             }
         }
         Err(refusal) => refuse(&gateway, &mut record, &refusal, id.as_deref()),
@@ -135,7 +135,7 @@
 }
 
 impl Exchange {
-    async fn go(&mut self, body: Incoming) -> Response<ReplyBody> {
+    async fn process(&mut self, body: Incoming) -> Response<ReplyBody> {
         match self.read_body(body).await {
             Ok(body) => {
                 self.call.body = body;
@@ -146,21 +146,21 @@
         }
         // The body is read first: closing a connection with unread bytes would reset it, and the
         // caller might never see the refusal.
-        if self.is_closing() || !self.is_over_in_time() {
-            let refusal = self.stopping();
+        if self.is_closing() || !self.finishes_in_time() {
+            let refusal = self.stopping_refusal();
             return self.refuse(&refusal);
         }
-        if let Some(response) = self.overloaded() {
+        if let Some(response) = self.overload_refusal() {
             return response;
         }
-        if let Some(refusal) = self.barred() {
+        if let Some(refusal) = self.quarantine_refusal() {
             return self.refuse(&refusal);
         }
-        if let Some(refusal) = self.no_target() {
+        if let Some(refusal) = self.no_target_refusal() {
             return self.refuse(&refusal);
         }
         // Checked before the call waits for tokens.
-        if let Some(wait) = self.targets_pause() {
+        if let Some(wait) = self.targets_backoff() {
             let refusal = Refusal::not_run(RefusalCode::NoTarget, Some(wait));
             return self.refuse(&refusal);
         }
@@ -171,14 +171,14 @@
         self.send(reservation).await
     }
 
-    fn left(&self) -> Duration {
+    fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.gateway.now())
     }
 
     async fn read_body(&self, body: Incoming) -> Result<Bytes, Refusal> {
         let limit = self.terms.catalogue.limits().body_bytes;
         let reading = Limited::new(body, limit).collect();
-        let read = tokio::time::timeout(self.left(), reading).await;
+        let read = tokio::time::timeout(self.time_left(), reading).await;
         let took = self.gateway.now().saturating_sub(self.record.began_at());
         self.gateway.link_times.note("body", took);
         match read {
@@ -207,15 +207,15 @@
         mut reservation: Reservation,
     ) -> (Response<ReplyBody>, Option<Reservation>) {
         loop {
-            if self.left().is_zero() {
-                return (self.too_late(), Some(reservation));
+            if self.time_left().is_zero() {
+                return (self.deadline_exceeded(), Some(reservation));
             }
-            if !self.is_over_in_time() {
+            if !self.finishes_in_time() {
                 let wait = self.stopping_wait();
                 let response = self.give_up(RefusalCode::Stopping, wait);
                 return (response, Some(reservation));
             }
-            if let Some(refusal) = self.barred() {
+            if let Some(refusal) = self.quarantine_refusal() {
                 return (self.refuse(&refusal), Some(reservation));
             }
             let choice = send::choose(
@@ -232,33 +232,33 @@
             };
             self.is_sending = true;
             let sent = BrokenRun::of(&choice, self.gateway.now());
-            let patience = self.patience();
-            let started = run::start(&self.gateway, &self.caller, &patience, choice, None);
-            let no_run = match started.await {
+            let wait_limit = self.wait_limit();
+            let started = run::start(&self.gateway, &self.caller, &wait_limit, choice, None);
+            let failure = match started.await {
                 Ok(run) => match self.answer(run, reservation).await {
                     Ok(response) => return (response, None),
-                    Err((no_run, kept)) => {
+                    Err((failure, kept)) => {
                         reservation = kept;
-                        no_run
+                        failure
                     }
                 },
-                Err(no_run) => no_run,
+                Err(failure) => failure,
             };
-            if matches!(no_run.end, SendEnd::NotSent | SendEnd::NotRun) {
+            if matches!(failure.end, SendEnd::NotSent | SendEnd::NotRun) {
                 reservation.not_run();
             }
-            self.attempts.note(no_run.end);
+            self.attempts.note(failure.end);
             self.is_sending = false;
-            self.record.add("cause", no_run.cause);
-            if no_run.end == SendEnd::Broken {
+            self.record.add("cause", failure.cause);
+            if failure.end == SendEnd::Broken {
                 sent.follow_up(&self.gateway, &self.call, &self.terms).await;
             }
-            if self.left().is_zero() {
-                return (self.too_late(), Some(reservation));
+            if self.time_left().is_zero() {
+                return (self.deadline_exceeded(), Some(reservation));
             }
             let response = match plan_next(&self.gateway, &self.terms, &self.attempts) {
                 Next::Again => {
-                    self.note_retry(no_run.cause);
+                    self.note_retry(failure.cause);
                     continue;
                 }
                 Next::GiveUp if self.attempts.has_run() => {
@@ -270,15 +270,15 @@
         }
     }
 
-    fn patience(&self) -> Patience<'_> {
-        Patience {
+    fn wait_limit(&self) -> WaitLimit<'_> {
+        WaitLimit {
             gateway: &self.gateway,
             call: &self.call,
             terms: &self.terms,
             attempts: &self.attempts,
             tried: &self.tried,
             deadline: self.deadline,
-            goes_on_from: None,
+            resumes_from: None,
         }
     }
 
--- a/crates/damaskstile-gateway/src/exchange/answering.rs
+++ b/crates/damaskstile-gateway/src/exchange/answering.rs
@@ -8,18 +8,18 @@
 use http_body_util::{BodyExt, Limited};
 
 use super::Exchange;
-use crate::events::EventCutter;
+use crate::events::EventSplitter;
 use crate::relay::Relay;
-use crate::reply::{Refusal, ReplyBody, whole};
+use crate::reply::{Refusal, ReplyBody, full_body};
 use crate::reservation::Reservation;
-use crate::run::{NoRun, Run};
+use crate::run::{Run, SendFailure};
 
 /// Largest answer that is buffered, so that the call can be sent to another target if reading it
 /// fails, in bytes.
-const WHOLE_BYTES_MAX: usize = 8 * 1024 * 1024;
+const ANSWER_BYTES_MAX: usize = 8 * 1024 * 1024;
 
 /// Returns whether callers treat a status as a guarantee that the call was not executed.
-fn is_promise(status: StatusCode) -> bool {
+fn guarantees_not_run(status: StatusCode) -> bool {
     let promises = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
@@ -35,7 +35,7 @@
         &mut self,
         run: Run,
         reservation: Reservation,
-    ) -> Result<Response<ReplyBody>, (NoRun, Reservation)> {
+    ) -> Result<Response<ReplyBody>, (SendFailure, Reservation)> {
         if run.head.is_leaving {
             self.record.add("leaving", &run.running.choice.target);
         }
@@ -47,9 +47,9 @@
         let may_repeat = self.terms.route.kind.is_repeatable() && !is_last;
         if run.parts.status.is_server_error() && may_repeat {
             run.running.note(false);
-            return Err((NoRun::new(SendEnd::Failed, "failed"), reservation));
+            return Err((SendFailure::new(SendEnd::Failed, "failed"), reservation));
         }
-        if is_promise(run.parts.status) && !self.terms.route.kind.is_repeatable() {
+        if guarantees_not_run(run.parts.status) && !self.terms.route.kind.is_repeatable() {
             run.running.note(false);
             let mut reservation = reservation;
             reservation.failed();
@@ -59,14 +59,14 @@
             // proved that it did not run.
             return Ok(self.refuse(&Refusal::unknown(RefusalCode::TargetLost)));
         }
-        self.pass_whole(run, reservation).await
+        self.forward_complete(run, reservation).await
     }
 
-    async fn pass_whole(
+    async fn forward_complete(
         &mut self,
         run: Run,
         mut reservation: Reservation,
-    ) -> Result<Response<ReplyBody>, (NoRun, Reservation)> {
+    ) -> Result<Response<ReplyBody>, (SendFailure, Reservation)> {
         let Run {
             mut parts,
             head,
@@ -74,14 +74,17 @@
             lease,
             running,
         } = run;
-        let reading = Limited::new(body, WHOLE_BYTES_MAX).collect();
-        let body = match tokio::time::timeout(self.left(), reading).await {
+        let reading = Limited::new(body, ANSWER_BYTES_MAX).collect();
+        let body = match tokio::time::timeout(self.time_left(), reading).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => {
                 running.note(false);
-                return Err((NoRun::new(SendEnd::Broken, "body_broken"), reservation));
+                return Err((
+                    SendFailure::new(SendEnd::Broken, "body_broken"),
+                    reservation,
+                ));
             }
-            Err(_) => return Err((NoRun::new(SendEnd::Failed, "body_late"), reservation)),
+            Err(_) => return Err((SendFailure::new(SendEnd::Failed, "body_late"), reservation)),
         };
         self.gateway.note_passed(body.len());
         lease.give_back(head.reuse_for).await;
@@ -103,7 +106,7 @@
         };
         self.record.end(code, outcome);
         self.gateway.dialect.dress_answer(&mut parts.headers);
-        Ok(Response::from_parts(parts, whole(body)))
+        Ok(Response::from_parts(parts, full_body(body)))
     }
 
     /// Passes a stream on once its first event has arrived. Nothing has been sent to the caller
@@ -125,12 +128,12 @@
             open: self.gateway.open_call(),
             caller: self.caller.clone(),
             last_event: self.last_event,
-            cutter: EventCutter::default(),
+            splitter: EventSplitter::default(),
             event_at: None,
             pause_max: Duration::ZERO,
             is_waited_out: false,
             first_frame: None,
-            over: None,
+            stream_end: None,
         };
         if let Err(code) = relay.begin().await {
             let refusal = Refusal::unknown(code);
--- a/crates/damaskstile-gateway/src/exchange/refusing.rs
+++ b/crates/damaskstile-gateway/src/exchange/refusing.rs
@@ -13,9 +13,9 @@
 impl Exchange {
     /// Returns the refusal of a call whose content is quarantined because targets crashed under it,
     /// possibly during attempts by other callers.
-    pub(super) fn barred(&mut self) -> Option<Refusal> {
+    pub(super) fn quarantine_refusal(&mut self) -> Option<Refusal> {
         let account = self.terms.account.as_deref();
-        let refusal = self.gateway.barred(&self.call, account)?;
+        let refusal = self.gateway.quarantine_refusal(&self.call, account)?;
         let content = Fingerprint::of(&self.call.content(account));
         self.record.add("content", content);
         Some(if self.attempts.has_run() {
@@ -33,7 +33,7 @@
     /// Checks the call against the instance's load; returns a refusal if it cannot be served in
     /// time. The refusal closes the connection, so that the caller connects to another instance for
     /// this call and later ones.
-    pub(super) fn overloaded(&mut self) -> Option<Response<ReplyBody>> {
+    pub(super) fn overload_refusal(&mut self) -> Option<Response<ReplyBody>> {
         let (now, bytes) = (self.gateway.now(), self.call.link_bytes());
         let objective = self.terms.route.objective;
         let is_admitted = {
@@ -50,7 +50,7 @@
         Some(response)
     }
 
-    pub(super) fn too_late(&mut self) -> Response<ReplyBody> {
+    pub(super) fn deadline_exceeded(&mut self) -> Response<ReplyBody> {
         let code = RefusalCode::DeadlineExceeded;
         let refusal = if self.is_sending || self.attempts.has_run() {
             self.note_time();
@@ -62,8 +62,8 @@
     }
 
     /// Returns the refusal of a call for which no target is usable now; `None` if all candidates
-    /// are in backoff, since `targets_pause` then knows the exact wait.
-    pub(super) fn no_target(&self) -> Option<Refusal> {
+    /// are in backoff, since `targets_backoff` then knows the exact wait.
+    pub(super) fn no_target_refusal(&self) -> Option<Refusal> {
         let now = self.gateway.now();
         let state = self.gateway.state();
         let found = state
@@ -75,29 +75,29 @@
         }
         let wait = state.book.place_in(now, &self.terms.service);
         drop(state);
-        let wait = wait.map_or(RETRY_LATER, |wait| self.spread(wait));
+        let wait = wait.map_or(RETRY_LATER, |wait| self.add_jitter(wait));
         Some(Refusal::not_run(code, Some(wait)))
     }
 
     /// Adds a random delay to a wait, so that callers refused together do not come back together.
-    fn spread(&self, wait: Duration) -> Duration {
+    fn add_jitter(&self, wait: Duration) -> Duration {
         let spread_ms = self.gateway.state().random.below(RETURN_SPREAD_MS);
         wait.saturating_add(Duration::from_millis(spread_ms))
     }
 
     /// Returns how long a caller should wait if all targets of the service are in backoff. A random
     /// delay is added, so that callers refused during the backoff do not all come back at its end.
-    pub(super) fn targets_pause(&self) -> Option<Duration> {
+    pub(super) fn targets_backoff(&self) -> Option<Duration> {
         let now = self.gateway.now();
         let left = {
             let state = self.gateway.state();
             state.book.paused_for(now, &self.terms.service)?
         };
-        Some(self.spread(left))
+        Some(self.add_jitter(left))
     }
 
     pub(super) fn give_up(&mut self, code: RefusalCode, wait: Duration) -> Response<ReplyBody> {
-        let wait = self.targets_pause().unwrap_or(wait);
+        let wait = self.targets_backoff().unwrap_or(wait);
         let refusal = if self.attempts.has_run() {
             Refusal::unknown(RefusalCode::TargetLost)
         } else {
--- a/crates/damaskstile-gateway/src/exchange/stopping.rs
+++ b/crates/damaskstile-gateway/src/exchange/stopping.rs
@@ -8,7 +8,7 @@
 use crate::reply::{RETRY_AT_ONCE, RETRY_LATER, Refusal, ReplyBody};
 
 impl Exchange {
-    pub(super) fn stopping(&self) -> Refusal {
+    pub(super) fn stopping_refusal(&self) -> Refusal {
         Refusal::not_run(RefusalCode::Stopping, Some(self.stopping_wait()))
     }
 
@@ -32,10 +32,10 @@
 
     /// Returns whether a run that starts now is expected to finish before the shutdown would cut it
     /// off. Without this check a stream accepted seconds after the shutdown signal would be cut.
-    pub(super) fn is_over_in_time(&self) -> bool {
+    pub(super) fn finishes_in_time(&self) -> bool {
         let now = self.gateway.now();
         let route = &self.terms.route.name;
-        self.gateway.is_over_in_time(route, now, self.deadline)
+        self.gateway.finishes_in_time(route, now, self.deadline)
     }
 
     /// Answers a call that the shutdown cannot wait for. A caller without an answer would not know
@@ -46,7 +46,7 @@
             self.record.end(EventCode::CallCut, "cut_by_stop");
             response
         } else {
-            let refusal = self.stopping();
+            let refusal = self.stopping_refusal();
             self.refuse(&refusal)
         }
     }
--- a/crates/damaskstile-gateway/src/exchange/tokens.rs
+++ b/crates/damaskstile-gateway/src/exchange/tokens.rs
@@ -46,7 +46,7 @@
             None => self.reserve_held(None, rank, until).await?,
         };
         let Some(reservation) = reservation else {
-            return Err(self.short(Shortage::Elsewhere, tokens));
+            return Err(self.shortage_refusal(Shortage::Elsewhere, tokens));
         };
         self.record.add("reserved", reservation.reserved_tokens());
         if reservation.reserved_tokens() > 0 {
@@ -139,10 +139,10 @@
                     continue;
                 }
             };
-            return Err(self.short(shortage, tokens));
+            return Err(self.shortage_refusal(shortage, tokens));
         }
         if is_coming {
-            return Err(self.short(Shortage::InStore, tokens));
+            return Err(self.shortage_refusal(Shortage::InStore, tokens));
         }
         Ok(None)
     }
@@ -170,15 +170,15 @@
             // During a shutdown the balance is handed back, so a shortage here says nothing about
             // the budget.
             if self.is_closing() {
-                return Err(self.stopping());
+                return Err(self.stopping_refusal());
             }
-            let is_coming = self.call_for_tokens(shortage, tokens);
+            let is_coming = self.request_tokens(shortage, tokens);
             if !is_coming && shortage == Shortage::Elsewhere {
                 return Ok(None);
             }
             let wait = until.saturating_sub(self.gateway.now());
             if !is_coming || wait.is_zero() {
-                return Err(self.short(shortage, tokens));
+                return Err(self.shortage_refusal(shortage, tokens));
             }
             // Whether the round completed or the wait timed out, the balance is checked again.
             let _ = tokio::time::timeout(wait, round_done).await;
@@ -194,11 +194,13 @@
             TOKENS_WAIT
         };
         let objective = self.terms.route.objective;
-        wait.min(objective / 2).max(TOKENS_WAIT).min(self.left())
+        wait.min(objective / 2)
+            .max(TOKENS_WAIT)
+            .min(self.time_left())
     }
 
     /// Requests missing tokens from the store or a peer; returns whether they may arrive soon.
-    fn call_for_tokens(&self, shortage: Shortage, tokens: u64) -> bool {
+    fn request_tokens(&self, shortage: Shortage, tokens: u64) -> bool {
         let gateway = &self.gateway;
         gateway.round_wanted.notify_one();
         if shortage != Shortage::Elsewhere {
@@ -222,7 +224,7 @@
         true
     }
 
-    fn short(&mut self, shortage: Shortage, tokens: u64) -> Refusal {
+    fn shortage_refusal(&mut self, shortage: Shortage, tokens: u64) -> Refusal {
         let now = self.gateway.now();
         let account = self.terms.account.clone().unwrap_or_default();
         let state = self.gateway.state();
--- a/crates/damaskstile-gateway/src/fault.rs
+++ b/crates/damaskstile-gateway/src/fault.rs
@@ -4,7 +4,7 @@
 /// large as the object; log lines and the list of refused objects must not grow with it.
 const FAULT_CHARS_MAX: usize = 200;
 /// Start of the position that a decoder appends to its message.
-const POSITION: &str = " at line ";
+const POSITION_MARKER: &str = " at line ";
 
 /// Returns a decoder's error message without the position, truncated to the maximum length.
 ///
@@ -18,7 +18,7 @@
 #[must_use]
 pub fn fault(error: &str) -> String {
     let text = error
-        .rsplit_once(POSITION)
+        .rsplit_once(POSITION_MARKER)
         .map_or(error, |(before, _)| before);
     text.chars().take(FAULT_CHARS_MAX).collect()
 }
--- a/crates/damaskstile-gateway/src/front.rs
+++ b/crates/damaskstile-gateway/src/front.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::caller_link::CallerLink;
+use crate::caller_connection::CallerConnection;
 use crate::exchange::serve;
 use crate::gateway::Gateway;
 use crate::spawn_counted;
@@ -20,7 +20,7 @@
 const HEAD_BYTES_MIN: usize = 8 * 1024;
 /// Length of the accept queue. Callers reconnect all at once after an outage, and a full queue
 /// delays them by seconds.
-const BACKLOG: u32 = 1024;
+const ACCEPT_QUEUE: u32 = 1024;
 /// Pause after a failed accept, which means that file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
@@ -33,7 +33,7 @@
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_QUEUE)
 }
 
 /// Accepts connections until the shutdown closes them.
@@ -48,7 +48,11 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                spawn_counted(&gateway, "callers", converse(Arc::clone(&gateway), stream));
+                spawn_counted(
+                    &gateway,
+                    "callers",
+                    serve_connection(Arc::clone(&gateway), stream),
+                );
             }
             Err(error) => {
                 let error = error.to_string();
@@ -61,7 +65,7 @@
 
 /// Serves one connection. During a shutdown it is closed after the next answer, or at the end of
 /// the shutdown when everything written to it has been sent.
-async fn converse(gateway: Arc<Gateway>, stream: TcpStream) {
+async fn serve_connection(gateway: Arc<Gateway>, stream: TcpStream) {
     let _open = gateway.open_connection();
     // Disables Nagle's algorithm: an answer must not wait to be sent together with the next one.
     let _ = stream.set_nodelay(true);
@@ -72,7 +76,7 @@
         .map(|catalogue| *catalogue.limits())
         .unwrap_or_default();
     let stream = Arc::new(stream);
-    let caller = CallerLink::new(&stream);
+    let caller = CallerConnection::new(&stream);
     let stream = WatchedStream::new(&stream, &gateway.link_times, "write_to_caller");
     let service = service_fn(|request| {
         let (gateway, caller) = (Arc::clone(&gateway), caller.clone());
--- a/crates/damaskstile-gateway/src/gateway.rs
+++ b/crates/damaskstile-gateway/src/gateway.rs
@@ -25,11 +25,11 @@
 use crate::sent_bytes::SentBytes;
 use crate::state::State;
 use crate::stop_times::StopTimes;
-use crate::target_ends::TargetEnds;
+use crate::target_ends::TargetEndChecks;
 
 /// Capacity of the queue of messages to peers: one receipt for each instance of the largest
 /// expected fleet.
-const OUTBOX_RING: usize = 512;
+const OUTBOX_CAPACITY: usize = 512;
 
 /// State and services shared by all background tasks of an instance.
 pub struct Gateway {
@@ -48,7 +48,7 @@
     /// Pool of connections to targets.
     pub pool: Arc<Pool>,
     /// Checks whether targets have ended.
-    pub ends: TargetEnds,
+    pub end_checks: TargetEndChecks,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Bytes sent to peers, by purpose.
@@ -104,7 +104,7 @@
         store: Arc<dyn ObjectStore>,
         log: Logger,
     ) -> (Arc<Self>, mpsc::Receiver<Outgoing>) {
-        let (outbox, outbox_out) = mpsc::channel(OUTBOX_RING);
+        let (outbox, outbox_out) = mpsc::channel(OUTBOX_CAPACITY);
         let clock = Clock::start();
         let (link_times, busy_times) = (Arc::default(), Arc::default());
         let state = Mutex::new(State::new(&options, clock.now()));
@@ -117,7 +117,7 @@
             pool: Pool::new(&link_times, &busy_times),
             busy_times,
             link_times,
-            ends: TargetEnds::default(),
+            end_checks: TargetEndChecks::default(),
             metrics: Metrics::new(),
             sent_bytes: SentBytes::default(),
             log,
@@ -167,7 +167,7 @@
 
     /// Returns whether a call that began at `began_at` is expected to finish before the shutdown
     /// would cut it off; always true while no shutdown is ordered.
-    pub fn is_over_in_time(&self, route: &str, began_at: Duration, deadline: Duration) -> bool {
+    pub fn finishes_in_time(&self, route: &str, began_at: Duration, deadline: Duration) -> bool {
         let Some(times) = self.stop_times.get() else {
             return true;
         };
@@ -175,7 +175,7 @@
             return false;
         }
         let time = times.cut_at.saturating_sub(began_at);
-        deadline <= times.cut_at || self.state().call_times.is_over_within(route, time)
+        deadline <= times.cut_at || self.state().call_times.finishes_within(route, time)
     }
 
     /// Waits for the phase in which open calls are cut off.
--- a/crates/damaskstile-gateway/src/load.rs
+++ b/crates/damaskstile-gateway/src/load.rs
@@ -6,34 +6,34 @@
 use damaskstile_core::prelude::*;
 
 use crate::gateway::Gateway;
-use crate::look::Look;
+use crate::load_sample::LoadSample;
 use crate::readiness::Readiness;
 
 /// Interval between two load samples.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 /// Interval between two log lines of an overloaded instance.
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
 /// Scheduling delay from which on such lines are written.
-const LATE: Duration = Duration::from_millis(100);
+const SCHEDULING_DELAY_LOGGED: Duration = Duration::from_millis(100);
 /// Background tasks that serve calls.
-const CALL_DUTIES: [&str; 2] = ["callers", "targets"];
+const CALL_TASKS: [&str; 2] = ["callers", "targets"];
 
 /// Processor time spent on calls and on all other work since the start.
 #[derive(Debug, Clone, Copy)]
 struct Busy {
     with_calls: Duration,
-    otherwise: Duration,
+    with_other: Duration,
 }
 
 impl Busy {
     fn of(gateway: &Gateway) -> Self {
         let counts = gateway.busy_times.counts();
-        let is_of_calls = |duty: &&'static str| CALL_DUTIES.contains(duty);
+        let is_of_calls = |duty: &&'static str| CALL_TASKS.contains(duty);
         let (calls, others): (Vec<_>, Vec<_>) =
             counts.into_iter().partition(|(duty, _)| is_of_calls(duty));
         Self {
             with_calls: calls.into_iter().map(|(_, time)| time).sum(),
-            otherwise: others.into_iter().map(|(_, time)| time).sum(),
+            with_other: others.into_iter().map(|(_, time)| time).sum(),
         }
     }
 }
@@ -42,25 +42,25 @@
 pub async fn watch(gateway: Arc<Gateway>) {
     let mut readiness = Readiness::Starting;
     let mut busy_before = gateway.busy_times.counts();
-    let mut busy_at_look = Busy::of(&gateway);
-    let mut looked_at = gateway.now();
+    let mut busy_at_sample = Busy::of(&gateway);
+    let mut sampled_at = gateway.now();
     let mut line_at = gateway.now();
-    let mut longest_lateness = Duration::ZERO;
+    let mut longest_scheduling_delay = Duration::ZERO;
     loop {
-        let due_at = gateway.now() + LOOK_INTERVAL;
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        let due_at = gateway.now() + SAMPLE_INTERVAL;
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
         let now = gateway.now();
-        let lateness = now.saturating_sub(due_at);
+        let scheduling_delay = now.saturating_sub(due_at);
         let busy = Busy::of(&gateway);
-        let look = Look {
-            span: now.saturating_sub(looked_at),
-            lateness,
-            busy_with_calls: busy.with_calls.saturating_sub(busy_at_look.with_calls),
-            busy_otherwise: busy.otherwise.saturating_sub(busy_at_look.otherwise),
+        let sample = LoadSample {
+            span: now.saturating_sub(sampled_at),
+            scheduling_delay,
+            busy_with_calls: busy.with_calls.saturating_sub(busy_at_sample.with_calls),
+            busy_with_other: busy.with_other.saturating_sub(busy_at_sample.with_other),
         };
-        gateway.state().pressure.look(now, &look);
-        (busy_at_look, looked_at) = (busy, now);
-        longest_lateness = longest_lateness.max(lateness);
+        gateway.state().pressure.sample(now, &sample);
+        (busy_at_sample, sampled_at) = (busy, now);
+        longest_scheduling_delay = longest_scheduling_delay.max(scheduling_delay);
         let found = Readiness::of(&gateway);
         if found != readiness {
             let fields = [("now", found.as_str()), ("before", readiness.as_str())];
@@ -71,20 +71,21 @@
         if span < LINE_INTERVAL {
             continue;
         }
-        if longest_lateness >= LATE || readiness == Readiness::Overloaded {
+        if longest_scheduling_delay >= SCHEDULING_DELAY_LOGGED || readiness == Readiness::Overloaded
+        {
             let busy = gateway.busy_times.summary_since(&busy_before);
-            note(&gateway, span, longest_lateness, &busy);
+            note(&gateway, span, longest_scheduling_delay, &busy);
         } else {
             gateway.link_times.take();
         }
         busy_before = gateway.busy_times.counts();
-        longest_lateness = Duration::ZERO;
+        longest_scheduling_delay = Duration::ZERO;
         line_at = now;
     }
 }
 
 /// Logs the processor time by task and the longest network operations of the last interval.
-fn note(gateway: &Gateway, span: Duration, lateness: Duration, busy: &str) {
+fn note(gateway: &Gateway, span: Duration, scheduling_delay: Duration, busy: &str) {
     let mut longest = String::new();
     for (what, took) in gateway.link_times.take() {
         let separator = if longest.is_empty() { "" } else { "," };
@@ -97,7 +98,7 @@
     let waits_ms = format!("in:{received_ms},out:{sent_ms},processor:{work_ms}");
     let fields = [
         ("span_ms", span.as_millis().to_string()),
-        ("late_ms", lateness.as_millis().to_string()),
+        ("late_ms", scheduling_delay.as_millis().to_string()),
         ("busy_ms", busy.to_owned()),
         ("longest_ms", longest),
         ("waits_ms", waits_ms),
--- a/crates/damaskstile-gateway/src/logs.rs
+++ b/crates/damaskstile-gateway/src/logs.rs
@@ -8,7 +8,7 @@
 use slog::{Drain, Logger, o};
 
 /// Capacity of the queue of log events. Events beyond it are dropped, and their number is logged.
-const LOG_RING: usize = 4096;
+const LOG_QUEUE_CAPACITY: usize = 4096;
 
 /// Output format of the logs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
@@ -45,7 +45,7 @@
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
     let drain = slog_async::Async::new(drain)
-        .chan_size(LOG_RING)
+        .chan_size(LOG_QUEUE_CAPACITY)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build()
         .fuse();
--- a/crates/damaskstile-gateway/src/sendable.rs
+++ b/crates/damaskstile-gateway/src/outbound_call.rs
@@ -10,7 +10,7 @@
 
 /// A call in the form in which it can be sent to any target, repeatedly if need be.
 #[derive(Debug, Clone)]
-pub struct Sendable {
+pub struct OutboundCall {
     /// Method.
     pub method: Method,
     /// Path and query, unchanged.
@@ -25,7 +25,7 @@
     pub work: Work,
 }
 
-impl Sendable {
+impl OutboundCall {
     /// Returns the approximate number of bytes that the call takes on the link.
     #[must_use]
     pub fn link_bytes(&self) -> usize {
--- a/crates/damaskstile-gateway/src/pool.rs
+++ b/crates/damaskstile-gateway/src/pool.rs
@@ -17,12 +17,12 @@
 use crate::watched_stream::WatchedStream;
 
 /// Idle connections kept per target.
-const KEPT_MAX: usize = 64;
+const IDLE_PER_TARGET_MAX: usize = 64;
 
 pub(crate) type Sender = SendRequest<Full<Bytes>>;
 
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     sender: Sender,
     task: AbortHandle,
     usable_until: std::time::Instant,
@@ -32,7 +32,7 @@
 /// that accepted it for as long as that lives, even if its successor is already serving.
 #[derive(Debug, Default)]
 pub struct Pool {
-    kept: Mutex<BTreeMap<TargetIdentity, Vec<Kept>>>,
+    idle: Mutex<BTreeMap<TargetIdentity, Vec<IdleConnection>>>,
     link_times: Arc<LinkTimes>,
     busy_times: Arc<BusyTimes>,
 }
@@ -58,8 +58,14 @@
         target: &TargetIdentity,
         address: SocketAddr,
     ) -> std::io::Result<Lease> {
-        if let Some(kept) = self.take(target) {
-            return Ok(Lease::new(self, target, kept.sender, kept.task, true));
+        if let Some(connection) = self.take(target) {
+            return Ok(Lease::new(
+                self,
+                target,
+                connection.sender,
+                connection.task,
+                true,
+            ));
         }
         let began_at = std::time::Instant::now();
         let stream = connect(address).await;
@@ -80,13 +86,14 @@
     /// listed.
     pub fn prune(&self, is_listed: impl Fn(&TargetIdentity) -> bool) {
         let now = std::time::Instant::now();
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.retain(|target, connections| {
-            connections.retain(|one| {
-                let is_usable =
-                    now < one.usable_until && !one.sender.is_closed() && is_listed(target);
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.retain(|target, connections| {
+            connections.retain(|connection| {
+                let is_usable = now < connection.usable_until
+                    && !connection.sender.is_closed()
+                    && is_listed(target);
                 if !is_usable {
-                    one.task.abort();
+                    connection.task.abort();
                 }
                 is_usable
             });
@@ -102,11 +109,11 @@
         task: AbortHandle,
         usable_until: std::time::Instant,
     ) -> bool {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let of_target = kept.entry(target.clone()).or_default();
-        let has_room = of_target.len() < KEPT_MAX;
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let of_target = idle.entry(target.clone()).or_default();
+        let has_room = of_target.len() < IDLE_PER_TARGET_MAX;
         if has_room {
-            of_target.push(Kept {
+            of_target.push(IdleConnection {
                 sender,
                 task,
                 usable_until,
@@ -115,15 +122,16 @@
         has_room
     }
 
-    fn take(&self, target: &TargetIdentity) -> Option<Kept> {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let of_target = kept.get_mut(target)?;
-        while let Some(one) = of_target.pop() {
-            let is_usable = std::time::Instant::now() < one.usable_until && one.sender.is_ready();
+    fn take(&self, target: &TargetIdentity) -> Option<IdleConnection> {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let of_target = idle.get_mut(target)?;
+        while let Some(connection) = of_target.pop() {
+            let is_usable =
+                std::time::Instant::now() < connection.usable_until && connection.sender.is_ready();
             if is_usable {
-                return Some(one);
+                return Some(connection);
             }
-            one.task.abort();
+            connection.task.abort();
         }
         None
     }
--- a/crates/damaskstile-gateway/src/pressure.rs
+++ b/crates/damaskstile-gateway/src/pressure.rs
@@ -5,33 +5,33 @@
 
 use crate::backlog::Backlog;
 use crate::call_cost::CallCost;
-use crate::look::Look;
+use crate::load_sample::LoadSample;
 
 /// Share of the link and of the processor that calls may use. The rest is for headers,
 /// acknowledgements and urgent traffic: answers in progress, store calls and gossip.
-const USABLE: f64 = 0.8;
+const USABLE_SHARE: f64 = 0.8;
 /// Queueing delay, on the link or at the processor, above which an instance is overloaded: a
 /// quarter of a second, half of the shortest objective for a first token in view.
 const DELAY_LIMIT: Duration = Duration::from_millis(250);
 /// Consecutive late load samples after which the processor counts as overloaded.
-const LATE_LOOKS: u32 = 3;
+const LATE_SAMPLES: u32 = 3;
 /// Load samples later than this indicate a pause of the machine rather than the cost of calls.
-const PAUSE_MIN: Duration = Duration::from_secs(1);
+const MACHINE_PAUSE_MIN: Duration = Duration::from_secs(1);
 /// Share of the time in which the processor is busy, above which its queue is taken into account.
 /// Below it, an estimate from earlier or from another machine is no reason to refuse calls.
 const BUSY_SHARE: f64 = 0.6;
 /// Cost of a refused call relative to a served one: it is read and answered, but not sent.
-const REFUSED_PART: f64 = 0.25;
+const REFUSED_COST_SHARE: f64 = 0.25;
 /// Shortest cool-down: time without overload after which an instance accepts new connections again.
 /// If it were much shorter, callers would return before the queue has drained.
-const CALM_MIN: Duration = Duration::from_secs(16);
+const COOL_DOWN_MIN: Duration = Duration::from_secs(16);
 /// Longest cool-down. The cool-down grows each time an instance is overloaded soon after it
 /// accepted new connections: a balancer that sends all callers of an account to one instance sends
 /// them back as soon as it is ready, and they would oscillate between two instances that cannot
 /// bear them.
-const CALM_MAX: Duration = Duration::from_secs(64);
+const COOL_DOWN_MAX: Duration = Duration::from_secs(64);
 /// Factor by which the cool-down grows.
-const CALM_GROWTH: u32 = 4;
+const COOL_DOWN_GROWTH: u32 = 4;
 /// Share in use above which an instance that was overloaded still has no room for new connections.
 const FULL_SHARE: f64 = 0.5;
 
@@ -53,10 +53,10 @@
     /// Time of the last overload.
     overloaded_at: Option<Duration>,
     /// Current cool-down.
-    calm: Duration,
-    late_looks: u32,
+    cool_down: Duration,
+    late_samples: u32,
     /// Scheduling delay of the last load sample.
-    lateness: Duration,
+    scheduling_delay: Duration,
     /// Whether the processor was mostly busy up to the last load sample.
     is_busy: bool,
 }
@@ -66,17 +66,17 @@
     #[must_use]
     #[allow(clippy::cast_precision_loss)] // some hundred MB at most
     pub fn new(link_bytes_per_s: u64) -> Self {
-        let bytes_per_s = link_bytes_per_s as f64 * USABLE;
+        let bytes_per_s = link_bytes_per_s as f64 * USABLE_SHARE;
         Self {
             received: Backlog::new(bytes_per_s),
             sent: Backlog::new(bytes_per_s),
-            work: Backlog::new(USABLE),
+            work: Backlog::new(USABLE_SHARE),
             call_cost: CallCost::default(),
             calls: 0.0,
             overloaded_at: None,
-            calm: CALM_MIN,
-            late_looks: 0,
-            lateness: Duration::ZERO,
+            cool_down: COOL_DOWN_MIN,
+            late_samples: 0,
+            scheduling_delay: Duration::ZERO,
             is_busy: false,
         }
     }
@@ -93,14 +93,14 @@
     #[allow(clippy::cast_precision_loss)] // sizes of messages
     pub fn note_received(&mut self, now: Duration, bytes: usize) {
         self.received.add(now, bytes as f64);
-        self.look_at_delay(now);
+        self.check_link_delay(now);
     }
 
     /// Records bytes sent over the link.
     #[allow(clippy::cast_precision_loss)] // sizes of messages
     pub fn note_sent(&mut self, now: Duration, bytes: usize) {
         self.sent.add(now, bytes as f64);
-        self.look_at_delay(now);
+        self.check_link_delay(now);
     }
 
     /// Returns whether the instance can begin to serve another call within `within`, and counts the
@@ -125,17 +125,17 @@
         if is_late || self.sent.delay(now) > DELAY_LIMIT {
             self.note_overload(now);
         }
-        let is_behind = self.late_looks >= LATE_LOOKS && self.lateness > limit;
-        let has_time = !is_behind && (!self.is_busy || of_work <= limit);
+        let is_lagging = self.late_samples >= LATE_SAMPLES && self.scheduling_delay > limit;
+        let has_time = !is_lagging && (!self.is_busy || of_work <= limit);
         let has_room = has_time && self.sent.delay(now) <= limit;
-        let cost_s = self.call_cost.of_call_s();
+        let cost_s = self.call_cost.per_call_s();
         if has_room {
             self.sent.add(now, bytes as f64);
             self.work.add(now, cost_s);
             self.calls += 1.0;
         } else {
-            self.work.add(now, cost_s * REFUSED_PART);
-            self.calls += REFUSED_PART;
+            self.work.add(now, cost_s * REFUSED_COST_SHARE);
+            self.calls += REFUSED_COST_SHARE;
         }
         has_room
     }
@@ -147,32 +147,32 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use damaskstile_gateway::look::Look;
+    /// use damaskstile_gateway::load_sample::LoadSample;
     /// use damaskstile_gateway::pressure::Pressure;
     /// let mut pressure = Pressure::new(1_000_000);
-    /// let lateness = Duration::from_millis(400);
-    /// let look = Look { lateness, ..Look::default() };
-    /// let looks = [1, 2, 3].map(Duration::from_secs);
-    /// let high = looks.map(|now| {
-    ///     pressure.look(now, &look);
+    /// let scheduling_delay = Duration::from_millis(400);
+    /// let sample = LoadSample { scheduling_delay, ..LoadSample::default() };
+    /// let samples = [1, 2, 3].map(Duration::from_secs);
+    /// let high = samples.map(|now| {
+    ///     pressure.sample(now, &sample);
     ///     pressure.is_high(now)
     /// });
     /// assert_eq!(high, [false, false, true]);
     /// ```
-    pub fn look(&mut self, now: Duration, look: &Look) {
-        if look.lateness < PAUSE_MIN {
-            self.call_cost.note(look, std::mem::take(&mut self.calls));
-            let usable = (USABLE - self.call_cost.otherwise()).max(USABLE / 2.0);
+    pub fn sample(&mut self, now: Duration, sample: &LoadSample) {
+        if sample.scheduling_delay < MACHINE_PAUSE_MIN {
+            self.call_cost.note(sample, std::mem::take(&mut self.calls));
+            let usable = (USABLE_SHARE - self.call_cost.other_share()).max(USABLE_SHARE / 2.0);
             self.work.set_rate(now, usable);
-            let busy = look.busy_with_calls + look.busy_otherwise;
-            self.is_busy = busy.as_secs_f64() >= BUSY_SHARE * look.span.as_secs_f64();
+            let busy = sample.busy_with_calls + sample.busy_with_other;
+            self.is_busy = busy.as_secs_f64() >= BUSY_SHARE * sample.span.as_secs_f64();
         }
-        self.lateness = look.lateness;
-        if look.lateness < DELAY_LIMIT {
-            self.late_looks = 0;
+        self.scheduling_delay = sample.scheduling_delay;
+        if sample.scheduling_delay < DELAY_LIMIT {
+            self.late_samples = 0;
         } else {
-            self.late_looks += 1;
-            if self.late_looks >= LATE_LOOKS {
+            self.late_samples += 1;
+            if self.late_samples >= LATE_SAMPLES {
                 self.note_overload(now);
             }
         }
@@ -185,7 +185,7 @@
     /// connections.
     #[must_use]
     pub fn is_high(&self, now: Duration) -> bool {
-        let is_recent = |at| now.saturating_sub(at) < self.calm;
+        let is_recent = |at| now.saturating_sub(at) < self.cool_down;
         self.overloaded_at.is_some_and(is_recent)
     }
 
@@ -207,7 +207,7 @@
         link.max(self.work.share(now))
     }
 
-    fn look_at_delay(&mut self, now: Duration) {
+    fn check_link_delay(&mut self, now: Duration) {
         if self.received.delay(now).max(self.sent.delay(now)) > DELAY_LIMIT {
             self.note_overload(now);
         }
@@ -215,11 +215,11 @@
 
     fn note_overload(&mut self, now: Duration) {
         if !self.is_high(now) {
-            let is_soon = |at| now.saturating_sub(at) < self.calm * 2;
-            self.calm = if self.overloaded_at.is_some_and(is_soon) {
-                (self.calm * CALM_GROWTH).min(CALM_MAX)
+            let is_soon = |at| now.saturating_sub(at) < self.cool_down * 2;
+            self.cool_down = if self.overloaded_at.is_some_and(is_soon) {
+                (self.cool_down * COOL_DOWN_GROWTH).min(COOL_DOWN_MAX)
             } else {
-                CALM_MIN
+                COOL_DOWN_MIN
             };
         }
         self.overloaded_at = Some(now);
--- a/crates/damaskstile-gateway/src/readiness.rs
+++ b/crates/damaskstile-gateway/src/readiness.rs
@@ -8,7 +8,7 @@
 /// Time after the start in which an instance without tokens is not ready: its first ledger write
 /// waits for peers that may write for it. Later than that the store may be unreachable, and calls
 /// that need no tokens are served without it.
-const TOKENS_PATIENCE: Duration = Duration::from_secs(2);
+const TOKENS_WAIT_AT_START: Duration = Duration::from_secs(2);
 
 /// Whether an instance accepts new connections, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,7 +33,7 @@
             return Self::Stopping;
         }
         let now = gateway.now();
-        let is_young = now.saturating_sub(gateway.started_at) < TOKENS_PATIENCE;
+        let is_young = now.saturating_sub(gateway.started_at) < TOKENS_WAIT_AT_START;
         let state = gateway.state();
         if state.catalogue.get().is_none() {
             Self::Starting
--- a/crates/damaskstile-gateway/src/relay.rs
+++ b/crates/damaskstile-gateway/src/relay.rs
@@ -1,7 +1,7 @@
 //! Relays a target's event stream to the caller, and resumes it at another target if a run fails.
 
-mod going_on;
-mod over;
+mod resume;
+mod stream_end;
 
 use std::sync::Arc;
 
@@ -11,19 +11,19 @@
 use http_body::Frame;
 use http_body_util::{BodyExt, StreamBody};
 
-use crate::caller_link::CallerLink;
-use crate::events::{EventCutter, WholeEvent};
+use crate::caller_connection::CallerConnection;
+use crate::events::{CompleteEvent, EventSplitter};
 use crate::gateway::Gateway;
 use crate::open_call::OpenCall;
-use crate::patience::allows_another;
+use crate::outbound_call::OutboundCall;
 use crate::record::Record;
 use crate::reply::ReplyBody;
 use crate::reservation::Reservation;
 use crate::run::Run;
-use crate::sendable::Sendable;
 use crate::state::Terms;
+use crate::wait_limit::allows_another_send;
 
-pub use over::Over;
+pub use stream_end::StreamEnd;
 
 /// Pause between events after which a stream is resumed at another target, if it may be. Callers
 /// give up after two seconds or more, and a preempted run pauses for less than a second.
@@ -35,7 +35,7 @@
     /// State shared by all background tasks of the instance.
     pub gateway: Arc<Gateway>,
     /// The call, kept so that it can be sent again.
-    pub call: Sendable,
+    pub call: OutboundCall,
     /// Route, service and account of the call.
     pub terms: Terms,
     /// Tokens reserved for the call.
@@ -53,11 +53,11 @@
     /// Keeps the call counted as open.
     pub open: OpenCall,
     /// The caller's connection.
-    pub caller: CallerLink,
+    pub caller: CallerConnection,
     /// Id of the last event sent to the caller.
     pub last_event: Option<u64>,
     /// Splits the stream into events.
-    pub cutter: EventCutter,
+    pub splitter: EventSplitter,
     /// Arrival time of the last event.
     pub event_at: Option<Duration>,
     /// Longest pause between two events so far.
@@ -68,12 +68,12 @@
     /// The first event, buffered until the head of the answer has been sent.
     pub first_frame: Option<Frame<Bytes>>,
     /// How the stream ended; `None` while it is open.
-    pub over: Option<Over>,
+    pub stream_end: Option<StreamEnd>,
 }
 
 /// Next outcome of reading the current run's stream.
-enum Piece {
-    Event(WholeEvent),
+enum StreamStep {
+    Event(CompleteEvent),
     End,
     /// The connection ended before the stream.
     Closed(&'static str),
@@ -105,9 +105,9 @@
             Some(Ok(frame)) => Some(frame),
             Some(Err(_)) | None => None,
         };
-        match self.over {
-            Some(Over::BrokenOff(code)) => Err(code),
-            Some(Over::Whole) | None => Ok(()),
+        match self.stream_end {
+            Some(StreamEnd::BrokenOff(code)) => Err(code),
+            Some(StreamEnd::Complete) | None => Ok(()),
         }
     }
 
@@ -115,52 +115,52 @@
         if let Some(frame) = self.first_frame.take() {
             return Some(Ok(frame));
         }
-        if self.over.is_some() {
+        if self.stream_end.is_some() {
             return None;
         }
         let gateway = Arc::clone(&self.gateway);
         tokio::select! {
             biased;
-            frame = self.frame_of_runs() => frame,
+            frame = self.next_frame_of_runs() => frame,
             () = gateway.cut() => Some(Err(self.cut())),
         }
     }
 
-    async fn frame_of_runs(&mut self) -> Option<std::io::Result<Frame<Bytes>>> {
+    async fn next_frame_of_runs(&mut self) -> Option<std::io::Result<Frame<Bytes>>> {
         loop {
-            match self.next_piece().await {
-                Piece::Event(event) => {
-                    if let Some(bytes) = self.take_event(event) {
+            match self.next_step().await {
+                StreamStep::Event(event) => {
+                    if let Some(bytes) = self.accept_event(event) {
                         return Some(Ok(Frame::data(bytes)));
                     }
                 }
-                Piece::End => return self.end().await,
-                Piece::Closed(cause) => {
-                    self.note_closed().await;
-                    let next = self.choose_next(SendEnd::Unknown);
-                    if !self.go_on(cause, next).await {
+                StreamStep::End => return self.end().await,
+                StreamStep::Closed(cause) => {
+                    self.follow_up_closed().await;
+                    let next = self.choose_successor(SendEnd::Unknown);
+                    if !self.resume(cause, next).await {
                         return Some(Err(self.break_off(RefusalCode::TargetLost, cause)));
                     }
                 }
-                Piece::Stalled => {
+                StreamStep::Stalled => {
                     // The current run is kept until a successor has been chosen: dropping it
                     // earlier would lose a run that may still continue.
-                    let Some(next) = self.choose_next(SendEnd::Unknown) else {
+                    let Some(next) = self.choose_successor(SendEnd::Unknown) else {
                         self.is_waited_out = true;
                         continue;
                     };
-                    if !self.go_on("stalled", Some(next)).await {
+                    if !self.resume("stalled", Some(next)).await {
                         let code = RefusalCode::TargetLost;
                         return Some(Err(self.break_off(code, "stalled")));
                     }
                 }
-                Piece::Broken(cause) => {
-                    let next = self.choose_next(SendEnd::Unknown);
-                    if !self.go_on(cause, next).await {
+                StreamStep::Broken(cause) => {
+                    let next = self.choose_successor(SendEnd::Unknown);
+                    if !self.resume(cause, next).await {
                         return Some(Err(self.break_off(RefusalCode::TargetLost, cause)));
                     }
                 }
-                Piece::TooLate => {
+                StreamStep::TooLate => {
                     self.note_time();
                     let code = RefusalCode::DeadlineExceeded;
                     return Some(Err(self.break_off(code, "deadline")));
@@ -169,40 +169,40 @@
         }
     }
 
-    async fn next_piece(&mut self) -> Piece {
+    async fn next_step(&mut self) -> StreamStep {
         loop {
-            if let Some(event) = self.cutter.next_event() {
-                return Piece::Event(event);
+            if let Some(event) = self.splitter.next_event() {
+                return StreamStep::Event(event);
             }
             let left = self.deadline.saturating_sub(self.gateway.now());
-            let allows_another = allows_another(&self.terms, &self.attempts);
-            let may_go_on = allows_another && !self.is_waited_out && self.may_go_on();
+            let allows_another_send = allows_another_send(&self.terms, &self.attempts);
+            let may_resume = allows_another_send && !self.is_waited_out && self.may_resume();
             let Some(run) = &mut self.run else {
-                return Piece::Broken("no_run");
+                return StreamStep::Broken("no_run");
             };
-            let patience = if may_go_on {
+            let wait = if may_resume {
                 left.min(STALL_LIMIT)
             } else {
                 left
             };
-            let frame = match tokio::time::timeout(patience, run.body.frame()).await {
+            let frame = match tokio::time::timeout(wait, run.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(Some(Err(_))) => return Piece::Closed("broken"),
-                Ok(None) if self.cutter.is_empty() => return Piece::End,
-                Ok(None) => return Piece::Closed("half_event"),
-                Err(_) if left <= patience => return Piece::TooLate,
-                Err(_) => return Piece::Stalled,
+                Ok(Some(Err(_))) => return StreamStep::Closed("broken"),
+                Ok(None) if self.splitter.is_empty() => return StreamStep::End,
+                Ok(None) => return StreamStep::Closed("half_event"),
+                Err(_) if left <= wait => return StreamStep::TooLate,
+                Err(_) => return StreamStep::Stalled,
             };
             if let Ok(bytes) = frame.into_data()
-                && !self.cutter.push(&bytes)
+                && !self.splitter.push(&bytes)
             {
-                return Piece::Broken("endless_event");
+                return StreamStep::Broken("endless_event");
             }
         }
     }
 
     /// Records an event; returns its bytes unless the caller already has it.
-    fn take_event(&mut self, event: WholeEvent) -> Option<Bytes> {
+    fn accept_event(&mut self, event: CompleteEvent) -> Option<Bytes> {
         self.record.first_byte();
         let now = self.gateway.now();
         let before = self.event_at.replace(now).unwrap_or(now);
@@ -239,7 +239,7 @@
     }
 
     async fn end(&mut self) -> Option<std::io::Result<Frame<Bytes>>> {
-        self.over = Some(Over::Whole);
+        self.stream_end = Some(StreamEnd::Complete);
         self.note_time();
         self.record.add("pause_ms", self.pause_max.as_millis());
         self.record.end(EventCode::CallAnswered, "answered");
@@ -254,7 +254,7 @@
     }
 
     fn break_off(&mut self, code: RefusalCode, cause: &'static str) -> std::io::Error {
-        self.over = Some(Over::BrokenOff(code));
+        self.stream_end = Some(StreamEnd::BrokenOff(code));
         self.run = None;
         self.reservation.failed();
         self.record.add("pause_ms", self.pause_max.as_millis());
--- a/crates/damaskstile-gateway/src/relay/going_on.rs
+++ b/crates/damaskstile-gateway/src/relay/resume.rs
@@ -6,33 +6,35 @@
 
 use super::Relay;
 use crate::broken_run::BrokenRun;
-use crate::events::EventCutter;
+use crate::events::EventSplitter;
 use crate::exchange::plan_next;
-use crate::patience::Patience;
 use crate::run;
 use crate::send;
+use crate::wait_limit::WaitLimit;
 
 impl Relay {
     /// Returns whether the stream may be resumed at another target: the route allows repeated
     /// sends, and no shutdown would cut it off there. Otherwise a silent target is waited for.
-    pub(super) fn may_go_on(&self) -> bool {
+    pub(super) fn may_resume(&self) -> bool {
         let (route, began_at) = (&self.terms.route, self.record.began_at());
-        let is_over_in_time = || {
+        let finishes_in_time = || {
             self.gateway
-                .is_over_in_time(&route.name, began_at, self.deadline)
+                .finishes_in_time(&route.name, began_at, self.deadline)
         };
-        route.kind.is_repeatable() && is_over_in_time()
+        route.kind.is_repeatable() && finishes_in_time()
     }
 
     /// Returns whether the call's content is quarantined by now, also because of attempts by other
     /// callers.
-    fn is_barred(&self) -> bool {
+    fn is_quarantined(&self) -> bool {
         let account = self.terms.account.as_deref();
-        self.gateway.barred(&self.call, account).is_some()
+        self.gateway
+            .quarantine_refusal(&self.call, account)
+            .is_some()
     }
 
     /// Checks whether the target that closed the connection in mid-stream has ended.
-    pub(super) async fn note_closed(&mut self) {
+    pub(super) async fn follow_up_closed(&mut self) {
         let Some(run) = &self.run else {
             return;
         };
@@ -42,8 +44,8 @@
 
     /// Chooses the target at which the stream resumes if the current run ends with `end`; `None` if
     /// it cannot be resumed. The current run is left untouched.
-    pub(super) fn choose_next(&mut self, end: SendEnd) -> Option<Choice> {
-        if !self.may_go_on() || self.is_barred() || self.left().is_zero() {
+    pub(super) fn choose_successor(&mut self, end: SendEnd) -> Option<Choice> {
+        if !self.may_resume() || self.is_quarantined() || self.time_left().is_zero() {
             return None;
         }
         let mut attempts = self.attempts.clone();
@@ -65,18 +67,18 @@
 
     /// Drops the current run and resumes the stream at the chosen target, or at further ones if
     /// that fails. Returns false if none took the call.
-    pub(super) async fn go_on(&mut self, cause: &'static str, next: Option<Choice>) -> bool {
+    pub(super) async fn resume(&mut self, cause: &'static str, next: Option<Choice>) -> bool {
         if let Some(run) = self.run.take() {
             run.running.note(false);
         }
-        self.cutter = EventCutter::default();
+        self.splitter = EventSplitter::default();
         let (mut cause, mut next) = (cause, next);
         while let Some(choice) = next {
             self.note_resumption(cause, &choice.target);
             let sent = BrokenRun::of(&choice, self.gateway.now());
-            let (patience, resume_after) = (self.patience(), self.last_event);
+            let (wait_limit, resume_after) = (self.wait_limit(), self.last_event);
             let (gateway, caller) = (&self.gateway, &self.caller);
-            let started = run::start(gateway, caller, &patience, choice, resume_after);
+            let started = run::start(gateway, caller, &wait_limit, choice, resume_after);
             let end = match started.await {
                 Ok(run) if run.parts.status.is_success() => {
                     self.is_waited_out = false;
@@ -88,36 +90,36 @@
                     cause = "failed";
                     SendEnd::Failed
                 }
-                Err(no_run) => {
-                    match no_run.end {
+                Err(failure) => {
+                    match failure.end {
                         SendEnd::NotSent | SendEnd::NotRun => self.reservation.not_run(),
                         SendEnd::Broken => {
                             sent.follow_up(&self.gateway, &self.call, &self.terms).await;
                         }
                         SendEnd::Unknown | SendEnd::Failed => {}
                     }
-                    cause = no_run.cause;
-                    no_run.end
+                    cause = failure.cause;
+                    failure.end
                 }
             };
-            next = self.choose_next(end);
+            next = self.choose_successor(end);
         }
         false
     }
 
-    fn left(&self) -> Duration {
+    fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.gateway.now())
     }
 
-    fn patience(&self) -> Patience<'_> {
-        Patience {
+    fn wait_limit(&self) -> WaitLimit<'_> {
+        WaitLimit {
             gateway: &self.gateway,
             call: &self.call,
             terms: &self.terms,
             attempts: &self.attempts,
             tried: &self.tried,
             deadline: self.deadline,
-            goes_on_from: Some(self.record.began_at()),
+            resumes_from: Some(self.record.began_at()),
         }
     }
 
--- a/crates/damaskstile-gateway/src/relay/over.rs
+++ b/crates/damaskstile-gateway/src/relay/stream_end.rs
@@ -4,9 +4,9 @@
 
 /// How a relayed stream ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Over {
+pub enum StreamEnd {
     /// Complete, including its last event.
-    Whole,
+    Complete,
     /// Broken off before its last event, for this reason.
     BrokenOff(RefusalCode),
 }
--- a/crates/damaskstile-gateway/src/reply.rs
+++ b/crates/damaskstile-gateway/src/reply.rs
@@ -103,7 +103,7 @@
             },
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        let mut response = Response::new(whole(Bytes::from(body)));
+        let mut response = Response::new(full_body(Bytes::from(body)));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         *headers = gateway.dialect.own_answer(id);
@@ -123,7 +123,7 @@
 
 /// Creates a body from bytes that are all available.
 #[must_use]
-pub fn whole(bytes: Bytes) -> ReplyBody {
+pub fn full_body(bytes: Bytes) -> ReplyBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
--- a/crates/damaskstile-gateway/src/run.rs
+++ b/crates/damaskstile-gateway/src/run.rs
@@ -15,14 +15,14 @@
 
 use crate::answer::AnswerHead;
 use crate::call::SendHead;
-use crate::caller_link::CallerLink;
+use crate::caller_connection::CallerConnection;
 use crate::gateway::Gateway;
 use crate::handling::Handling;
 use crate::lease::{Lease, SendError};
-use crate::patience::Patience;
+use crate::outbound_call::OutboundCall;
 use crate::running::Running;
-use crate::sendable::Sendable;
 use crate::target_says;
+use crate::wait_limit::WaitLimit;
 
 /// An answer whose head has arrived from a target.
 #[derive(Debug)]
@@ -41,21 +41,21 @@
 
 /// Why a send produced no answer for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NoRun {
+pub struct SendFailure {
     /// What is known about the call's execution.
     pub end: SendEnd,
     /// Cause, for the logs.
     pub cause: &'static str,
 }
 
-impl NoRun {
+impl SendFailure {
     pub(crate) const fn new(end: SendEnd, cause: &'static str) -> Self {
         Self { end, cause }
     }
 }
 
 /// Sends a call to one target and waits for the head of its answer, until the wait limit in
-/// `patience` expires while another target is available. The time to connect counts towards the
+/// `wait_limit` expires while another target is available. The time to connect counts towards the
 /// limit; otherwise it would be added to the route's time-out.
 ///
 /// # Errors
@@ -63,14 +63,14 @@
 /// Returns what the failed send proves about the execution of the call.
 pub async fn start(
     gateway: &Arc<Gateway>,
-    caller: &CallerLink,
-    patience: &Patience<'_>,
+    caller: &CallerConnection,
+    wait_limit: &WaitLimit<'_>,
     choice: Choice,
     resume_after: Option<u64>,
-) -> Result<Run, NoRun> {
-    let (call, terms) = (patience.call, patience.terms);
+) -> Result<Run, SendFailure> {
+    let (call, terms) = (wait_limit.call, wait_limit.terms);
     let instant = |at: Duration| Instant::now() + at.saturating_sub(gateway.now());
-    let until = instant(patience.until());
+    let until = instant(wait_limit.until());
     let running = Running::new(gateway, choice, &call.work);
     let choice = &running.choice;
     let identity = choice.identity();
@@ -79,11 +79,11 @@
         Ok(Ok(lease)) => lease,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
             running.ended();
-            return Err(NoRun::new(SendEnd::NotSent, "no_connection"));
+            return Err(SendFailure::new(SendEnd::NotSent, "no_connection"));
         }
         Ok(Err(_)) | Err(_) => {
             running.silent();
-            return Err(NoRun::new(SendEnd::NotSent, "no_connection"));
+            return Err(SendFailure::new(SendEnd::NotSent, "no_connection"));
         }
     };
     // Connecting takes up to a few hundred milliseconds over a saturated link, and updates received
@@ -91,7 +91,7 @@
     // other target may still take it.
     let now = gateway.now();
     if !gateway.state().book.claim_send(now, &choice.identity()) {
-        return Err(NoRun::new(SendEnd::NotSent, "leaving"));
+        return Err(SendFailure::new(SendEnd::NotSent, "leaving"));
     }
     if caller.has_left() {
         // The connection's task drops this future as soon as it notices that the caller has
@@ -101,7 +101,7 @@
     let send = SendHead {
         target: &choice.target,
         account: terms.account.as_deref(),
-        time_left: patience.deadline.saturating_sub(gateway.now()),
+        time_left: wait_limit.deadline.saturating_sub(gateway.now()),
         priority: terms.priority,
         fetch_from: choice.fetch_from,
         resume_after,
@@ -110,26 +110,28 @@
     let answer = {
         let mut sending = pin!(lease.send(request));
         match timeout_at(until, sending.as_mut()).await {
-            Err(_) if !patience.is_followed_now() => {
-                timeout_at(instant(patience.deadline), sending).await
+            Err(_) if !wait_limit.has_successor_now() => {
+                timeout_at(instant(wait_limit.deadline), sending).await
             }
             answer => answer,
         }
     };
     let answer = match answer {
         Ok(Ok(answer)) => answer,
-        Ok(Err(SendError::NotSent)) => return Err(NoRun::new(SendEnd::NotSent, "closed_before")),
+        Ok(Err(SendError::NotSent)) => {
+            return Err(SendFailure::new(SendEnd::NotSent, "closed_before"));
+        }
         Ok(Err(SendError::Broken(_))) => {
             // Targets close pooled connections when their idle time is up, so a break on one says
             // nothing about the target.
             if !lease.is_reused {
                 running.note(false);
             }
-            return Err(NoRun::new(SendEnd::Broken, "broken"));
+            return Err(SendFailure::new(SendEnd::Broken, "broken"));
         }
         Err(_) => {
             running.silent();
-            return Err(NoRun::new(SendEnd::Unknown, "silent"));
+            return Err(SendFailure::new(SendEnd::Unknown, "silent"));
         }
     };
     let (parts, body) = answer.into_parts();
@@ -144,7 +146,7 @@
     judge(gateway, call, run)
 }
 
-fn build(gateway: &Gateway, call: &Sendable, send: &SendHead<'_>) -> Request<Full<Bytes>> {
+fn build(gateway: &Gateway, call: &OutboundCall, send: &SendHead<'_>) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
@@ -155,10 +157,10 @@
 }
 
 /// Checks that an answer belongs to this call and shows that the call was executed.
-fn judge(gateway: &Gateway, call: &Sendable, run: Run) -> Result<Run, NoRun> {
+fn judge(gateway: &Gateway, call: &OutboundCall, run: Run) -> Result<Run, SendFailure> {
     let choice = &run.running.choice;
     let is_own = run.head.id.is_none() || call.id.is_none() || run.head.id == call.id;
-    target_says::heed(gateway, &run.head, &run.running, is_own);
+    target_says::handle_head(gateway, &run.head, &run.running, is_own);
     if let Some(load) = run.head.load {
         let now = gateway.now();
         let mut state = gateway.state();
@@ -168,23 +170,23 @@
     // would give this caller another caller's answer. The connection is closed with the run.
     if !is_own {
         run.running.note(false);
-        return Err(NoRun::new(SendEnd::Unknown, "foreign_answer"));
+        return Err(SendFailure::new(SendEnd::Unknown, "foreign_answer"));
     }
     if run.head.handling == Handling::Misdirected {
         let now = gateway.now();
         gateway.state().book.leave(now, &choice.identity());
-        return Err(NoRun::new(SendEnd::NotRun, "misdirected"));
+        return Err(SendFailure::new(SendEnd::NotRun, "misdirected"));
     }
     if run.head.handling == Handling::NotRun {
         run.running.note(false);
-        return Err(NoRun::new(SendEnd::NotRun, "rejected"));
+        return Err(SendFailure::new(SendEnd::NotRun, "rejected"));
     }
     if run.parts.status.is_success() && !run.head.is_signed {
         run.running.note(false);
-        return Err(NoRun::new(SendEnd::Unknown, "unsigned_answer"));
+        return Err(SendFailure::new(SendEnd::Unknown, "unsigned_answer"));
     }
     if run.parts.status == StatusCode::SWITCHING_PROTOCOLS || run.parts.status.is_informational() {
-        return Err(NoRun::new(SendEnd::Unknown, "unexpected_status"));
+        return Err(SendFailure::new(SendEnd::Unknown, "unexpected_status"));
     }
     Ok(run)
 }
--- a/crates/damaskstile-gateway/src/send.rs
+++ b/crates/damaskstile-gateway/src/send.rs
@@ -4,9 +4,9 @@
 use damaskstile_targets::Choice;
 
 use crate::gateway::Gateway;
+use crate::outbound_call::OutboundCall;
 use crate::record::Record;
 use crate::reservation::Reservation;
-use crate::sendable::Sendable;
 
 /// Chooses a target for a call, excluding those in `tried`, and records the choice in the call's
 /// state. From here on the call counts as possibly executed. Returns `None` if no other target is
@@ -14,7 +14,7 @@
 pub(crate) fn choose(
     gateway: &Gateway,
     service: &str,
-    call: &Sendable,
+    call: &OutboundCall,
     tried: &mut Vec<TargetId>,
     record: &mut Record,
     reservation: &mut Reservation,
--- a/crates/damaskstile-gateway/src/stop.rs
+++ b/crates/damaskstile-gateway/src/stop.rs
@@ -11,7 +11,7 @@
 use crate::stop_times::StopTimes;
 
 /// Interval between two checks for open calls.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits for SIGTERM or SIGINT and shuts the instance down.
 ///
@@ -42,12 +42,12 @@
     gateway.round_wanted.notify_one();
 
     while gateway.open_calls() > 0 && gateway.now() < times.cut_at {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
     let cut_calls = gateway.open_calls();
     gateway.phase.send_replace(Phase::Ending);
     // Gives cut calls time to release their tokens and to answer their callers.
-    tokio::time::sleep(LOOK_INTERVAL).await;
+    tokio::time::sleep(CHECK_INTERVAL).await;
     end(&gateway, &times, cut_calls).await;
     Ok(())
 }
@@ -77,7 +77,7 @@
         if !is_handed_back {
             rounds::look(gateway).await;
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
     let open_connections = gateway.open_connections().to_string();
     let took_ms = gateway.now().saturating_sub(times.began_at).as_millis();
--- a/crates/damaskstile-gateway/src/suspicion.rs
+++ b/crates/damaskstile-gateway/src/suspicion.rs
@@ -4,16 +4,20 @@
 use damaskstile_requests::{Fingerprint, SuspectWord, Verdicts};
 
 use crate::gateway::Gateway;
+use crate::outbound_call::OutboundCall;
 use crate::outgoing::Outgoing;
 use crate::reply::Refusal;
-use crate::sendable::Sendable;
 
 /// Log value for a verdict reached by this instance rather than reported by a peer.
 const OWN: &str = "own";
 
 impl Gateway {
     /// Returns the refusal of a call whose content is quarantined; such a call was not executed.
-    pub(crate) fn barred(&self, call: &Sendable, account: Option<&str>) -> Option<Refusal> {
+    pub(crate) fn quarantine_refusal(
+        &self,
+        call: &OutboundCall,
+        account: Option<&str>,
+    ) -> Option<Refusal> {
         let now = self.now();
         let content = call.content(account);
         let left = self.state().suspects.barred_for(now, &content)?;
@@ -27,21 +31,21 @@
             let suspects = &mut self.state().suspects;
             suspects.note_end(now, content, account, target)
         };
-        self.tell(&verdicts);
+        self.send_verdicts(&verdicts);
         self.log_verdicts(OWN, &verdicts);
     }
 
     /// Records that a target completed a call.
-    pub(crate) fn note_success(&self, call: &Sendable, account: Option<&str>) {
+    pub(crate) fn note_success(&self, call: &OutboundCall, account: Option<&str>) {
         let now = self.now();
         let content = call.content(account);
         let verdicts = self.state().suspects.note_success(now, &content);
-        self.tell(&verdicts);
+        self.send_verdicts(&verdicts);
         self.log_verdicts(OWN, &verdicts);
     }
 
     /// Sends the verdicts reached here to peers.
-    fn tell(&self, verdicts: &Verdicts) {
+    fn send_verdicts(&self, verdicts: &Verdicts) {
         if let Some(content) = verdicts.news {
             // If the queue is full the report is dropped; the report of the next end under this
             // content includes this one.
--- a/crates/damaskstile-gateway/src/target_says.rs
+++ b/crates/damaskstile-gateway/src/target_says.rs
@@ -11,27 +11,27 @@
 use crate::target_list::incarnation_text;
 
 /// Random extra backoff, as a fraction of the requested one (one in this many).
-const PAUSE_SPREAD_PART: u32 = 5;
+const BACKOFF_SPREAD_PART: u32 = 5;
 /// Longest backoff to which that fraction is applied.
-const PAUSE_SPREAD_OF_MAX: Duration = Duration::from_secs(10);
+const BACKOFF_SPREAD_BASE_MAX: Duration = Duration::from_secs(10);
 
 /// Handles what the target says about itself in the head of an answer. `is_own` tells whether the
 /// answer belongs to this call; otherwise it is a late one to an earlier call.
-pub(crate) fn heed(gateway: &Gateway, head: &AnswerHead, running: &Running, is_own: bool) {
+pub(crate) fn handle_head(gateway: &Gateway, head: &AnswerHead, running: &Running, is_own: bool) {
     let choice = &running.choice;
     // The answer is from another target at the same address.
     if head.handling == Handling::Misdirected {
         return;
     }
     if head.is_leaving {
-        heed_leaving(gateway, choice);
+        handle_leaving(gateway, choice);
     }
     if let Some(pause) = head.pause.filter(|pause| !pause.is_zero()) {
-        heed_pause(gateway, choice, pause);
+        handle_backoff(gateway, choice, pause);
     }
     // A late answer without an advertised limit does not mean that there is none now.
     if is_own || head.named_limit != NamedLimit::Absent {
-        heed_limit(gateway, choice, running.sent_at(), head.named_limit);
+        handle_limit(gateway, choice, running.sent_at(), head.named_limit);
     }
 }
 
@@ -41,7 +41,7 @@
 /// report it. The announcement is about the process at the other end of the connection, so any
 /// answer on it counts, even a rejection or one to another call. It counts as soon as the head
 /// arrives: calls sent while a long stream continues would reach a target that has left.
-fn heed_leaving(gateway: &Gateway, choice: &Choice) {
+fn handle_leaving(gateway: &Gateway, choice: &Choice) {
     let target = choice.identity();
     let now = gateway.now();
     if gateway.state().book.leave(now, &target) {
@@ -61,10 +61,10 @@
 /// Calls sent during the backoff would be rejected after a round trip each, and keep a target busy
 /// that has no capacity. A random extra time spreads the return of instances that got the same
 /// request at the same moment.
-fn heed_pause(gateway: &Gateway, choice: &Choice, pause: Duration) {
+fn handle_backoff(gateway: &Gateway, choice: &Choice, pause: Duration) {
     let now = gateway.now();
     let mut state = gateway.state();
-    let spread_ms = unix_ms(pause.min(PAUSE_SPREAD_OF_MAX) / PAUSE_SPREAD_PART);
+    let spread_ms = unix_ms(pause.min(BACKOFF_SPREAD_BASE_MAX) / BACKOFF_SPREAD_PART);
     let spread = Duration::from_millis(state.random.below(spread_ms));
     state.book.pause(now, choice, pause.saturating_add(spread));
     drop(state);
@@ -77,11 +77,11 @@
 }
 
 /// Handles the rate limit that a target advertises, or its absence.
-fn heed_limit(gateway: &Gateway, choice: &Choice, sent_at: Duration, named: NamedLimit) {
+fn handle_limit(gateway: &Gateway, choice: &Choice, sent_at: Duration, advertised: NamedLimit) {
     let now = gateway.now();
     let target = choice.identity();
     let mut state = gateway.state();
-    let news = state.book.heed_limit(now, &target, sent_at, named);
+    let news = state.book.heed_limit(now, &target, sent_at, advertised);
     drop(state);
     if let Some(word) = news {
         log_limit(gateway, &target, word.calls_per_s, "answer");
--- a/crates/damaskstile-gateway/src/target_words.rs
+++ b/crates/damaskstile-gateway/src/target_words.rs
@@ -5,7 +5,7 @@
 
 /// Maximum number of delisted targets remembered. Late reports are seconds old, and a fleet of
 /// hundreds of targets replaces all of them a few times an hour at most.
-const GONE_MAX: usize = 4096;
+const DELISTED_MAX: usize = 4096;
 
 /// Versions of the target list at which targets were delisted.
 ///
@@ -23,7 +23,7 @@
     pub fn note_gone(&mut self, target: &str, version: Version) {
         let gone_at = self.gone_at.entry(target.to_owned()).or_default();
         *gone_at = version.max(*gone_at);
-        if self.gone_at.len() > GONE_MAX {
+        if self.gone_at.len() > DELISTED_MAX {
             self.forget_oldest();
         }
     }
--- a/crates/damaskstile-gateway/src/patience.rs
+++ b/crates/damaskstile-gateway/src/wait_limit.rs
@@ -4,21 +4,21 @@
 use damaskstile_requests::Attempts;
 
 use crate::gateway::Gateway;
-use crate::sendable::Sendable;
+use crate::outbound_call::OutboundCall;
 use crate::state::Terms;
 
 /// Shortest wait before a repeatable call is sent to another target. With less, a long prompt ahead
 /// in the target's batch would be taken for silence.
-const PATIENCE_MIN: Duration = Duration::from_secs(1);
+const WAIT_LIMIT_MIN: Duration = Duration::from_secs(1);
 
 /// Decides how long to wait for a silent target: until the call's deadline, or shorter if another
 /// target is available.
 #[derive(Debug)]
-pub struct Patience<'a> {
+pub struct WaitLimit<'a> {
     /// State shared by all background tasks of the instance.
     pub gateway: &'a Gateway,
     /// The call.
-    pub call: &'a Sendable,
+    pub call: &'a OutboundCall,
     /// Route, service and account of the call.
     pub terms: &'a Terms,
     /// Outcomes of the sends before the current one.
@@ -29,16 +29,16 @@
     pub deadline: Duration,
     /// Start of the call, if another run would resume its stream; `None` if it would start over, in
     /// which case its expected duration counts from the time of the send.
-    pub goes_on_from: Option<Duration>,
+    pub resumes_from: Option<Duration>,
 }
 
-impl Patience<'_> {
+impl WaitLimit<'_> {
     /// Returns the time until which the target may stay silent before another one is considered.
     #[must_use]
     pub fn until(&self) -> Duration {
         let now = self.gateway.now();
-        let until = now + (self.terms.route.objective * 3).max(PATIENCE_MIN);
-        if until < self.deadline && self.is_followed(until) {
+        let until = now + (self.terms.route.objective * 3).max(WAIT_LIMIT_MIN);
+        if until < self.deadline && self.has_successor(until) {
             until
         } else {
             self.deadline
@@ -49,29 +49,31 @@
     /// passed: the situation may have changed since the call was sent, and giving up the target
     /// without a successor would end the call.
     #[must_use]
-    pub fn is_followed_now(&self) -> bool {
-        self.is_followed(self.gateway.now())
+    pub fn has_successor_now(&self) -> bool {
+        self.has_successor(self.gateway.now())
     }
 
-    fn is_followed(&self, at: Duration) -> bool {
+    fn has_successor(&self, at: Duration) -> bool {
         let (gateway, terms) = (self.gateway, self.terms);
-        let began_at = self.goes_on_from.unwrap_or(at);
+        let began_at = self.resumes_from.unwrap_or(at);
         let now = gateway.now();
-        allows_another(terms, self.attempts)
-            && gateway.is_over_in_time(&terms.route.name, began_at, self.deadline)
-            && !self.is_barred()
+        allows_another_send(terms, self.attempts)
+            && gateway.finishes_in_time(&terms.route.name, began_at, self.deadline)
+            && !self.is_quarantined()
             && gateway
                 .state()
                 .has_successor(now, &terms.service, &self.call.work, self.tried)
     }
 
-    fn is_barred(&self) -> bool {
+    fn is_quarantined(&self) -> bool {
         let account = self.terms.account.as_deref();
-        self.gateway.barred(self.call, account).is_some()
+        self.gateway
+            .quarantine_refusal(self.call, account)
+            .is_some()
     }
 }
 
 /// Returns whether the route allows another send after the current one.
-pub(crate) fn allows_another(terms: &Terms, attempts: &Attempts) -> bool {
+pub(crate) fn allows_another_send(terms: &Terms, attempts: &Attempts) -> bool {
     attempts.allow_another(terms.route.kind.is_repeatable(), terms.route.attempts_max)
 }
--- a/crates/damaskstile-gateway/tests/behind.rs
+++ b/crates/damaskstile-gateway/tests/behind.rs
@@ -28,12 +28,12 @@
 
 /// A store whose first watch reports, once it is released, that a target was delisted.
 #[derive(Debug, Default)]
-struct LateStore {
-    let_go: Notify,
+struct DelayedStore {
+    release: Notify,
     watches: Mutex<usize>,
 }
 
-impl LateStore {
+impl DelayedStore {
     fn watches(&self) -> usize {
         *self.watches.lock().unwrap()
     }
@@ -47,7 +47,7 @@
     }
 }
 
-impl ObjectStore for LateStore {
+impl ObjectStore for DelayedStore {
     fn list<'a>(&'a self, _kind: &'a str) -> BoxFuture<'a, StoreResult<Listing>> {
         let listing = Listing {
             objects: vec![object("t0"), object("t1")],
@@ -68,7 +68,7 @@
             return std::future::pending().boxed();
         }
         async {
-            self.let_go.notified().await;
+            self.release.notified().await;
             Ok((vec![Change::Gone("t0".to_owned())], WATCHED))
         }
         .boxed()
@@ -116,21 +116,21 @@
 }
 
 #[tokio::test]
-async fn a_watch_that_is_behind_takes_out_no_target_that_a_newer_list_names() {
+async fn stale_watch_event_does_not_delist_a_target_of_a_newer_list() {
     // Guards against a healthy target getting no calls because peers are told that it was delisted.
     // It is delisted and listed again; a peer's list that contains it is accepted; then a delayed
     // watch reports only the delisting. The event that arrived last used to count as the newest.
 
     // Arrange
-    let store = Arc::new(LateStore::default());
-    let known: Arc<dyn ObjectStore> = Arc::<LateStore>::clone(&store);
+    let store = Arc::new(DelayedStore::default());
+    let known: Arc<dyn ObjectStore> = Arc::<DelayedStore>::clone(&store);
     let gateway = gateway(unused_address(), known);
     tokio::spawn(follow(Arc::clone(&gateway), Followed::Targets));
     wait_for(|| store.watches() == 1).await;
     take_list(&gateway, NEWER, &["t0", "t1"], false);
 
     // Act
-    store.let_go.notify_one();
+    store.release.notify_one();
     wait_for(|| store.watches() == 2).await;
 
     // Assert
@@ -152,14 +152,14 @@
 }
 
 #[tokio::test]
-async fn a_follower_waits_for_lapsed_entries_as_the_watcher_does_whose_list_it_pulls() {
+async fn follower_keeps_lapsed_targets_like_the_watcher_whose_list_it_pulls() {
     // Guards against most instances of a large fleet having no target after an outage of some
     // seconds, while the few that watch the store use all of them. The entries lapse; a watcher
     // that noticed the outage keeps them; a follower, which made no store call meanwhile, pulls the
     // watcher's list. It used to judge the list by its own contact with the store alone.
 
     // Arrange
-    let store: Arc<dyn ObjectStore> = Arc::new(LateStore::default());
+    let store: Arc<dyn ObjectStore> = Arc::new(DelayedStore::default());
     let listener = TcpListener::bind(unused_address()).await.unwrap();
     let watcher_address = listener.local_addr().unwrap();
     let watcher = gateway(watcher_address, Arc::clone(&store));
--- a/crates/damaskstile-gateway/tests/call_times.rs
+++ b/crates/damaskstile-gateway/tests/call_times.rs
@@ -43,25 +43,25 @@
 }
 
 #[test]
-fn a_route_that_was_not_seen_lets_nothing_be_expected() {
+fn unknown_route_is_never_expected_to_finish() {
     // Arrange
     let times = CallTimes::default();
 
     // Act and assert
-    assert!(!times.is_over_within("unseen", Duration::from_hours(1)));
+    assert!(!times.finishes_within("unseen", Duration::from_hours(1)));
 }
 
 #[test]
-fn a_few_short_calls_are_enough_where_much_time_is_left() {
+fn a_few_short_calls_suffice_when_much_time_is_left() {
     // Arrange
     let one = times_of([20]);
     let some = times_of([20; 9]);
 
     // Act and assert
-    assert!(one.is_over_within(ms(400)));
-    assert!(!one.is_over_within(ms(80)));
-    assert!(some.is_over_within(ms(80)));
-    assert!(!some.is_over_within(ms(20)));
+    assert!(one.finishes_within(ms(400)));
+    assert!(!one.finishes_within(ms(80)));
+    assert!(some.finishes_within(ms(80)));
+    assert!(!some.finishes_within(ms(20)));
 }
 
 #[test]
@@ -71,33 +71,33 @@
     let few = times_of((0..480).map(|index| if index % 12 == 0 { 5_000 } else { 500 }));
 
     // Act and assert
-    assert!(!too_many.is_over_within(ms(4_000)));
-    assert!(too_many.is_over_within(ms(6_000)));
-    assert!(few.is_over_within(ms(4_000)));
+    assert!(!too_many.finishes_within(ms(4_000)));
+    assert!(too_many.finishes_within(ms(6_000)));
+    assert!(few.finishes_within(ms(4_000)));
 }
 
 #[test]
-fn the_record_follows_a_route_that_becomes_slow_or_fast_again() {
+fn estimate_follows_a_route_that_becomes_slow_or_fast_again() {
     // Arrange
     let mut times = times_of([100; 600]);
 
     // Act
-    let before = times.is_over_within(ms(2_000));
+    let before = times.finishes_within(ms(2_000));
     for _ in 0..80 {
         times.note(ms(6_000));
     }
-    let slow = times.is_over_within(ms(2_000));
+    let slow = times.finishes_within(ms(2_000));
     for _ in 0..1_100 {
         times.note(ms(100));
     }
-    let fast = times.is_over_within(ms(2_000));
+    let fast = times.finishes_within(ms(2_000));
 
     // Assert
     assert!(before && !slow && fast);
 }
 
 #[test]
-fn routes_that_are_gone_are_forgotten() {
+fn removed_routes_are_forgotten() {
     // Arrange
     let mut times = CallTimes::default();
     times.note("kept", ms(20));
@@ -107,12 +107,12 @@
     times.retain(|route| route == "kept");
 
     // Assert
-    assert!(times.is_over_within("kept", ms(4_000)));
-    assert!(!times.is_over_within("gone", ms(4_000)));
+    assert!(times.finishes_within("kept", ms(4_000)));
+    assert!(!times.finishes_within("gone", ms(4_000)));
 }
 
 #[test]
-fn at_no_moment_of_a_stop_are_many_of_the_calls_taken_that_it_cuts() {
+fn few_of_the_calls_accepted_during_a_shutdown_are_cut_off() {
     // Guards against a shutdown cutting streams off in the middle. Streams of up to 14 s keep
     // arriving for 3 s after the signal, and all that are open 7.2 s after it are cut. They used to
     // be accepted however long streams of their route last. 300 shutdowns are simulated in virtual
@@ -134,7 +134,7 @@
             let is_cut = now + ms(draw_stream_ms(&mut random)) > times.cut_at;
             came[half] += 1;
             would_be_cut[half] += u64::from(is_cut);
-            if seen.is_over_within(times.cut_at.saturating_sub(now)) {
+            if seen.finishes_within(times.cut_at.saturating_sub(now)) {
                 taken[half] += 1;
                 cut[half] += u64::from(is_cut);
             }
@@ -159,32 +159,32 @@
     #![proptest_config(config())]
 
     #[test]
-    fn more_time_never_makes_a_call_less_likely_to_be_over(
+    fn more_time_never_makes_a_call_less_likely_to_finish(
         calls in proptest::collection::vec(0_u64..20_000, 1..200),
         time in 1_u64..20_000,
         more in 0_u64..20_000,
     ) {
         let times = times_of(calls);
 
-        let less = times.is_over_within(ms(time));
+        let less = times.finishes_within(ms(time));
 
-        prop_assert!(!less || times.is_over_within(ms(time + more)));
+        prop_assert!(!less || times.finishes_within(ms(time + more)));
     }
 
     #[test]
-    fn what_lasted_longer_is_never_counted_as_shorter(
+    fn a_longer_duration_is_never_counted_as_shorter(
         took in 0_u64..40_000_000,
         time in 1_u64..40_000_000,
     ) {
         let times = times_of([took; 99]);
 
-        prop_assert!(took < time || !times.is_over_within(ms(time)));
+        prop_assert!(took < time || !times.finishes_within(ms(time)));
     }
 
     #[test]
-    fn what_lasted_an_eighth_less_is_counted_as_over(took in 8_u64..10_000_000) {
+    fn a_duration_an_eighth_below_the_limit_counts_as_finished(took in 8_u64..10_000_000) {
         let times = times_of([took; 99]);
 
-        prop_assert!(times.is_over_within(ms(took + took / 8 + 1)));
+        prop_assert!(times.finishes_within(ms(took + took / 8 + 1)));
     }
 }
--- a/crates/damaskstile-gateway/tests/charges.rs
+++ b/crates/damaskstile-gateway/tests/charges.rs
@@ -54,29 +54,32 @@
 }
 
 #[test]
-fn a_call_that_failed_before_its_caller_was_given_anything_is_charged_nothing() {
+fn a_failed_call_that_delivered_nothing_is_charged_nothing() {
     // Guards against callers being refused for lack of tokens while their account has not received
     // what it bought: 3 in 100 of it on a day on which targets lose answers. Calls whose targets
     // failed used to be charged their prompts.
 
     // Arrange
-    let mut in_vain = reservation();
-    let mut in_part = reservation();
-    in_vain.sending();
-    in_part.sending();
-    in_part.delivering();
+    let mut without_delivery = reservation();
+    let mut partly_delivered = reservation();
+    without_delivery.sending();
+    partly_delivered.sending();
+    partly_delivered.delivering();
 
     // Act
-    in_vain.failed();
-    in_part.failed();
+    without_delivery.failed();
+    partly_delivered.failed();
 
     // Assert
-    assert_eq!(in_vain.used_tokens(), 0);
-    assert_eq!(in_part.used_tokens(), PROMPT_TOKENS + TOKENS_PER_EVENT);
+    assert_eq!(without_delivery.used_tokens(), 0);
+    assert_eq!(
+        partly_delivered.used_tokens(),
+        PROMPT_TOKENS + TOKENS_PER_EVENT
+    );
 }
 
 #[test]
-fn a_run_that_broke_is_charged_for_what_its_caller_was_given() {
+fn a_broken_run_is_charged_for_the_delivered_events() {
     // Arrange
     let mut reservation = reservation();
     reservation.sending();
@@ -92,7 +95,7 @@
 }
 
 #[test]
-fn a_call_that_goes_on_elsewhere_never_needs_more_than_was_reserved() {
+fn a_resumed_call_never_uses_more_than_was_reserved() {
     // Arrange
     let mut reservation = reservation();
 
@@ -112,7 +115,7 @@
 }
 
 #[test]
-fn an_answer_whose_tokens_nobody_counts_is_charged_at_its_most() {
+fn an_answer_without_a_token_count_is_charged_the_maximum() {
     // Guards against an account getting more than it bought. A route of a model's service is not a
     // stream, so its answers are passed on whole. They used to be charged as if they had no output.
 
--- a/crates/damaskstile-gateway/tests/content_changes.rs
+++ b/crates/damaskstile-gateway/tests/content_changes.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_route_that_is_added_to_a_thousand_costs_as_much_as_the_route() {
+fn the_delta_for_one_added_route_is_about_as_large_as_the_route() {
     // Guards against sending the whole catalogue to each instance of a large fleet for each
     // version.
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn versions_of_long_ago_are_forgotten() {
+fn old_versions_are_forgotten() {
     // Arrange
     let mut changes = ContentChanges::default();
 
@@ -61,7 +61,7 @@
 
 proptest! {
     #[test]
-    fn any_text_is_put_together_again(
+    fn any_text_is_rebuilt_from_its_delta(
         before in prop::collection::vec(0..40_u64, 0..60),
         after in prop::collection::vec(0..40_u64, 0..60),
         tail in prop::collection::vec(any::<u8>(), 0..40),
--- a/crates/damaskstile-gateway/tests/messages.rs
+++ b/crates/damaskstile-gateway/tests/messages.rs
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn datagrams_of_any_bytes_are_read_without_a_panic() {
+fn decoding_arbitrary_bytes_never_panics() {
     proptest!(config(), |(bytes in prop::collection::vec(any::<u8>(), 0..300))| {
         let _ = Datagram::decode(bytes.as_slice());
     });
 }
 
 #[test]
-fn datagrams_come_back_as_they_were_sent() {
+fn datagrams_round_trip() {
     // Arrange
     let digest = Digest {
         unix_ms: 5,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_digest_names_incarnations_and_targets_without_a_start_as_before() {
+fn a_digest_stays_readable_for_instances_of_the_previous_version() {
     // Guards against instances sending calls to targets that their peers know to be draining,
     // during a rolling upgrade of the fleet. A digest's fields changed their meaning, and instances
     // of the other version could not read it.
--- a/crates/damaskstile-gateway/tests/pressure.rs
+++ b/crates/damaskstile-gateway/tests/pressure.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damaskstile_gateway::look::Look;
+use damaskstile_gateway::load_sample::LoadSample;
 use damaskstile_gateway::pressure::Pressure;
 
 /// Link of a small instance: 10 Mbit/s, in bytes a second.
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_instance_that_many_callers_hash_to_asks_for_no_new_connections() {
+fn an_overloaded_instance_accepts_no_new_connections() {
     // Guards against a fifth of a data centre's calls timing out while its other instances are
     // idle. The balancer's hash gives one instance 200 calls a second, of 10 KB each, over a link
     // of 10 Mbit/s; connections to targets fail because replies are late. The instance used to
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn callers_are_given_up_only_while_there_are_too_many_and_come_back_after_a_calm() {
+fn callers_are_shed_only_during_overload_and_return_after_a_cool_down() {
     // Arrange
     let mut pressure = Pressure::new(LINK_BYTES_PER_S);
     let ms = Duration::from_millis;
@@ -73,7 +73,7 @@
     // At the capacity: the callers stay, and no new connections are accepted.
     let refused = load(&mut pressure, 60, ms(5_000), ms(6_000));
     assert_eq!(refused, 0);
-    pressure.look(ms(11_000), &Look::default());
+    pressure.sample(ms(11_000), &LoadSample::default());
     assert!(pressure.is_high(ms(11_000)));
 
     // Nearly idle: new connections are accepted after the cool-down.
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_processor_that_calls_take_whole_refuses_what_it_cannot_serve() {
+fn a_saturated_processor_refuses_the_calls_it_cannot_serve() {
     // Guards against calls that wait for the processor while another instance has room, with the
     // link nearly idle.
 
@@ -117,12 +117,12 @@
             let now = from + ms(10) * call;
             *admitted += u32::from(pressure.admit(now, 10, WITHIN));
         }
-        let look = Look {
+        let sample = LoadSample {
             span,
             busy_with_calls: ms(10) * *admitted + ms(2) * (25 - *admitted),
-            ..Look::default()
+            ..LoadSample::default()
         };
-        pressure.look(from + span, &look);
+        pressure.sample(from + span, &sample);
     }
 
     // Assert: the admitted calls are those that the processor can serve, beside its other work and
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_pause_of_the_machine_is_not_taken_for_work() {
+fn a_pause_of_the_machine_does_not_raise_the_cost_of_calls() {
     // Guards against calls being refused after a pause of the machine because the pause counted as
     // their cost.
 
@@ -145,13 +145,13 @@
     });
 
     // Act
-    let look = Look {
+    let sample = LoadSample {
         span: pause,
-        lateness: pause,
+        scheduling_delay: pause,
         busy_with_calls: pause,
-        ..Look::default()
+        ..LoadSample::default()
     };
-    pressure.look(pause, &look);
+    pressure.sample(pause, &sample);
 
     // Assert
     let admitted = (0..50)
@@ -161,33 +161,33 @@
 }
 
 #[test]
-fn an_instance_that_comes_late_to_everything_refuses_until_it_is_on_time() {
+fn a_lagging_instance_refuses_calls_until_it_recovers() {
     // Guards against calls being accepted by an instance whose event loop lags by seconds, for
     // which their callers do not wait.
 
     // Arrange
     let mut pressure = Pressure::new(LINK_BYTES_PER_S);
     let second = Duration::from_secs(1);
-    let late = Look {
-        lateness: Duration::from_millis(600),
-        ..Look::default()
+    let late = LoadSample {
+        scheduling_delay: Duration::from_millis(600),
+        ..LoadSample::default()
     };
 
     // Act and assert: one or two late samples may be a pause of the machine.
-    pressure.look(second, &late);
-    pressure.look(second * 2, &late);
+    pressure.sample(second, &late);
+    pressure.sample(second * 2, &late);
     assert!(pressure.admit(second * 2, 10, WITHIN));
-    pressure.look(second * 3, &late);
+    pressure.sample(second * 3, &late);
     assert!(!pressure.admit(second * 3, 10, WITHIN));
-    pressure.look(second * 4, &Look::default());
+    pressure.sample(second * 4, &LoadSample::default());
     assert!(pressure.admit(second * 4, 10, WITHIN));
 }
 
 /// Simulation of a balancer that sends new connections to the first instance that was ready in one
 /// of its last two checks, and of callers that each keep a connection.
-struct Swarm {
+struct Simulation {
     instances: Vec<Pressure>,
-    misses: Vec<u32>,
+    failed_checks: Vec<u32>,
     /// Index of the instance that each caller is connected to.
     callers: Vec<usize>,
     /// Whether callers keep their connections between calls.
@@ -197,13 +197,13 @@
     overloads: usize,
 }
 
-impl Swarm {
+impl Simulation {
     /// Creates instances with these links, in the balancer's order of preference.
     fn new(links_bytes_per_s: &[u64], callers: usize, is_keeping: bool) -> Self {
         let links = links_bytes_per_s.iter();
         Self {
             instances: links.map(|link| Pressure::new(*link)).collect(),
-            misses: vec![0; links_bytes_per_s.len()],
+            failed_checks: vec![0; links_bytes_per_s.len()],
             callers: vec![0; callers],
             is_keeping,
             refused: 0,
@@ -212,7 +212,10 @@
     }
 
     fn first_in_rotation(&self) -> usize {
-        self.misses.iter().position(|misses| *misses < 2).unwrap()
+        self.failed_checks
+            .iter()
+            .position(|failed_checks| *failed_checks < 2)
+            .unwrap()
     }
 
     /// Lets each caller make one call, evenly spread over `span`.
@@ -236,18 +239,18 @@
         }
     }
 
-    fn look(&mut self, now: Duration) {
-        for (pressure, misses) in self.instances.iter_mut().zip(&mut self.misses) {
+    fn check_readiness(&mut self, now: Duration) {
+        for (pressure, failed_checks) in self.instances.iter_mut().zip(&mut self.failed_checks) {
             let span = Duration::from_secs(1);
-            pressure.look(
+            pressure.sample(
                 now,
-                &Look {
+                &LoadSample {
                     span,
-                    ..Look::default()
+                    ..LoadSample::default()
                 },
             );
-            *misses = if pressure.is_high(now) {
-                *misses + 1
+            *failed_checks = if pressure.is_high(now) {
+                *failed_checks + 1
             } else {
                 0
             };
@@ -256,50 +259,54 @@
 }
 
 #[test]
-fn an_account_that_no_instance_bears_alone_does_not_swing_between_two() {
+fn an_account_too_large_for_one_instance_does_not_oscillate() {
     // Guards against instances that shed all callers at once and get all of them back after the
     // cool-down, so that each is overloaded and empty in turn.
 
     // Arrange: 180 calls a second, where an instance can serve 100.
-    let mut swarm = Swarm::new(&[LINK_BYTES_PER_S; 4], 180, true);
+    let mut simulation = Simulation::new(&[LINK_BYTES_PER_S; 4], 180, true);
     let second = Duration::from_secs(1);
 
     // Act
     for index in 0..20 {
-        swarm.pass(second * index, second);
-        swarm.look(second * (index + 1));
+        simulation.pass(second * index, second);
+        simulation.check_readiness(second * (index + 1));
     }
-    let (refused_first, callers_first) = (swarm.refused, swarm.callers.clone());
+    let (refused_first, callers_first) = (simulation.refused, simulation.callers.clone());
     for index in 20..60 {
-        swarm.pass(second * index, second);
-        swarm.look(second * (index + 1));
+        simulation.pass(second * index, second);
+        simulation.check_readiness(second * (index + 1));
     }
 
     // Assert: the callers have settled, and most stay where they are.
-    let moved = swarm.callers.iter().zip(&callers_first);
+    let moved = simulation.callers.iter().zip(&callers_first);
     let moved = moved.filter(|(now, before)| now != before).count();
     assert!(moved < 60, "{moved} moved");
-    let refused = swarm.refused - refused_first;
+    let refused = simulation.refused - refused_first;
     assert!(refused < 7_200 / 50, "{refused} of 7,200 refused");
 }
 
 #[test]
-fn callers_that_connect_anew_for_each_call_come_to_an_instance_that_bears_them() {
+fn new_connections_settle_on_an_instance_with_capacity() {
     // Guards against the same oscillation where a balancer moves all calls of an account at once.
     // Two instances with small links that were ready again after seconds got all calls in turn,
     // indefinitely.
 
     // Arrange
     let links = [LINK_BYTES_PER_S, LINK_BYTES_PER_S, 20 * LINK_BYTES_PER_S];
-    let mut swarm = Swarm::new(&links, 180, false);
+    let mut simulation = Simulation::new(&links, 180, false);
     let second = Duration::from_secs(1);
 
     // Act
     for index in 0..120 {
-        swarm.pass(second * index, second);
-        swarm.look(second * (index + 1));
+        simulation.pass(second * index, second);
+        simulation.check_readiness(second * (index + 1));
     }
 
     // Assert: each instance with a small link was overloaded once, and once or twice more.
-    assert!(swarm.overloads <= 6, "{} overloads", swarm.overloads);
+    assert!(
+        simulation.overloads <= 6,
+        "{} overloads",
+        simulation.overloads
+    );
 }
--- a/crates/damaskstile-gateway/tests/sends.rs
+++ b/crates/damaskstile-gateway/tests/sends.rs
@@ -8,12 +8,12 @@
 
 use bytes::Bytes;
 use damaskstile_core::prelude::*;
-use damaskstile_gateway::caller_link::CallerLink;
+use damaskstile_gateway::caller_connection::CallerConnection;
 use damaskstile_gateway::gateway::Gateway;
-use damaskstile_gateway::patience::Patience;
-use damaskstile_gateway::run::{self, NoRun};
-use damaskstile_gateway::sendable::Sendable;
+use damaskstile_gateway::outbound_call::OutboundCall;
+use damaskstile_gateway::run::{self, SendFailure};
 use damaskstile_gateway::state::Terms;
+use damaskstile_gateway::wait_limit::WaitLimit;
 use damaskstile_requests::{Attempts, Next, SendEnd};
 use damaskstile_routes::{Catalogue, Route, RouteKind};
 use damaskstile_targets::Work;
@@ -31,8 +31,8 @@
 /// Resolution of timers.
 const TIMER_STEP: Duration = Duration::from_millis(2);
 
-fn sendable() -> Sendable {
-    Sendable {
+fn outbound_call() -> OutboundCall {
+    OutboundCall {
         method: Method::POST,
         uri: Uri::from_static("/a/"),
         headers: HeaderMap::new(),
@@ -76,52 +76,55 @@
 }
 
 /// Connects a caller; returns the instance's end and the caller's end of the connection.
-async fn caller() -> (CallerLink, TcpStream) {
+async fn caller() -> (CallerConnection, TcpStream) {
     let listener = TcpListener::bind(unused_address()).await.unwrap();
     let connecting = TcpStream::connect(listener.local_addr().unwrap());
     let (connected, accepted) = tokio::join!(connecting, listener.accept());
     let (accepted, _) = accepted.unwrap();
-    (CallerLink::new(&Arc::new(accepted)), connected.unwrap())
+    (
+        CallerConnection::new(&Arc::new(accepted)),
+        connected.unwrap(),
+    )
 }
 
 /// Sends a call for which a target was chosen, and runs `meanwhile` while the call waits for its
 /// connection. Returns how the send failed, if it did, and what the target read.
-async fn send_with(meanwhile: impl FnOnce(&Gateway)) -> (Option<NoRun>, Vec<u8>) {
+async fn send_with(meanwhile: impl FnOnce(&Gateway)) -> (Option<SendFailure>, Vec<u8>) {
     let listener = TcpListener::bind(unused_address()).await.unwrap();
     let address = listener.local_addr().unwrap();
     let gateway = gateway(unused_address(), Arc::new(Away));
     let now = gateway.now();
     gateway.state().book.list(now, listed("t0", address));
-    let (call, terms) = (sendable(), terms());
+    let (call, terms) = (outbound_call(), terms());
     let choice = choose(&gateway, &[]).unwrap();
     let reading = tokio::spawn(read_all(listener));
     let (caller, _stream) = caller().await;
     let attempts = Attempts::default();
-    let patience = Patience {
+    let wait_limit = WaitLimit {
         gateway: &gateway,
         call: &call,
         terms: &terms,
         attempts: &attempts,
         tried: &[],
         deadline: now + LIMIT / 4,
-        goes_on_from: None,
+        resumes_from: None,
     };
-    let mut sending = Box::pin(run::start(&gateway, &caller, &patience, choice, None));
+    let mut sending = Box::pin(run::start(&gateway, &caller, &wait_limit, choice, None));
     assert!(poll!(sending.as_mut()).is_pending());
     meanwhile(&gateway);
-    let no_run = sending.await.err();
-    (no_run, reading.await.unwrap())
+    let failure = sending.await.err();
+    (failure, reading.await.unwrap())
 }
 
 #[tokio::test]
-async fn a_call_that_waits_for_its_connection_is_not_sent_to_a_target_that_left() {
+async fn a_call_is_not_sent_if_the_target_leaves_while_connecting() {
     // Guards against a call being sent to a target that the instance knows to be leaving. The
     // target is chosen; connecting takes hundreds of milliseconds over a saturated link; meanwhile
     // the instance learns that the target is leaving; then the connection is ready and the call is
     // sent. The target's state used not to be checked again after connecting.
 
     // Arrange and act
-    let (no_run, read) = send_with(|gateway| {
+    let (failure, read) = send_with(|gateway| {
         let now = gateway.now();
         let target = TargetIdentity::new("t0", None);
         gateway.state().book.leave(now, &target);
@@ -130,16 +133,16 @@
 
     // Assert: nothing was sent, so even a non-idempotent call may go to another target.
     assert_eq!(String::from_utf8_lossy(&read), "");
-    assert_eq!(no_run.map(|no_run| no_run.end), Some(SendEnd::NotSent));
+    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::NotSent));
     let mut attempts = Attempts::default();
     attempts.note(SendEnd::NotSent);
     assert_eq!(attempts.next(false, 1, || false), Next::Again);
 }
 
 #[tokio::test]
-async fn a_call_that_waits_for_its_connection_is_not_sent_to_a_target_that_vanished() {
+async fn a_call_is_not_sent_if_the_target_is_delisted_while_connecting() {
     // Arrange and act
-    let (no_run, read) = send_with(|gateway| {
+    let (failure, read) = send_with(|gateway| {
         let now = gateway.now();
         gateway.state().book.unlist(now, "t0", false);
     })
@@ -147,21 +150,21 @@
 
     // Assert
     assert_eq!(String::from_utf8_lossy(&read), "");
-    assert_eq!(no_run.map(|no_run| no_run.end), Some(SendEnd::NotSent));
+    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::NotSent));
 }
 
 #[tokio::test]
-async fn a_call_is_sent_to_a_target_that_stays() {
+async fn a_call_is_sent_to_a_target_that_stays_in_use() {
     // Arrange and act: the target reads the call and never answers.
-    let (no_run, read) = send_with(|_| {}).await;
+    let (failure, read) = send_with(|_| {}).await;
 
     // Assert
     assert!(read.starts_with(b"POST /a/"));
-    assert_eq!(no_run.map(|no_run| no_run.end), Some(SendEnd::Unknown));
+    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::Unknown));
 }
 
 /// Opens a listener whose accept queue is full, with the connections that fill it.
-async fn deaf_target() -> (TcpListener, Vec<TcpStream>) {
+async fn unresponsive_target() -> (TcpListener, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind(unused_address()).unwrap();
     let listener = socket.listen(1).unwrap();
@@ -174,39 +177,39 @@
 }
 
 #[tokio::test]
-async fn a_call_whose_connection_is_not_made_ends_within_its_time() {
+async fn a_blocked_connect_ends_at_the_deadline_of_the_call() {
     // Guards against calls without an answer half a second after their route's time-out. A call
     // with little time left is given to a target whose link is saturated, so the connection is not
     // made. The connect time-out used to be added to the call's own limit.
 
     // Arrange
-    let (listener, _queued) = deaf_target().await;
+    let (listener, _queued) = unresponsive_target().await;
     let gateway = gateway(unused_address(), Arc::new(Away));
     let now = gateway.now();
     let address = listener.local_addr().unwrap();
     gateway.state().book.list(now, listed("t0", address));
-    let (call, terms) = (sendable(), terms());
+    let (call, terms) = (outbound_call(), terms());
     let choice = choose(&gateway, &[]).unwrap();
     let (caller, _stream) = caller().await;
     let attempts = Attempts::default();
     tokio::time::pause();
     let left = Duration::from_millis(100);
-    let patience = Patience {
+    let wait_limit = WaitLimit {
         gateway: &gateway,
         call: &call,
         terms: &terms,
         attempts: &attempts,
         tried: &[],
         deadline: gateway.now() + left,
-        goes_on_from: None,
+        resumes_from: None,
     };
     let began_at = Instant::now();
 
     // Act
-    let sending = run::start(&gateway, &caller, &patience, choice, None);
-    let no_run = sending.await.err();
+    let sending = run::start(&gateway, &caller, &wait_limit, choice, None);
+    let failure = sending.await.err();
 
     // Assert
     assert!(began_at.elapsed() <= left + TIMER_STEP);
-    assert_eq!(no_run.map(|no_run| no_run.end), Some(SendEnd::NotSent));
+    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::NotSent));
 }
--- a/crates/damaskstile-gateway/tests/step_down.rs
+++ b/crates/damaskstile-gateway/tests/step_down.rs
@@ -22,15 +22,15 @@
 /// Peers of the instance, all ranked before it as watchers.
 const PEERS: u8 = 30;
 /// Time within which the instance must read a catalogue that a peer has. Its watch waits for 10 s.
-const BOUND: Duration = Duration::from_secs(2);
+const LIMIT: Duration = Duration::from_secs(2);
 
 /// A store whose watches never end, and that counts its list calls.
 #[derive(Debug, Default)]
-struct MuteStore {
+struct SilentStore {
     lists: AtomicUsize,
 }
 
-impl ObjectStore for MuteStore {
+impl ObjectStore for SilentStore {
     fn list<'a>(&'a self, _kind: &'a str) -> BoxFuture<'a, StoreResult<Listing>> {
         self.lists.fetch_add(1, Ordering::Relaxed);
         async { Ok(Listing::default()) }.boxed()
@@ -90,22 +90,22 @@
 }
 
 #[tokio::test]
-async fn an_instance_that_need_not_watch_any_more_leaves_its_open_watch() {
+async fn an_instance_relieved_of_watching_drops_its_open_watch() {
     // Guards against an instance of a large fleet getting a new catalogue ten seconds late after an
     // outage. While it heard from no peer it watched the store itself; its peers are back and
     // report a newer catalogue; the store has lost its watch. The instance used to stay in the
     // watch that it no longer needed, where it did not notice the request to read the catalogue.
 
     // Arrange
-    let store = Arc::new(MuteStore::default());
-    let known: Arc<dyn ObjectStore> = Arc::<MuteStore>::clone(&store);
+    let store = Arc::new(SilentStore::default());
+    let known: Arc<dyn ObjectStore> = Arc::<SilentStore>::clone(&store);
     let gateway = gateway(address(1), known);
     tokio::spawn(follow(Arc::clone(&gateway), Followed::Catalogue));
     tokio::time::sleep(Duration::from_millis(300)).await;
     let lists = store.lists.load(Ordering::Relaxed);
 
     // Act
-    let until = gateway.now() + BOUND;
+    let until = gateway.now() + LIMIT;
     while gateway.now() < until && store.lists.load(Ordering::Relaxed) == lists {
         hear_peers(&gateway);
         gateway.catalogue_wanted.notify_one();
@@ -118,21 +118,21 @@
 }
 
 #[tokio::test]
-async fn an_instance_that_watches_for_nobody_finds_out_that_the_store_is_back() {
+async fn a_non_watching_instance_notices_that_the_store_is_back() {
     // Guards against an instance of a large fleet keeping targets in use for 1.5 s longer than
     // other instances do, long after an outage. Its only call during the outage fails; peers watch
     // and write for it from then on, so it makes no other call. It used to treat the store as
     // unreachable until its next list, 20 s later.
 
     // Arrange
-    let gateway = gateway(address(1), Arc::new(MuteStore::default()));
+    let gateway = gateway(address(1), Arc::new(SilentStore::default()));
     let failed_at = gateway.now();
     gateway.state().contact.failed(failed_at);
     hear_peers(&gateway);
     tokio::spawn(proof::keep(Arc::clone(&gateway)));
 
     // Act
-    let until = failed_at + 2 * BOUND;
+    let until = failed_at + 2 * LIMIT;
     while gateway.now() < until && gateway.state().contact.is_lost() {
         hear_peers(&gateway);
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/damaskstile-gateway/tests/suspects.rs
+++ b/crates/damaskstile-gateway/tests/suspects.rs
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn all_of_a_small_fleet_collect_the_ends() {
+fn all_instances_of_a_small_fleet_collect_crash_reports() {
     let small = instance_among(6);
     let collectors = small.state().collectors(&content("x"));
     assert_eq!(collectors.len(), 6);
 }
 
 #[test]
-fn the_same_few_of_a_large_fleet_collect_the_ends_of_one_content() {
+fn a_few_instances_of_a_large_fleet_collect_reports_on_a_content() {
     // Arrange: the two instances do not know the same peers.
     let (one, other) = (instance_among(295), instance_among(290));
 
--- a/crates/damaskstile-gateway/tests/target_words.rs
+++ b/crates/damaskstile-gateway/tests/target_words.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn operators_see_targets_by_state_and_refused_objects() {
+fn metrics_count_targets_by_state_and_refused_objects() {
     // Arrange
     let metrics = Metrics::new();
     let counts = TargetCounts {
