--- a/crates/damaskstile-gateway/src/caller_connection.rs
+++ b/crates/damaskstile-gateway/src/caller_connection.rs
@@ -24,7 +24,7 @@
 
     /// Returns whether the caller has closed the connection.
     #[must_use]
-    pub fn has_left(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&*self.0).peek(&mut byte) {
             Ok(bytes) => bytes == 0,
--- a/crates/damaskstile-gateway/src/events.rs
+++ b/crates/damaskstile-gateway/src/events.rs
@@ -26,7 +26,7 @@
 }
 
 impl EventSplitter {
-    /// Appends bytes. Returns false if the incomplete event exceeds the size limit.
+    /// Appends bytes. Returns false if the buffered bytes exceed the size limit of an event.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
         self.buffer.len() <= EVENT_BYTES_MAX
--- a/crates/damaskstile-gateway/src/exchange/answering.rs
+++ b/crates/damaskstile-gateway/src/exchange/answering.rs
@@ -86,7 +86,7 @@
             }
             Err(_) => return Err((SendFailure::new(SendEnd::Failed, "body_late"), reservation)),
         };
-        self.gateway.note_passed(body.len());
+        self.gateway.note_forwarded(body.len());
         lease.give_back(head.reuse_for).await;
         running.note(!parts.status.is_server_error());
         if parts.status.is_success() {
@@ -129,9 +129,9 @@
             caller: self.caller.clone(),
             last_event: self.last_event,
             splitter: EventSplitter::default(),
-            event_at: None,
+            last_event_at: None,
             pause_max: Duration::ZERO,
-            is_waited_out: false,
+            waits_out_pauses: false,
             first_frame: None,
             stream_end: None,
         };
--- a/crates/damaskstile-gateway/src/exchange/refusing.rs
+++ b/crates/damaskstile-gateway/src/exchange/refusing.rs
@@ -8,11 +8,11 @@
 use crate::reply::{RETRY_AT_ONCE, RETRY_LATER, RETRY_SOON, Refusal, ReplyBody};
 
 /// Range of the random delay added to an advised wait, in milliseconds.
-const RETURN_SPREAD_MS: u64 = 300;
+const RETRY_JITTER_MS: u64 = 300;
 
 impl Exchange {
     /// Returns the refusal of a call whose content is quarantined because targets crashed under it,
-    /// possibly during attempts by other callers.
+    /// possibly during other attempts with the same content.
     pub(super) fn quarantine_refusal(&mut self) -> Option<Refusal> {
         let account = self.terms.account.as_deref();
         let refusal = self.gateway.quarantine_refusal(&self.call, account)?;
@@ -81,7 +81,7 @@
 
     /// Adds a random delay to a wait, so that callers refused together do not come back together.
     fn add_jitter(&self, wait: Duration) -> Duration {
-        let spread_ms = self.gateway.state().random.below(RETURN_SPREAD_MS);
+        let spread_ms = self.gateway.state().random.below(RETRY_JITTER_MS);
         wait.saturating_add(Duration::from_millis(spread_ms))
     }
 
--- a/crates/damaskstile-gateway/src/exchange/tokens.rs
+++ b/crates/damaskstile-gateway/src/exchange/tokens.rs
@@ -111,7 +111,7 @@
     ) -> Result<Option<Reservation>, Refusal> {
         let gateway = Arc::clone(&self.gateway);
         let account = self.terms.account.clone().unwrap_or_default();
-        let mut is_coming = false;
+        let mut may_arrive = false;
         let mut next = 0;
         while let Some(lender) = lenders.get(next).cloned() {
             next += 1;
@@ -127,8 +127,8 @@
                 }
                 Err(Some(LoanOutcome::Exhausted)) => Shortage::Exhausted,
                 Err(Some(LoanOutcome::Reserved)) => Shortage::Reserved,
-                Err(said) => {
-                    is_coming |= said == Some(LoanOutcome::Waiting);
+                Err(outcome) => {
+                    may_arrive |= outcome == Some(LoanOutcome::Waiting);
                     let has_time = gateway.now() < until && next < LENDERS_MAX;
                     if has_time && next == lenders.len() {
                         let now = gateway.now();
@@ -141,7 +141,7 @@
             };
             return Err(self.shortage_refusal(shortage, tokens));
         }
-        if is_coming {
+        if may_arrive {
             return Err(self.shortage_refusal(Shortage::InStore, tokens));
         }
         Ok(None)
@@ -172,12 +172,12 @@
             if self.is_closing() {
                 return Err(self.stopping_refusal());
             }
-            let is_coming = self.request_tokens(shortage, tokens);
-            if !is_coming && shortage == Shortage::Elsewhere {
+            let may_arrive = self.request_tokens(shortage, tokens);
+            if !may_arrive && shortage == Shortage::Elsewhere {
                 return Ok(None);
             }
             let wait = until.saturating_sub(self.gateway.now());
-            if !is_coming || wait.is_zero() {
+            if !may_arrive || wait.is_zero() {
                 return Err(self.shortage_refusal(shortage, tokens));
             }
             // Whether the round completed or the wait timed out, the balance is checked again.
--- a/crates/damaskstile-gateway/src/gateway.rs
+++ b/crates/damaskstile-gateway/src/gateway.rs
@@ -158,7 +158,7 @@
     }
 
     /// Records bytes of an answer that arrived from a target and are forwarded to a caller.
-    pub(crate) fn note_passed(&self, bytes: usize) {
+    pub(crate) fn note_forwarded(&self, bytes: usize) {
         let now = self.now();
         let pressure = &mut self.state().pressure;
         pressure.note_received(now, bytes);
--- a/crates/damaskstile-gateway/src/holdings.rs
+++ b/crates/damaskstile-gateway/src/holdings.rs
@@ -15,12 +15,12 @@
 const ACCOUNTS_MAX: usize = 16;
 
 /// Logs the balances until the process ends.
-pub async fn keep(gateway: Arc<Gateway>) {
+pub async fn log_periodically(gateway: Arc<Gateway>) {
     let mut calls_before = String::new();
     let mut bytes_before = String::new();
     loop {
         tokio::time::sleep(INTERVAL).await;
-        note(&gateway);
+        log_balances(&gateway);
         let calls = gateway.store.summary();
         if calls != calls_before {
             gateway.log(EventCode::StoreCallsNoted, &[("calls", &calls)]);
@@ -35,7 +35,7 @@
 }
 
 /// Logs the current balances: bought, reserved, unlocked and free tokens by account.
-pub fn note(gateway: &Gateway) {
+pub fn log_balances(gateway: &Gateway) {
     let now = gateway.now();
     let mut held: Vec<(u64, String)> = {
         let state = gateway.state();
--- a/crates/damaskstile-gateway/src/lib.rs
+++ b/crates/damaskstile-gateway/src/lib.rs
@@ -109,7 +109,7 @@
     }
     tokio::spawn(proof::keep(Arc::clone(&gateway)));
     spawn_counted(&gateway, "rounds", rounds::keep(Arc::clone(&gateway)));
-    tokio::spawn(holdings::keep(Arc::clone(&gateway)));
+    tokio::spawn(holdings::log_periodically(Arc::clone(&gateway)));
     tokio::spawn(serve_pulls(Arc::clone(&gateway), pulls));
     spawn_counted(&gateway, "tell", Arc::clone(&peers).tell());
     tokio::spawn(Arc::clone(&peers).beg());
@@ -118,7 +118,7 @@
     spawn_counted(&gateway, "send_out", Arc::clone(&peers).send_out(outbox));
     spawn_counted(&gateway, "hear", peers.hear());
     tokio::spawn(prune(Arc::clone(&gateway)));
-    tokio::spawn(load::watch(Arc::clone(&gateway)));
+    tokio::spawn(load::sample_periodically(Arc::clone(&gateway)));
     tokio::spawn(front::accept(Arc::clone(&gateway), callers));
     stop::run(Arc::clone(&gateway)).await?;
     drop((readiness, metrics));
--- a/crates/damaskstile-gateway/src/load.rs
+++ b/crates/damaskstile-gateway/src/load.rs
@@ -39,7 +39,7 @@
 }
 
 /// Samples the load until the process ends.
-pub async fn watch(gateway: Arc<Gateway>) {
+pub async fn sample_periodically(gateway: Arc<Gateway>) {
     let mut readiness = Readiness::Starting;
     let mut busy_before = gateway.busy_times.counts();
     let mut busy_at_sample = Busy::of(&gateway);
@@ -74,7 +74,7 @@
         if longest_scheduling_delay >= SCHEDULING_DELAY_LOGGED || readiness == Readiness::Overloaded
         {
             let busy = gateway.busy_times.summary_since(&busy_before);
-            note(&gateway, span, longest_scheduling_delay, &busy);
+            log_load(&gateway, span, longest_scheduling_delay, &busy);
         } else {
             gateway.link_times.take();
         }
@@ -85,7 +85,7 @@
 }
 
 /// Logs the processor time by task and the longest network operations of the last interval.
-fn note(gateway: &Gateway, span: Duration, scheduling_delay: Duration, busy: &str) {
+fn log_load(gateway: &Gateway, span: Duration, scheduling_delay: Duration, busy: &str) {
     let mut longest = String::new();
     for (what, took) in gateway.link_times.take() {
         let separator = if longest.is_empty() { "" } else { "," };
--- a/crates/damaskstile-gateway/src/operators.rs
+++ b/crates/damaskstile-gateway/src/operators.rs
@@ -48,13 +48,13 @@
         bind_address: address,
         ..ConfigDropshot::default()
     };
-    let quiet = Logger::root(slog::Discard, slog::o!());
-    let starter = HttpServerStarter::new(&config, api, Arc::clone(gateway), &quiet)
+    let no_log = Logger::root(slog::Discard, slog::o!());
+    let starter = HttpServerStarter::new(&config, api, Arc::clone(gateway), &no_log)
         .map_err(|error| anyhow::anyhow!("cannot listen at {address}: {error}"))?;
     Ok(starter.start())
 }
 
-fn finish(status: StatusCode, content_type: &str, text: String) -> Answer {
+fn respond(status: StatusCode, content_type: &str, text: String) -> Answer {
     Response::builder()
         .status(status)
         .header("content-type", content_type)
@@ -71,7 +71,7 @@
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    finish(status, "application/json", "{}".to_owned())
+    respond(status, "application/json", "{}".to_owned())
 }
 
 /// Returns the metrics in the `OpenMetrics` text format.
@@ -127,5 +127,5 @@
     let contents = gateway.state().suspects.counts();
     gateway.metrics.sample_contents(contents);
     let content_type = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-    finish(StatusCode::OK, content_type, gateway.metrics.encode())
+    respond(StatusCode::OK, content_type, gateway.metrics.encode())
 }
--- a/crates/damaskstile-gateway/src/options.rs
+++ b/crates/damaskstile-gateway/src/options.rs
@@ -28,8 +28,8 @@
     pub peers_address: SocketAddr,
     /// Addresses of the first peers to contact.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole fleet starts for the first time, so that there are no callers yet that a
-    /// wait could delay.
+    /// Whether the whole fleet starts for the first time. No callers are waiting then, so the
+    /// instance may wait longer for its peers.
     pub is_first_start: bool,
     /// Time limit of a shutdown.
     pub stop_limit: Duration,
--- a/crates/damaskstile-gateway/src/relay.rs
+++ b/crates/damaskstile-gateway/src/relay.rs
@@ -59,12 +59,12 @@
     /// Splits the stream into events.
     pub splitter: EventSplitter,
     /// Arrival time of the last event.
-    pub event_at: Option<Duration>,
+    pub last_event_at: Option<Duration>,
     /// Longest pause between two events so far.
     pub pause_max: Duration,
     /// Whether a pause of the current run is no longer a reason to resume, since no other target
     /// was available when it paused.
-    pub is_waited_out: bool,
+    pub waits_out_pauses: bool,
     /// The first event, buffered until the head of the answer has been sent.
     pub first_frame: Option<Frame<Bytes>>,
     /// How the stream ended; `None` while it is open.
@@ -81,7 +81,7 @@
     Stalled,
     /// The run cannot be continued.
     Broken(&'static str),
-    TooLate,
+    DeadlineExceeded,
 }
 
 impl Relay {
@@ -146,7 +146,7 @@
                     // The current run is kept until a successor has been chosen: dropping it
                     // earlier would lose a run that may still continue.
                     let Some(next) = self.choose_successor(SendEnd::Unknown) else {
-                        self.is_waited_out = true;
+                        self.waits_out_pauses = true;
                         continue;
                     };
                     if !self.resume("stalled", Some(next)).await {
@@ -160,7 +160,7 @@
                         return Some(Err(self.break_off(RefusalCode::TargetLost, cause)));
                     }
                 }
-                StreamStep::TooLate => {
+                StreamStep::DeadlineExceeded => {
                     self.note_time();
                     let code = RefusalCode::DeadlineExceeded;
                     return Some(Err(self.break_off(code, "deadline")));
@@ -176,7 +176,7 @@
             }
             let left = self.deadline.saturating_sub(self.gateway.now());
             let allows_another_send = allows_another_send(&self.terms, &self.attempts);
-            let may_resume = allows_another_send && !self.is_waited_out && self.may_resume();
+            let may_resume = allows_another_send && !self.waits_out_pauses && self.may_resume();
             let Some(run) = &mut self.run else {
                 return StreamStep::Broken("no_run");
             };
@@ -190,7 +190,7 @@
                 Ok(Some(Err(_))) => return StreamStep::Closed("broken"),
                 Ok(None) if self.splitter.is_empty() => return StreamStep::End,
                 Ok(None) => return StreamStep::Closed("half_event"),
-                Err(_) if left <= wait => return StreamStep::TooLate,
+                Err(_) if left <= wait => return StreamStep::DeadlineExceeded,
                 Err(_) => return StreamStep::Stalled,
             };
             if let Ok(bytes) = frame.into_data()
@@ -205,9 +205,9 @@
     fn accept_event(&mut self, event: CompleteEvent) -> Option<Bytes> {
         self.record.first_byte();
         let now = self.gateway.now();
-        let before = self.event_at.replace(now).unwrap_or(now);
+        let before = self.last_event_at.replace(now).unwrap_or(now);
         self.pause_max = self.pause_max.max(now.saturating_sub(before));
-        self.gateway.note_passed(event.bytes.len());
+        self.gateway.note_forwarded(event.bytes.len());
         if let Some(run) = &mut self.run {
             run.running.event();
         }
--- a/crates/damaskstile-gateway/src/relay/resume.rs
+++ b/crates/damaskstile-gateway/src/relay/resume.rs
@@ -24,8 +24,8 @@
         route.kind.is_repeatable() && finishes_in_time()
     }
 
-    /// Returns whether the call's content is quarantined by now, also because of attempts by other
-    /// callers.
+    /// Returns whether the call's content is quarantined by now, possibly because of other attempts
+    /// with the same content.
     fn is_quarantined(&self) -> bool {
         let account = self.terms.account.as_deref();
         self.gateway
@@ -81,7 +81,7 @@
             let started = run::start(gateway, caller, &wait_limit, choice, resume_after);
             let end = match started.await {
                 Ok(run) if run.parts.status.is_success() => {
-                    self.is_waited_out = false;
+                    self.waits_out_pauses = false;
                     self.run = Some(run);
                     return true;
                 }
--- a/crates/damaskstile-gateway/src/run.rs
+++ b/crates/damaskstile-gateway/src/run.rs
@@ -93,7 +93,7 @@
     if !gateway.state().book.claim_send(now, &choice.identity()) {
         return Err(SendFailure::new(SendEnd::NotSent, "leaving"));
     }
-    if caller.has_left() {
+    if caller.has_disconnected() {
         // The connection's task drops this future as soon as it notices that the caller has
         // disconnected.
         std::future::pending::<()>().await;
@@ -143,7 +143,7 @@
         lease,
         running,
     };
-    judge(gateway, call, run)
+    check_answer(gateway, call, run)
 }
 
 fn build(gateway: &Gateway, call: &OutboundCall, send: &SendHead<'_>) -> Request<Full<Bytes>> {
@@ -157,7 +157,7 @@
 }
 
 /// Checks that an answer belongs to this call and shows that the call was executed.
-fn judge(gateway: &Gateway, call: &OutboundCall, run: Run) -> Result<Run, SendFailure> {
+fn check_answer(gateway: &Gateway, call: &OutboundCall, run: Run) -> Result<Run, SendFailure> {
     let choice = &run.running.choice;
     let is_own = run.head.id.is_none() || call.id.is_none() || run.head.id == call.id;
     target_says::handle_head(gateway, &run.head, &run.running, is_own);
--- a/crates/damaskstile-gateway/src/suspicion.rs
+++ b/crates/damaskstile-gateway/src/suspicion.rs
@@ -9,7 +9,7 @@
 use crate::reply::Refusal;
 
 /// Log value for a verdict reached by this instance rather than reported by a peer.
-const OWN: &str = "own";
+const SOURCE_OWN: &str = "own";
 
 impl Gateway {
     /// Returns the refusal of a call whose content is quarantined; such a call was not executed.
@@ -32,7 +32,7 @@
             suspects.note_end(now, content, account, target)
         };
         self.send_verdicts(&verdicts);
-        self.log_verdicts(OWN, &verdicts);
+        self.log_verdicts(SOURCE_OWN, &verdicts);
     }
 
     /// Records that a target completed a call.
@@ -41,7 +41,7 @@
         let content = call.content(account);
         let verdicts = self.state().suspects.note_success(now, &content);
         self.send_verdicts(&verdicts);
-        self.log_verdicts(OWN, &verdicts);
+        self.log_verdicts(SOURCE_OWN, &verdicts);
     }
 
     /// Sends the verdicts reached here to peers.
