--- a/crates/damaskstile-gateway/src/content_changes.rs
+++ b/crates/damaskstile-gateway/src/content_changes.rs
@@ -1,48 +1,48 @@
-//! `content_changes` says how one version of a stored text differs from another.
+//! Delta encoding between versions of a stored text.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::stable_hash_of_bytes;
 
-/// Versions whose outline is kept.
+/// Number of versions whose chunk hashes are kept.
 const VERSIONS_MAX: usize = 32;
-/// Byte after which a text is cut: the end of each object in it.
-const CUT_AFTER: u8 = b'}';
+/// Delimiter of the chunks: the end of each JSON object in the text.
+const CHUNK_END: u8 = b'}';
 
-/// `ContentPiece` is a part of a text: chunks of an older version, and then bytes of its own.
+/// A part of a text: a range of chunks of an older version, followed by literal bytes.
 #[derive(prost::Message, Clone, PartialEq)]
 pub struct ContentPiece {
     /// First chunk of the older version.
     #[prost(uint64, tag = "1")]
     pub from_chunk: u64,
-    /// How many chunks of it follow.
+    /// Number of chunks copied from the older version.
     #[prost(uint64, tag = "2")]
     pub chunks: u64,
-    /// Bytes that come after them.
+    /// Literal bytes that follow the copied chunks.
     #[prost(bytes = "vec", tag = "3")]
     pub literal: Vec<u8>,
 }
 
-/// `ContentChanges` remembers the outlines of the latest versions of a text, so that whoever has one
-/// of them can be told what differs. An outline is a hash of each chunk, a few KB for a text of some
-/// hundred.
+/// Keeps the chunk hashes of the latest versions of a text, so that an instance that has one of
+/// them can be sent the difference only. The hashes take a few KB for a text of some hundred KB.
 #[derive(Debug, Clone, Default)]
 pub struct ContentChanges {
-    outlines: VecDeque<(Version, Vec<u64>)>,
+    versions: VecDeque<(Version, Vec<u64>)>,
 }
 
 impl ContentChanges {
-    /// Remembers a version.
+    /// Adds a version.
     pub fn note(&mut self, version: Version, content: &[u8]) {
-        let outline = chunks(content).map(stable_hash_of_bytes).collect();
-        self.outlines.push_back((version, outline));
-        if self.outlines.len() > VERSIONS_MAX {
-            self.outlines.pop_front();
+        let hashes = chunks(content).map(stable_hash_of_bytes).collect();
+        self.versions.push_back((version, hashes));
+        if self.versions.len() > VERSIONS_MAX {
+            self.versions.pop_front();
         }
     }
 
-    /// Returns how a text differs from an older version; `None` where that is not remembered.
+    /// Returns the difference between a text and an older version; `None` if that version is no
+    /// longer known.
     ///
     /// ```
     /// use damaskstile_gateway::content_changes::{ContentChanges, rebuild};
@@ -54,27 +54,27 @@
     /// ```
     #[must_use]
     pub fn since(&self, version: Version, content: &[u8]) -> Option<Vec<ContentPiece>> {
-        let (_, outline) = self.outlines.iter().find(|(known, _)| *known == version)?;
-        let places = outline.iter().zip(0..).collect::<BTreeMap<&u64, u64>>();
+        let (_, hashes) = self.versions.iter().find(|(known, _)| *known == version)?;
+        let positions = hashes.iter().zip(0..).collect::<BTreeMap<&u64, u64>>();
         let mut pieces: Vec<ContentPiece> = Vec::new();
         let mut next = 0;
         for chunk in chunks(content) {
             let hash = stable_hash_of_bytes(chunk);
-            let is_next = usize::try_from(next).is_ok_and(|next| outline.get(next) == Some(&hash));
-            let place = if is_next {
+            let is_next = usize::try_from(next).is_ok_and(|next| hashes.get(next) == Some(&hash));
+            let position = if is_next {
                 Some(next)
             } else {
-                places.get(&hash).copied()
+                positions.get(&hash).copied()
             };
             let last = pieces.last_mut();
-            match (place, last) {
-                (Some(place), Some(last))
-                    if last.literal.is_empty() && last.from_chunk + last.chunks == place =>
+            match (position, last) {
+                (Some(position), Some(last))
+                    if last.literal.is_empty() && last.from_chunk + last.chunks == position =>
                 {
                     last.chunks += 1;
                 }
-                (Some(place), _) => pieces.push(ContentPiece {
-                    from_chunk: place,
+                (Some(position), _) => pieces.push(ContentPiece {
+                    from_chunk: position,
                     chunks: 1,
                     literal: Vec::new(),
                 }),
@@ -84,13 +84,13 @@
                     ..ContentPiece::default()
                 }),
             }
-            next = place.map_or(next, |place| place + 1);
+            next = position.map_or(next, |position| position + 1);
         }
         Some(pieces)
     }
 }
 
-/// Puts a text together from an older version and what differs; `None` where they do not fit.
+/// Rebuilds a text from an older version and the difference; `None` if they do not match.
 #[must_use]
 pub fn rebuild(base: &[u8], pieces: &[ContentPiece]) -> Option<Vec<u8>> {
     let base: Vec<&[u8]> = chunks(base).collect();
@@ -107,5 +107,5 @@
 }
 
 fn chunks(content: &[u8]) -> impl Iterator<Item = &[u8]> {
-    content.split_inclusive(|byte| *byte == CUT_AFTER)
+    content.split_inclusive(|byte| *byte == CHUNK_END)
 }
--- a/crates/damaskstile-gateway/src/exchange/answering.rs
+++ b/crates/damaskstile-gateway/src/exchange/answering.rs
@@ -1,4 +1,4 @@
-//! `answering` passes a target's answer on to the caller.
+//! Passes a target's answer on to the caller, as a stream or as a whole.
 
 use std::sync::Arc;
 
@@ -8,17 +8,18 @@
 use http_body_util::{BodyExt, Limited};
 
 use super::Exchange;
-use crate::events::EventCutter;
+use crate::events::EventSplitter;
 use crate::relay::Relay;
-use crate::reply::{Refusal, ReplyBody, whole};
+use crate::reply::{Refusal, ReplyBody, full_body};
 use crate::reservation::Reservation;
-use crate::run::{NoRun, Run};
+use crate::run::{Run, SendFailure};
 
-/// Largest answer that is kept to be sent again from another target, in bytes.
-const WHOLE_BYTES_MAX: usize = 8 * 1024 * 1024;
+/// Largest answer that is buffered, so that the call can be sent to another target if reading it
+/// fails, in bytes.
+const ANSWER_BYTES_MAX: usize = 8 * 1024 * 1024;
 
-/// Tells whether callers take a status for the promise that the call has not run.
-fn is_promise(status: StatusCode) -> bool {
+/// Returns whether callers treat a status as a guarantee that the call was not executed.
+fn guarantees_not_run(status: StatusCode) -> bool {
     let promises = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
@@ -29,12 +30,12 @@
 }
 
 impl Exchange {
-    /// Passes an answer on. Gives the reservation back where the call should be sent again.
+    /// Passes an answer on. Returns the reservation in the error if the call should be sent again.
     pub(super) async fn answer(
         &mut self,
         run: Run,
         reservation: Reservation,
-    ) -> Result<Response<ReplyBody>, (NoRun, Reservation)> {
+    ) -> Result<Response<ReplyBody>, (SendFailure, Reservation)> {
         if run.head.is_leaving {
             self.record.add("leaving", &run.running.choice.target);
         }
@@ -46,25 +47,26 @@
         let may_repeat = self.terms.route.kind.is_repeatable() && !is_last;
         if run.parts.status.is_server_error() && may_repeat {
             run.running.note(false);
-            return Err((NoRun::new(SendEnd::Failed, "failed"), reservation));
+            return Err((SendFailure::new(SendEnd::Failed, "failed"), reservation));
         }
-        if is_promise(run.parts.status) && !self.terms.route.kind.is_repeatable() {
+        if guarantees_not_run(run.parts.status) && !self.terms.route.kind.is_repeatable() {
             run.running.note(false);
             let mut reservation = reservation;
             reservation.failed();
             self.note_time();
-            // Passed on, it would say in our name that the call has not run, and its caller would
-            // have it run twice. The target's own proof of that is not here.
+            // If this status were passed on, the caller would take it for our guarantee that the
+            // call was not executed and send it again, so it could run twice. The target has not
+            // proved that it did not run.
             return Ok(self.refuse(&Refusal::unknown(RefusalCode::TargetLost)));
         }
-        self.pass_whole(run, reservation).await
+        self.forward_complete(run, reservation).await
     }
 
-    async fn pass_whole(
+    async fn forward_complete(
         &mut self,
         run: Run,
         mut reservation: Reservation,
-    ) -> Result<Response<ReplyBody>, (NoRun, Reservation)> {
+    ) -> Result<Response<ReplyBody>, (SendFailure, Reservation)> {
         let Run {
             mut parts,
             head,
@@ -72,16 +74,19 @@
             lease,
             running,
         } = run;
-        let reading = Limited::new(body, WHOLE_BYTES_MAX).collect();
-        let body = match tokio::time::timeout(self.left(), reading).await {
+        let reading = Limited::new(body, ANSWER_BYTES_MAX).collect();
+        let body = match tokio::time::timeout(self.time_left(), reading).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => {
                 running.note(false);
-                return Err((NoRun::new(SendEnd::Broken, "body_broken"), reservation));
+                return Err((
+                    SendFailure::new(SendEnd::Broken, "body_broken"),
+                    reservation,
+                ));
             }
-            Err(_) => return Err((NoRun::new(SendEnd::Failed, "body_late"), reservation)),
+            Err(_) => return Err((SendFailure::new(SendEnd::Failed, "body_late"), reservation)),
         };
-        self.gateway.note_passed(body.len());
+        self.gateway.note_forwarded(body.len());
         lease.give_back(head.reuse_for).await;
         running.note(!parts.status.is_server_error());
         if parts.status.is_success() {
@@ -101,11 +106,11 @@
         };
         self.record.end(code, outcome);
         self.gateway.dialect.dress_answer(&mut parts.headers);
-        Ok(Response::from_parts(parts, whole(body)))
+        Ok(Response::from_parts(parts, full_body(body)))
     }
 
-    /// Passes a stream on, once its first event is there. Until then its caller has been given
-    /// nothing, and is told what became of the call if no target gives any.
+    /// Passes a stream on once its first event has arrived. Nothing has been sent to the caller
+    /// until then, so it can still get a proper refusal if no target delivers an event.
     async fn relay(&mut self, run: Run, reservation: Reservation) -> Response<ReplyBody> {
         let mut parts = run.parts.clone();
         self.gateway.dialect.dress_answer(&mut parts.headers);
@@ -123,12 +128,12 @@
             open: self.gateway.open_call(),
             caller: self.caller.clone(),
             last_event: self.last_event,
-            cutter: EventCutter::default(),
-            event_at: None,
+            splitter: EventSplitter::default(),
+            last_event_at: None,
             pause_max: Duration::ZERO,
-            is_waited_out: false,
+            waits_out_pauses: false,
             first_frame: None,
-            over: None,
+            stream_end: None,
         };
         if let Err(code) = relay.begin().await {
             let refusal = Refusal::unknown(code);
--- a/crates/damaskstile-gateway/src/exchange/refusing.rs
+++ b/crates/damaskstile-gateway/src/exchange/refusing.rs
@@ -1,4 +1,4 @@
-//! `refusing` answers a call that no target answers.
+//! Refusals of calls that no target answers.
 
 use damaskstile_core::prelude::*;
 use damaskstile_requests::Fingerprint;
@@ -7,14 +7,15 @@
 use super::{Exchange, refuse};
 use crate::reply::{RETRY_AT_ONCE, RETRY_LATER, RETRY_SOON, Refusal, ReplyBody};
 
-/// Time in which callers come back by chance, after what all of them wait for.
-const RETURN_SPREAD_MS: u64 = 300;
+/// Range of the random delay added to an advised wait, in milliseconds.
+const RETRY_JITTER_MS: u64 = 300;
 
 impl Exchange {
-    /// Returns the refusal of a call for what is known to end its targets, by other attempts too.
-    pub(super) fn barred(&mut self) -> Option<Refusal> {
+    /// Returns the refusal of a call whose content is quarantined because targets crashed under it,
+    /// possibly during other attempts with the same content.
+    pub(super) fn quarantine_refusal(&mut self) -> Option<Refusal> {
         let account = self.terms.account.as_deref();
-        let refusal = self.gateway.barred(&self.call, account)?;
+        let refusal = self.gateway.quarantine_refusal(&self.call, account)?;
         let content = Fingerprint::of(&self.call.content(account));
         self.record.add("content", content);
         Some(if self.attempts.has_run() {
@@ -29,9 +30,10 @@
         refuse(&self.gateway, &mut self.record, refusal, id.as_deref())
     }
 
-    /// Returns the answer to a call that this instance cannot serve in time. Its connection is closed,
-    /// so that its caller reaches another one, now and later.
-    pub(super) fn overloaded(&mut self) -> Option<Response<ReplyBody>> {
+    /// Checks the call against the instance's load; returns a refusal if it cannot be served in
+    /// time. The refusal closes the connection, so that the caller connects to another instance for
+    /// this call and later ones.
+    pub(super) fn overload_refusal(&mut self) -> Option<Response<ReplyBody>> {
         let (now, bytes) = (self.gateway.now(), self.call.link_bytes());
         let objective = self.terms.route.objective;
         let is_admitted = {
@@ -48,7 +50,7 @@
         Some(response)
     }
 
-    pub(super) fn too_late(&mut self) -> Response<ReplyBody> {
+    pub(super) fn deadline_exceeded(&mut self) -> Response<ReplyBody> {
         let code = RefusalCode::DeadlineExceeded;
         let refusal = if self.is_sending || self.attempts.has_run() {
             self.note_time();
@@ -59,9 +61,9 @@
         self.refuse(&refusal)
     }
 
-    /// Returns the refusal of a call that no target may get now. Where all that may want a pause,
-    /// the wait is known better.
-    pub(super) fn no_target(&self) -> Option<Refusal> {
+    /// Returns the refusal of a call for which no target is usable now; `None` if all candidates
+    /// are in backoff, since `targets_backoff` then knows the exact wait.
+    pub(super) fn no_target_refusal(&self) -> Option<Refusal> {
         let now = self.gateway.now();
         let state = self.gateway.state();
         let found = state
@@ -73,30 +75,29 @@
         }
         let wait = state.book.place_in(now, &self.terms.service);
         drop(state);
-        let wait = wait.map_or(RETRY_LATER, |wait| self.spread(wait));
+        let wait = wait.map_or(RETRY_LATER, |wait| self.add_jitter(wait));
         Some(Refusal::not_run(code, Some(wait)))
     }
 
-    /// Returns a wait, longer by chance, so that those that were refused together come back some
-    /// time apart.
-    fn spread(&self, wait: Duration) -> Duration {
-        let spread_ms = self.gateway.state().random.below(RETURN_SPREAD_MS);
+    /// Adds a random delay to a wait, so that callers refused together do not come back together.
+    fn add_jitter(&self, wait: Duration) -> Duration {
+        let spread_ms = self.gateway.state().random.below(RETRY_JITTER_MS);
         wait.saturating_add(Duration::from_millis(spread_ms))
     }
 
-    /// Returns when a caller should come back where all targets of the service want a pause. Those
-    /// that were refused all through it come back some time apart.
-    pub(super) fn targets_pause(&self) -> Option<Duration> {
+    /// Returns how long a caller should wait if all targets of the service are in backoff. A random
+    /// delay is added, so that callers refused during the backoff do not all come back at its end.
+    pub(super) fn targets_backoff(&self) -> Option<Duration> {
         let now = self.gateway.now();
         let left = {
             let state = self.gateway.state();
             state.book.paused_for(now, &self.terms.service)?
         };
-        Some(self.spread(left))
+        Some(self.add_jitter(left))
     }
 
     pub(super) fn give_up(&mut self, code: RefusalCode, wait: Duration) -> Response<ReplyBody> {
-        let wait = self.targets_pause().unwrap_or(wait);
+        let wait = self.targets_backoff().unwrap_or(wait);
         let refusal = if self.attempts.has_run() {
             Refusal::unknown(RefusalCode::TargetLost)
         } else {
--- a/crates/damaskstile-gateway/src/lib.rs
+++ b/crates/damaskstile-gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! `damaskstile-gateway` takes calls from callers to targets and back.
+//! Gateway that passes calls from callers to targets, and their answers back.
 //!
-//! It hosts the decisions on routes, targets and tokens. What callers, targets and the platform's
-//! store speak is behind the traits [`Dialect`](dialect::Dialect),
-//! [`Directory`](directory::Directory) and [`ObjectStore`](objects::ObjectStore).
+//! It applies the decisions on routes, targets and tokens that other crates of the workspace make.
+//! The protocols of callers, targets and the platform's store are behind the traits
+//! [`Dialect`](dialect::Dialect), [`Directory`](directory::Directory) and
+//! [`ObjectStore`](objects::ObjectStore).
 
 pub mod answer;
 pub mod backlog;
@@ -11,7 +12,7 @@
 pub mod call;
 pub mod call_cost;
 pub mod call_times;
-pub mod caller_link;
+pub mod caller_connection;
 pub mod charge;
 pub mod clock;
 pub mod cold_options;
@@ -33,9 +34,9 @@
 pub mod ledger_fault;
 pub mod link_times;
 mod load;
+pub mod load_sample;
 pub mod loan;
 pub mod logs;
-pub mod look;
 pub mod member;
 pub mod metrics;
 pub mod objects;
@@ -43,8 +44,8 @@
 pub mod open_connection;
 pub mod operators;
 pub mod options;
+pub mod outbound_call;
 pub mod outgoing;
-pub mod patience;
 pub mod peers;
 pub mod phase;
 pub mod pool;
@@ -59,7 +60,6 @@
 pub mod run;
 pub mod running;
 mod send;
-pub mod sendable;
 pub mod sent_bytes;
 pub mod state;
 pub mod stop;
@@ -69,6 +69,7 @@
 pub mod target_list;
 mod target_says;
 pub mod target_words;
+pub mod wait_limit;
 pub mod wanted;
 mod watched_stream;
 
@@ -82,14 +83,14 @@
 use crate::outgoing::Outgoing;
 use crate::peers::{Peers, serve_pulls};
 
-/// Time between two looks at the kept connections.
+/// Interval between two prunings of the connection pool.
 const PRUNE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Serves until the process is told to stop, and stops without cutting off a call.
+/// Serves until the process is told to stop, then shuts down gracefully.
 ///
 /// # Errors
 ///
-/// Returns an error where an address cannot be used.
+/// Returns an error if an address cannot be bound.
 pub async fn serve(gateway: Arc<Gateway>, outbox: Receiver<Outgoing>) -> anyhow::Result<()> {
     let options = &gateway.options;
     let callers = front::listen(options.callers_address)?;
@@ -108,7 +109,7 @@
     }
     tokio::spawn(proof::keep(Arc::clone(&gateway)));
     spawn_counted(&gateway, "rounds", rounds::keep(Arc::clone(&gateway)));
-    tokio::spawn(holdings::keep(Arc::clone(&gateway)));
+    tokio::spawn(holdings::log_periodically(Arc::clone(&gateway)));
     tokio::spawn(serve_pulls(Arc::clone(&gateway), pulls));
     spawn_counted(&gateway, "tell", Arc::clone(&peers).tell());
     tokio::spawn(Arc::clone(&peers).beg());
@@ -117,14 +118,14 @@
     spawn_counted(&gateway, "send_out", Arc::clone(&peers).send_out(outbox));
     spawn_counted(&gateway, "hear", peers.hear());
     tokio::spawn(prune(Arc::clone(&gateway)));
-    tokio::spawn(load::watch(Arc::clone(&gateway)));
+    tokio::spawn(load::sample_periodically(Arc::clone(&gateway)));
     tokio::spawn(front::accept(Arc::clone(&gateway), callers));
     stop::run(Arc::clone(&gateway)).await?;
     drop((readiness, metrics));
     Ok(())
 }
 
-/// Spawns a duty whose time is counted.
+/// Spawns a background task whose processor time is counted.
 pub(crate) fn spawn_counted(
     gateway: &Arc<Gateway>,
     duty: &'static str,
--- a/crates/damaskstile-gateway/src/pool.rs
+++ b/crates/damaskstile-gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! `pool` keeps connections to targets for the next call.
+//! Pool of connections to targets.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,29 +16,29 @@
 use crate::link_times::LinkTimes;
 use crate::watched_stream::WatchedStream;
 
-/// Connections kept for one target.
-const KEPT_MAX: usize = 64;
+/// Idle connections kept per target.
+const IDLE_PER_TARGET_MAX: usize = 64;
 
 pub(crate) type Sender = SendRequest<Full<Bytes>>;
 
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     sender: Sender,
     task: AbortHandle,
     usable_until: std::time::Instant,
 }
 
-/// `Pool` keeps connections to targets for the next call, by incarnation: a connection that was
-/// made to one leads to it as long as its process lives, also when the next serves already.
+/// Pool of idle connections to targets, keyed by incarnation: a connection leads to the process
+/// that accepted it for as long as that lives, even if its successor is already serving.
 #[derive(Debug, Default)]
 pub struct Pool {
-    kept: Mutex<BTreeMap<TargetIdentity, Vec<Kept>>>,
+    idle: Mutex<BTreeMap<TargetIdentity, Vec<IdleConnection>>>,
     link_times: Arc<LinkTimes>,
     busy_times: Arc<BusyTimes>,
 }
 
 impl Pool {
-    /// Makes an empty pool.
+    /// Creates an empty pool that records connect times and processor time.
     #[must_use]
     pub fn new(link_times: &Arc<LinkTimes>, busy_times: &Arc<BusyTimes>) -> Arc<Self> {
         Arc::new(Self {
@@ -48,18 +48,24 @@
         })
     }
 
-    /// Returns a kept connection to a target, or makes one.
+    /// Returns an idle connection to a target, or opens one.
     ///
     /// # Errors
     ///
-    /// Returns why no connection was made; nothing has been sent then.
+    /// Returns the reason why no connection was made; nothing has been sent in that case.
     pub async fn lease(
         self: &Arc<Self>,
         target: &TargetIdentity,
         address: SocketAddr,
     ) -> std::io::Result<Lease> {
-        if let Some(kept) = self.take(target) {
-            return Ok(Lease::new(self, target, kept.sender, kept.task, true));
+        if let Some(connection) = self.take(target) {
+            return Ok(Lease::new(
+                self,
+                target,
+                connection.sender,
+                connection.task,
+                true,
+            ));
         }
         let began_at = std::time::Instant::now();
         let stream = connect(address).await;
@@ -70,22 +76,24 @@
             .map_err(std::io::Error::other)?;
         let busy_times = Arc::clone(&self.busy_times);
         let task = tokio::spawn(async move {
-            // How the connection ends shows in the answer that was read from it.
+            // Errors of the connection show in the answer that is read from it.
             let _ = busy_times.count("targets", connection).await;
         });
         Ok(Lease::new(self, target, sender, task.abort_handle(), false))
     }
 
-    /// Closes the connections that are no longer usable, and all to incarnations not in the list.
+    /// Closes the connections that are no longer usable, and all to incarnations that are not
+    /// listed.
     pub fn prune(&self, is_listed: impl Fn(&TargetIdentity) -> bool) {
         let now = std::time::Instant::now();
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.retain(|target, connections| {
-            connections.retain(|one| {
-                let is_usable =
-                    now < one.usable_until && !one.sender.is_closed() && is_listed(target);
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.retain(|target, connections| {
+            connections.retain(|connection| {
+                let is_usable = now < connection.usable_until
+                    && !connection.sender.is_closed()
+                    && is_listed(target);
                 if !is_usable {
-                    one.task.abort();
+                    connection.task.abort();
                 }
                 is_usable
             });
@@ -93,7 +101,7 @@
         });
     }
 
-    /// Keeps a connection; returns false where there are enough.
+    /// Returns a connection to the pool; returns false if the pool is full for this target.
     pub(crate) fn keep(
         &self,
         target: &TargetIdentity,
@@ -101,11 +109,11 @@
         task: AbortHandle,
         usable_until: std::time::Instant,
     ) -> bool {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let of_target = kept.entry(target.clone()).or_default();
-        let has_room = of_target.len() < KEPT_MAX;
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let of_target = idle.entry(target.clone()).or_default();
+        let has_room = of_target.len() < IDLE_PER_TARGET_MAX;
         if has_room {
-            of_target.push(Kept {
+            of_target.push(IdleConnection {
                 sender,
                 task,
                 usable_until,
@@ -114,15 +122,16 @@
         has_room
     }
 
-    fn take(&self, target: &TargetIdentity) -> Option<Kept> {
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let of_target = kept.get_mut(target)?;
-        while let Some(one) = of_target.pop() {
-            let is_usable = std::time::Instant::now() < one.usable_until && one.sender.is_ready();
+    fn take(&self, target: &TargetIdentity) -> Option<IdleConnection> {
+        let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        let of_target = idle.get_mut(target)?;
+        while let Some(connection) = of_target.pop() {
+            let is_usable =
+                std::time::Instant::now() < connection.usable_until && connection.sender.is_ready();
             if is_usable {
-                return Some(one);
+                return Some(connection);
             }
-            one.task.abort();
+            connection.task.abort();
         }
         None
     }
--- a/crates/damaskstile-gateway/src/run.rs
+++ b/crates/damaskstile-gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! `run` sends a call to one target and follows it there.
+//! Sends a call to one target and waits for the head of its answer.
 
 use std::io::ErrorKind;
 use std::pin::pin;
@@ -15,62 +15,62 @@
 
 use crate::answer::AnswerHead;
 use crate::call::SendHead;
-use crate::caller_link::CallerLink;
+use crate::caller_connection::CallerConnection;
 use crate::gateway::Gateway;
 use crate::handling::Handling;
 use crate::lease::{Lease, SendError};
-use crate::patience::Patience;
+use crate::outbound_call::OutboundCall;
 use crate::running::Running;
-use crate::sendable::Sendable;
 use crate::target_says;
+use crate::wait_limit::WaitLimit;
 
-/// `Run` is an answer that a target has begun.
+/// An answer whose head has arrived from a target.
 #[derive(Debug)]
 pub struct Run {
     /// Status and headers.
     pub parts: response::Parts,
-    /// What the target says of it.
+    /// Decoded headers of the answer.
     pub head: AnswerHead,
-    /// Body, still to come.
+    /// Body, not read yet.
     pub body: Incoming,
-    /// The connection, closed when dropped.
+    /// The connection; closed when dropped.
     pub lease: Lease,
-    /// The call's place at the target.
+    /// Counts the call as running at the target.
     pub running: Running,
 }
 
-/// `NoRun` tells why a send brought no answer for the caller.
+/// Why a send produced no answer for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NoRun {
-    /// What it proves.
+pub struct SendFailure {
+    /// What is known about the call's execution.
     pub end: SendEnd,
-    /// What happened, for the logs.
+    /// Cause, for the logs.
     pub cause: &'static str,
 }
 
-impl NoRun {
+impl SendFailure {
     pub(crate) const fn new(end: SendEnd, cause: &'static str) -> Self {
         Self { end, cause }
     }
 }
 
-/// Sends a call to one target and waits for the head of its answer, until `patience` is over and
-/// another target could follow. The time that its connection takes counts: left out, it came on top
-/// of the route's time-out.
+/// Sends a call to one target and waits for the head of its answer, until the wait limit in
+/// `wait_limit` expires while another target is available. The time to connect counts towards the
+/// limit; otherwise it would be added to the route's time-out.
 ///
 /// # Errors
 ///
-/// Returns what the failed send proves.
+/// Returns what the failed send proves about the execution of the call.
 pub async fn start(
     gateway: &Arc<Gateway>,
-    caller: &CallerLink,
-    patience: &Patience<'_>,
+    caller: &CallerConnection,
+    wait_limit: &WaitLimit<'_>,
     choice: Choice,
     resume_after: Option<u64>,
-) -> Result<Run, NoRun> {
-    let (call, terms) = (patience.call, patience.terms);
+) -> Result<Run, SendFailure> {
+    let (call, terms) = (wait_limit.call, wait_limit.terms);
     let instant = |at: Duration| Instant::now() + at.saturating_sub(gateway.now());
-    let until = instant(patience.until());
+    let until = instant(wait_limit.until());
     let running = Running::new(gateway, choice, &call.work);
     let choice = &running.choice;
     let identity = choice.identity();
@@ -79,28 +79,29 @@
         Ok(Ok(lease)) => lease,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
             running.ended();
-            return Err(NoRun::new(SendEnd::NotSent, "no_connection"));
+            return Err(SendFailure::new(SendEnd::NotSent, "no_connection"));
         }
         Ok(Err(_)) | Err(_) => {
             running.silent();
-            return Err(NoRun::new(SendEnd::NotSent, "no_connection"));
+            return Err(SendFailure::new(SendEnd::NotSent, "no_connection"));
         }
     };
-    // Making a connection takes up to a few hundred milliseconds over a full link, and what is heard
-    // meanwhile may take the target out of use. It would get the call although this instance knows
-    // better; nothing of the call was sent yet, so any other target may have it.
+    // Connecting takes up to a few hundred milliseconds over a saturated link, and updates received
+    // meanwhile may have taken the target out of use. Nothing of the call has been sent yet, so any
+    // other target may still take it.
     let now = gateway.now();
     if !gateway.state().book.claim_send(now, &choice.identity()) {
-        return Err(NoRun::new(SendEnd::NotSent, "leaving"));
+        return Err(SendFailure::new(SendEnd::NotSent, "leaving"));
     }
-    if caller.has_left() {
-        // The connection's task drops the call as soon as it sees that.
+    if caller.has_disconnected() {
+        // The connection's task drops this future as soon as it notices that the caller has
+        // disconnected.
         std::future::pending::<()>().await;
     }
     let send = SendHead {
         target: &choice.target,
         account: terms.account.as_deref(),
-        time_left: patience.deadline.saturating_sub(gateway.now()),
+        time_left: wait_limit.deadline.saturating_sub(gateway.now()),
         priority: terms.priority,
         fetch_from: choice.fetch_from,
         resume_after,
@@ -109,25 +110,28 @@
     let answer = {
         let mut sending = pin!(lease.send(request));
         match timeout_at(until, sending.as_mut()).await {
-            Err(_) if !patience.is_followed_now() => {
-                timeout_at(instant(patience.deadline), sending).await
+            Err(_) if !wait_limit.has_successor_now() => {
+                timeout_at(instant(wait_limit.deadline), sending).await
             }
             answer => answer,
         }
     };
     let answer = match answer {
         Ok(Ok(answer)) => answer,
-        Ok(Err(SendError::NotSent)) => return Err(NoRun::new(SendEnd::NotSent, "closed_before")),
+        Ok(Err(SendError::NotSent)) => {
+            return Err(SendFailure::new(SendEnd::NotSent, "closed_before"));
+        }
         Ok(Err(SendError::Broken(_))) => {
-            // A kept connection that its target closes in time says nothing of the target.
+            // Targets close pooled connections when their idle time is up, so a break on one says
+            // nothing about the target.
             if !lease.is_reused {
                 running.note(false);
             }
-            return Err(NoRun::new(SendEnd::Broken, "broken"));
+            return Err(SendFailure::new(SendEnd::Broken, "broken"));
         }
         Err(_) => {
             running.silent();
-            return Err(NoRun::new(SendEnd::Unknown, "silent"));
+            return Err(SendFailure::new(SendEnd::Unknown, "silent"));
         }
     };
     let (parts, body) = answer.into_parts();
@@ -139,10 +143,10 @@
         lease,
         running,
     };
-    judge(gateway, call, run)
+    check_answer(gateway, call, run)
 }
 
-fn build(gateway: &Gateway, call: &Sendable, send: &SendHead<'_>) -> Request<Full<Bytes>> {
+fn build(gateway: &Gateway, call: &OutboundCall, send: &SendHead<'_>) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
@@ -152,37 +156,37 @@
     request
 }
 
-/// Decides whether an answer is the one to this call and tells of a run.
-fn judge(gateway: &Gateway, call: &Sendable, run: Run) -> Result<Run, NoRun> {
+/// Checks that an answer belongs to this call and shows that the call was executed.
+fn check_answer(gateway: &Gateway, call: &OutboundCall, run: Run) -> Result<Run, SendFailure> {
     let choice = &run.running.choice;
     let is_own = run.head.id.is_none() || call.id.is_none() || run.head.id == call.id;
-    target_says::heed(gateway, &run.head, &run.running, is_own);
+    target_says::handle_head(gateway, &run.head, &run.running, is_own);
     if let Some(load) = run.head.load {
         let now = gateway.now();
         let mut state = gateway.state();
         state.book.report(now, choice, load.running, load.waiting);
     }
-    // An answer to an earlier call may arrive late, where the next one is expected. Passed on,
-    // it would give this caller another's answer. The connection is closed with the run.
+    // A late answer to an earlier call may arrive where the next one is expected. Passing it on
+    // would give this caller another caller's answer. The connection is closed with the run.
     if !is_own {
         run.running.note(false);
-        return Err(NoRun::new(SendEnd::Unknown, "foreign_answer"));
+        return Err(SendFailure::new(SendEnd::Unknown, "foreign_answer"));
     }
     if run.head.handling == Handling::Misdirected {
         let now = gateway.now();
         gateway.state().book.leave(now, &choice.identity());
-        return Err(NoRun::new(SendEnd::NotRun, "misdirected"));
+        return Err(SendFailure::new(SendEnd::NotRun, "misdirected"));
     }
     if run.head.handling == Handling::NotRun {
         run.running.note(false);
-        return Err(NoRun::new(SendEnd::NotRun, "rejected"));
+        return Err(SendFailure::new(SendEnd::NotRun, "rejected"));
     }
     if run.parts.status.is_success() && !run.head.is_signed {
         run.running.note(false);
-        return Err(NoRun::new(SendEnd::Unknown, "unsigned_answer"));
+        return Err(SendFailure::new(SendEnd::Unknown, "unsigned_answer"));
     }
     if run.parts.status == StatusCode::SWITCHING_PROTOCOLS || run.parts.status.is_informational() {
-        return Err(NoRun::new(SendEnd::Unknown, "unexpected_status"));
+        return Err(SendFailure::new(SendEnd::Unknown, "unexpected_status"));
     }
     Ok(run)
 }
--- a/crates/damaskstile-gateway/src/send.rs
+++ b/crates/damaskstile-gateway/src/send.rs
@@ -1,19 +1,20 @@
-//! `send` chooses a target for a call and notes what follows from it.
+//! Target selection for a send, with its bookkeeping.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::Choice;
 
 use crate::gateway::Gateway;
+use crate::outbound_call::OutboundCall;
 use crate::record::Record;
 use crate::reservation::Reservation;
-use crate::sendable::Sendable;
 
-/// Chooses a target for a call, other than those tried, and notes it in all that the call has:
-/// from here on it may run. `None` where there is no other target.
+/// Chooses a target for a call, excluding those in `tried`, and records the choice in the call's
+/// state. From here on the call counts as possibly executed. Returns `None` if no other target is
+/// available.
 pub(crate) fn choose(
     gateway: &Gateway,
     service: &str,
-    call: &Sendable,
+    call: &OutboundCall,
     tried: &mut Vec<TargetId>,
     record: &mut Record,
     reservation: &mut Reservation,
--- a/crates/damaskstile-gateway/src/suspicion.rs
+++ b/crates/damaskstile-gateway/src/suspicion.rs
@@ -1,49 +1,54 @@
-//! `suspicion` keeps what a gateway knows of contents that end targets, and says so in the logs.
+//! Detection of crash-inducing content: checks, updates and log lines.
 
 use damaskstile_core::prelude::*;
 use damaskstile_requests::{Fingerprint, SuspectWord, Verdicts};
 
 use crate::gateway::Gateway;
+use crate::outbound_call::OutboundCall;
 use crate::outgoing::Outgoing;
 use crate::reply::Refusal;
-use crate::sendable::Sendable;
 
-/// Where an instance's own word is meant in place of a peer's.
-const OWN: &str = "own";
+/// Log value for a verdict reached by this instance rather than reported by a peer.
+const SOURCE_OWN: &str = "own";
 
 impl Gateway {
-    /// Returns the refusal of a call for what is known to end its targets, which has not run.
-    pub(crate) fn barred(&self, call: &Sendable, account: Option<&str>) -> Option<Refusal> {
+    /// Returns the refusal of a call whose content is quarantined; such a call was not executed.
+    pub(crate) fn quarantine_refusal(
+        &self,
+        call: &OutboundCall,
+        account: Option<&str>,
+    ) -> Option<Refusal> {
         let now = self.now();
         let content = call.content(account);
         let left = self.state().suspects.barred_for(now, &content)?;
         Some(Refusal::not_run(RefusalCode::CrashesTargets, Some(left)))
     }
 
-    /// Notes that a target ended while it ran a call.
+    /// Records that a target ended while it ran a call.
     pub(crate) fn note_end(&self, content: Fingerprint, account: &str, target: TargetIdentity) {
         let now = self.now();
         let verdicts = {
             let suspects = &mut self.state().suspects;
             suspects.note_end(now, content, account, target)
         };
-        self.tell(&verdicts);
-        self.log_verdicts(OWN, &verdicts);
+        self.send_verdicts(&verdicts);
+        self.log_verdicts(SOURCE_OWN, &verdicts);
     }
 
-    /// Notes that a target ran a call to its end.
-    pub(crate) fn note_success(&self, call: &Sendable, account: Option<&str>) {
+    /// Records that a target completed a call.
+    pub(crate) fn note_success(&self, call: &OutboundCall, account: Option<&str>) {
         let now = self.now();
         let content = call.content(account);
         let verdicts = self.state().suspects.note_success(now, &content);
-        self.tell(&verdicts);
-        self.log_verdicts(OWN, &verdicts);
+        self.send_verdicts(&verdicts);
+        self.log_verdicts(SOURCE_OWN, &verdicts);
     }
 
-    /// Tells peers what was found here.
-    fn tell(&self, verdicts: &Verdicts) {
+    /// Sends the verdicts reached here to peers.
+    fn send_verdicts(&self, verdicts: &Verdicts) {
         if let Some(content) = verdicts.news {
-            // Where the ring is full, the next end under the content tells this one too.
+            // If the queue is full the report is dropped; the report of the next end under this
+            // content includes this one.
             let _ = self.outbox.try_send(Outgoing::Suspect(content));
         }
         if !verdicts.barred.is_empty() {
@@ -51,8 +56,8 @@
         }
     }
 
-    /// Takes in what a peer tells. That a content is refused is passed on at once: in a large fleet a
-    /// digest goes to few, and the same is likely to be asked of any instance next.
+    /// Handles a peer's report. A quarantine is passed on at once: in a large fleet a digest
+    /// reaches only a few peers, and the same content is likely to be sent to any instance next.
     pub(crate) fn hear_suspect(&self, from: &str, word: SuspectWord) {
         let now = self.now();
         let verdicts = self.state().suspects.hear(now, word);
--- a/crates/damaskstile-gateway/tests/behind.rs
+++ b/crates/damaskstile-gateway/tests/behind.rs
@@ -1,4 +1,5 @@
-//! Watches and lists of targets that are behind, and entries that lapsed for a watcher.
+//! Handling of stale watch events and lists of targets, and of entries that lapsed during an
+//! outage.
 
 mod support;
 
@@ -18,22 +19,21 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::Notify;
 
-/// Time within which what is waited for must happen.
+/// Time limit for each expected event.
 const LIMIT: Duration = Duration::from_secs(5);
-/// Version of the list that the store gives, of the change that the watch tells, and of the list
-/// that a peer had.
+/// Versions of the store's list, of the change that the watch reports, and of a peer's list.
 const LISTED: Version = 280;
 const WATCHED: Version = 285;
 const NEWER: Version = 290;
 
-/// A store whose first watch tells, once it is let go, that a target is gone.
+/// A store whose first watch reports, once it is released, that a target was delisted.
 #[derive(Debug, Default)]
-struct LateStore {
-    let_go: Notify,
+struct DelayedStore {
+    release: Notify,
     watches: Mutex<usize>,
 }
 
-impl LateStore {
+impl DelayedStore {
     fn watches(&self) -> usize {
         *self.watches.lock().unwrap()
     }
@@ -47,7 +47,7 @@
     }
 }
 
-impl ObjectStore for LateStore {
+impl ObjectStore for DelayedStore {
     fn list<'a>(&'a self, _kind: &'a str) -> BoxFuture<'a, StoreResult<Listing>> {
         let listing = Listing {
             objects: vec![object("t0"), object("t1")],
@@ -68,7 +68,7 @@
             return std::future::pending().boxed();
         }
         async {
-            self.let_go.notified().await;
+            self.release.notified().await;
             Ok((vec![Change::Gone("t0".to_owned())], WATCHED))
         }
         .boxed()
@@ -116,21 +116,21 @@
 }
 
 #[tokio::test]
-async fn a_watch_that_is_behind_takes_out_no_target_that_a_newer_list_names() {
-    // Symptom: a sound target gets no calls, and peers are told that it vanished. Sequence: it
-    // vanishes and comes back; a peer's list that names it is taken in; then a watch tells of the
-    // vanishing alone. Cause: what came last was taken for what is newest.
+async fn stale_watch_event_does_not_delist_a_target_of_a_newer_list() {
+    // Guards against a healthy target getting no calls because peers are told that it was delisted.
+    // It is delisted and listed again; a peer's list that contains it is accepted; then a delayed
+    // watch reports only the delisting. The event that arrived last used to count as the newest.
 
     // Arrange
-    let store = Arc::new(LateStore::default());
-    let known: Arc<dyn ObjectStore> = Arc::<LateStore>::clone(&store);
+    let store = Arc::new(DelayedStore::default());
+    let known: Arc<dyn ObjectStore> = Arc::<DelayedStore>::clone(&store);
     let gateway = gateway(unused_address(), known);
     tokio::spawn(follow(Arc::clone(&gateway), Followed::Targets));
     wait_for(|| store.watches() == 1).await;
     take_list(&gateway, NEWER, &["t0", "t1"], false);
 
     // Act
-    store.let_go.notify_one();
+    store.release.notify_one();
     wait_for(|| store.watches() == 2).await;
 
     // Assert
@@ -139,7 +139,7 @@
     assert!(choose(&gateway, &["t1"]).is_some());
 }
 
-/// Makes the digest of a peer that watches the store for a large fleet.
+/// Returns the digest of a peer that watches the store for a large fleet.
 fn watchers_digest() -> Digest {
     Digest {
         targets_version: NEWER,
@@ -152,14 +152,14 @@
 }
 
 #[tokio::test]
-async fn a_follower_waits_for_lapsed_entries_as_the_watcher_does_whose_list_it_pulls() {
-    // Symptom: after an outage of some seconds most instances of a large fleet have no target until
-    // the entries return, while the few that watch the store use them all. Sequence: the entries
-    // lapse; a watcher noticed the outage and waits for them; a follower asked the store nothing
-    // meanwhile and pulls the watcher's list. Cause: it judged by its own contact alone.
+async fn follower_keeps_lapsed_targets_like_the_watcher_whose_list_it_pulls() {
+    // Guards against most instances of a large fleet having no target after an outage of some
+    // seconds, while the few that watch the store use all of them. The entries lapse; a watcher
+    // that noticed the outage keeps them; a follower, which made no store call meanwhile, pulls the
+    // watcher's list. It used to judge the list by its own contact with the store alone.
 
     // Arrange
-    let store: Arc<dyn ObjectStore> = Arc::new(LateStore::default());
+    let store: Arc<dyn ObjectStore> = Arc::new(DelayedStore::default());
     let listener = TcpListener::bind(unused_address()).await.unwrap();
     let watcher_address = listener.local_addr().unwrap();
     let watcher = gateway(watcher_address, Arc::clone(&store));
--- a/crates/damaskstile-gateway/tests/content_changes.rs
+++ b/crates/damaskstile-gateway/tests/content_changes.rs
@@ -1,10 +1,10 @@
-//! Catalogues that travel by what differs: the same bytes at the other end, and few of them.
+//! Delta encoding of catalogues: the rebuilt bytes are identical, and the delta is small.
 
 use damaskstile_core::prelude::*;
 use damaskstile_gateway::content_changes::{ContentChanges, rebuild};
 use proptest::prelude::*;
 
-/// Makes a text of objects, as stored catalogues are.
+/// Builds a JSON text of objects, like a stored catalogue.
 fn text(version: u64, objects: &[u64]) -> Vec<u8> {
     let objects: Vec<String> = objects
         .iter()
@@ -25,8 +25,9 @@
 }
 
 #[test]
-fn a_route_that_is_added_to_a_thousand_costs_as_much_as_the_route() {
-    // Guards against: a whole catalogue for each instance of a large fleet and each version.
+fn the_delta_for_one_added_route_is_about_as_large_as_the_route() {
+    // Guards against sending the whole catalogue to each instance of a large fleet for each
+    // version.
 
     // Arrange
     let objects: Vec<u64> = (0..1_500).collect();
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn versions_of_long_ago_are_forgotten() {
+fn old_versions_are_forgotten() {
     // Arrange
     let mut changes = ContentChanges::default();
 
@@ -60,7 +61,7 @@
 
 proptest! {
     #[test]
-    fn any_text_is_put_together_again(
+    fn any_text_is_rebuilt_from_its_delta(
         before in prop::collection::vec(0..40_u64, 0..60),
         after in prop::collection::vec(0..40_u64, 0..60),
         tail in prop::collection::vec(any::<u8>(), 0..40),
@@ -87,7 +88,7 @@
             chunks,
             literal: Vec::new(),
         };
-        // Whether it fits or not, there is an answer.
+        // The pieces may or may not fit; either way the function must return.
         let _ = rebuild(&base, &[piece]);
     }
 }
