--- a/crates/damaskstile-budgets/src/effect.rs
+++ b/crates/damaskstile-budgets/src/effect.rs
@@ -1,36 +1,37 @@
-//! `effect` lists what a holder asks of the instance around it.
+//! Actions that a holder requests from its instance.
 
 use damaskstile_core::peer::Adoption;
 use damaskstile_core::prelude::*;
 
-/// `DrawPlan` is a draw with the witnesses of its grant.
+/// A draw on a grant, with the witnesses of the grant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrawPlan {
-    /// Grant and tokens.
+    /// The grant and the tokens drawn.
     pub draw: Draw,
-    /// Peers of which one must keep the record first; none for an open grant.
+    /// Peers of which one must keep the record first; empty for an open grant.
     pub witnesses: BTreeMap<InstanceId, Incarnation>,
-    /// Transfers that the tokens came by and that the ledger may not have yet.
+    /// Transfers through which the tokens arrived and which the ledger may not contain yet, oldest
+    /// first.
     pub origins: Vec<Adoption>,
 }
 
-/// `HolderEffect` is one output of a holder.
+/// Action that a holder requests from its instance.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HolderEffect {
     /// Read the ledger.
     Read,
     /// Update the ledger.
     Write {
-        /// Version that must stand.
+        /// Version of the ledger that the update is conditional on.
         expected_version: Version,
         /// New value.
         value: String,
     },
-    /// Store a page of bills that must not exist yet.
+    /// Store a page of bills, on condition that it does not exist yet.
     WritePage {
         /// Number of the page.
         page: u64,
-        /// Its value.
+        /// Serialised entries of the page.
         value: String,
     },
     /// Send a message to a peer.
@@ -40,48 +41,48 @@
         /// The message.
         message: PeerMessage,
     },
-    /// A run that waited has its reservation.
+    /// Report that a waiting run has its reservation.
     Ready {
         /// The run.
         run: RunId,
-        /// What it draws on.
+        /// Draws that make up the reservation.
         draws: Vec<DrawPlan>,
     },
-    /// A run that waited gets no reservation.
+    /// Report that a waiting run gets no reservation.
     Refused {
         /// The run.
         run: RunId,
-        /// Why.
+        /// Reason of the refusal.
         code: RefusalCode,
     },
-    /// Tokens are to go to a peer once their record is kept.
+    /// Have a transfer to a peer recorded by the grant's witnesses, then send it.
     Give {
         /// The transfer.
         transfer: RunId,
-        /// What is given.
+        /// Tokens transferred, with the witnesses of their grant.
         plan: DrawPlan,
     },
-    /// A grant came that peers are to witness.
+    /// Announce a new grant to its witnesses.
     Watch {
         /// The grant.
         grant: GrantId,
-        /// Its witnesses.
+        /// Witnesses of the grant.
         witnesses: BTreeSet<InstanceId>,
     },
-    /// Entries are stored; their records can go.
+    /// Report that entries or transfers are in the ledger, so their records can be dropped.
     Flushed {
-        /// The runs.
+        /// The runs and transfers.
         runs: Vec<RunId>,
     },
-    /// A seal of the writer is stored for these grants.
+    /// Report that the ledger contains this instance's seal of these grants.
     Sealed {
-        /// The silent holder.
+        /// Unresponsive holder.
         holder: InstanceId,
-        /// Its incarnation.
+        /// Incarnation of the holder.
         incarnation: Incarnation,
-        /// Grants that are sealed by this instance.
+        /// Grants that this instance has sealed.
         grants: BTreeSet<GrantId>,
     },
-    /// Write to the log.
+    /// Write a log event.
     Log(LogEvent),
 }
--- a/crates/damaskstile-budgets/src/entry.rs
+++ b/crates/damaskstile-budgets/src/entry.rs
@@ -1,9 +1,9 @@
-//! `entry` holds one line of a ledger: what one run of a request used.
+//! Ledger entries: the tokens used by a run of a request.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// `Entry` says what one run used. The first entry of a request is its bill.
+/// Tokens used by one run. The first billed entry of a request is its bill.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
@@ -11,15 +11,15 @@
     pub run: RunId,
     /// Key of the request.
     pub key: RequestKey,
-    /// Client account that pays.
+    /// Client account that is charged.
     pub account: AccountId,
-    /// Target that ran it; empty where that is not known.
+    /// Target that executed the run; empty if unknown.
     pub target: TargetId,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens that the target generated.
+    /// Number of tokens that the target generated.
     pub output_tokens: u64,
-    /// Whether the caller is billed. A second run of the same request is not.
+    /// Whether the caller is billed. A second run of the same request is not billed.
     pub is_billed: bool,
     /// Instance that wrote the entry.
     pub biller: InstanceId,
@@ -28,7 +28,7 @@
 }
 
 impl Entry {
-    /// Returns the tokens that the run takes out of the budget.
+    /// Returns the tokens that the run costs the budget.
     #[must_use]
     pub fn cost_tokens(&self) -> u64 {
         self.prompt_tokens.saturating_add(self.output_tokens)
--- a/crates/damaskstile-budgets/src/errors.rs
+++ b/crates/damaskstile-budgets/src/errors.rs
@@ -1,24 +1,24 @@
-//! `errors` holds the errors of ledgers.
+//! Errors of ledgers.
 
 use std::fmt;
 
-/// `Error` tells why a stored ledger cannot be used.
+/// Reason why a ledger cannot be used.
 #[derive(Debug)]
 pub enum Error {
-    /// The value is no ledger.
+    /// The value cannot be parsed as a ledger, or the ledger cannot be serialised.
     Malformed(serde_json::Error),
-    /// More is granted and spent than was topped up.
+    /// More tokens are committed than were topped up.
     Overdrawn {
         /// Tokens topped up.
         topped_up_tokens: u64,
-        /// Tokens settled and outstanding.
+        /// Tokens settled or outstanding.
         committed_tokens: u64,
     },
-    /// A grant has more spent than granted.
+    /// A grant has more tokens spent than granted; holds the id of the grant.
     GrantOverspent(String),
 }
 
-/// `Result` has this crate's error.
+/// Result type with the [`Error`] of this crate.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl fmt::Display for Error {
@@ -30,9 +30,11 @@
                 committed_tokens,
             } => write!(
                 f,
-                "ledger commits {committed_tokens} tokens of {topped_up_tokens} topped up"
+                "ledger commits {committed_tokens} tokens but only {topped_up_tokens} are topped up"
             ),
-            Self::GrantOverspent(grant) => write!(f, "grant {grant} is overspent"),
+            Self::GrantOverspent(grant) => {
+                write!(f, "grant {grant} has more tokens spent than granted")
+            }
         }
     }
 }
--- a/crates/damaskstile-budgets/src/grant.rs
+++ b/crates/damaskstile-budgets/src/grant.rs
@@ -1,43 +1,46 @@
-//! `grant` holds the part of a budget that one holder may spend.
+//! Grants: parts of a budget that one holder may spend.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// `Grant` is the part of a budget that one incarnation of an instance may spend.
+/// Part of a budget that one incarnation of an instance may spend.
 ///
-/// A grant with witnesses may be drawn on only after one of them keeps the record of the run.
-/// So when all of them have stopped accepting records, nothing unknown can be spent any more,
-/// and the rest goes back to the budget without waiting for any clock.
+/// A run may spend from a grant with witnesses only after one of them keeps the run's record. Once
+/// all witnesses have stopped accepting records, no unrecorded spending is possible, and the
+/// remaining tokens return to the budget without waiting for a time-out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
     /// Instance that may spend.
     pub holder: InstanceId,
-    /// Its incarnation.
+    /// Incarnation of the holder.
     pub incarnation: Incarnation,
-    /// Tokens that stand out of the budget for this grant, spent ones included.
+    /// Tokens committed to this grant, including spent tokens.
     pub granted_tokens: u64,
     /// Tokens that entries account for.
     pub spent_tokens: u64,
-    /// Peers that keep the records, with their incarnations. Empty: spent without records.
+    /// Peers that keep the records of runs, with their incarnations. Empty for an open grant, which
+    /// is spent without records.
     #[serde(default)]
     pub witnesses: BTreeMap<InstanceId, Incarnation>,
-    /// Witnesses that accept no more records.
+    /// Witnesses that no longer accept records for this grant.
     #[serde(default)]
     pub sealed_by: BTreeSet<InstanceId>,
-    /// Runs on record at a witness that has sealed, with their worst case, until an entry comes.
+    /// Runs and transfers on record at a witness that has sealed the grant, with their maximum
+    /// tokens, until they are entered.
     #[serde(default)]
     pub kept: BTreeMap<RunId, u64>,
-    /// Runs that a witness accounted for while the holder might still do so.
+    /// Runs entered before all witnesses had sealed the grant, by another instance or after a first
+    /// seal. The holder may still report them, so they are remembered and not accepted again.
     #[serde(default)]
     pub resolved: BTreeSet<RunId>,
-    /// Transfers out of this grant that their takers have entered.
+    /// Transfers out of this grant that are entered in the ledger.
     #[serde(default)]
     pub moved: BTreeSet<GrantId>,
 }
 
 impl Grant {
-    /// Makes a grant that nothing was spent of.
+    /// Creates an open grant from which nothing has been spent.
     #[must_use]
     pub fn new(identity: &Identity, granted_tokens: u64) -> Self {
         Self {
@@ -59,7 +62,7 @@
         self.granted_tokens.saturating_sub(self.spent_tokens)
     }
 
-    /// Tells whether every witness has stopped accepting records.
+    /// Returns whether every witness has stopped accepting records; false for an open grant.
     #[must_use]
     pub fn is_sealed(&self) -> bool {
         !self.witnesses.is_empty()
@@ -69,19 +72,20 @@
                 .all(|witness| self.sealed_by.contains(witness))
     }
 
-    /// Tells whether this incarnation is the holder.
+    /// Returns whether this incarnation is the holder.
     #[must_use]
     pub fn is_held_by(&self, identity: &Identity) -> bool {
         self.holder == identity.instance && self.incarnation == identity.incarnation
     }
 
-    /// Tells whether this incarnation is one of the witnesses.
+    /// Returns whether this incarnation is one of the witnesses.
     #[must_use]
     pub fn is_witnessed_by(&self, identity: &Identity) -> bool {
         self.witnesses.get(&identity.instance) == Some(&identity.incarnation)
     }
 
-    /// Gives back all that no run on record can still use. For sealed grants only.
+    /// Returns to the budget all tokens that no run or transfer on record can still use. To be
+    /// called for sealed grants only.
     pub fn shrink_to_kept(&mut self) {
         let kept_tokens: u64 = self.kept.values().sum();
         self.granted_tokens = self
--- a/crates/damaskstile-budgets/src/grant_request.rs
+++ b/crates/damaskstile-budgets/src/grant_request.rs
@@ -1,14 +1,14 @@
-//! `grant_request` holds what a policy decides on.
+//! Input of grant policies.
 
-/// `GrantRequest` is what a policy decides on.
+/// Request for a grant, from which a policy decides the grant's size.
 #[derive(Debug)]
 pub struct GrantRequest<'a> {
-    /// Instance that asks.
+    /// Requesting instance.
     pub instance: &'a str,
-    /// Instances of the fleet.
+    /// Number of instances in the fleet.
     pub instances: u64,
-    /// Tokens needed now.
+    /// Tokens needed immediately.
     pub need_tokens: u64,
-    /// Tokens wanted by the rate of spending.
+    /// Tokens wanted according to the spending rate.
     pub want_tokens: u64,
 }
--- a/crates/damaskstile-budgets/src/holder.rs
+++ b/crates/damaskstile-budgets/src/holder.rs
@@ -1,4 +1,4 @@
-//! `holder` holds an instance's part of a budget: reservations, refills, transfers and bills.
+//! An instance's part of a budget: reservations, refills, transfers and bills.
 
 mod batch;
 mod draw;
@@ -25,25 +25,25 @@
 use refill::{Rate, Waiter};
 use transfer::{AskRound, OpenGive};
 
-/// Time between the loss of a witness and the change of its grants for new ones.
+/// Delay from a change of witnesses until the affected grants are replaced.
 const RENEW_AFTER: Duration = Duration::from_millis(500);
 
 pub use peers::Peers;
 pub use reserve::Reserve;
 
-/// `Holder` holds one budget's tokens for one instance.
+/// Holds the tokens of one budget for one instance.
 ///
-/// It never reserves more than its grants cover. Grants come from the ledger ahead of need, or
-/// from peers; a request waits for them only when they run out.
+/// A holder never reserves more than its grants cover. Grants are requested from the ledger ahead
+/// of need, or tokens from peers; a run waits for them only when the held tokens run out.
 #[derive(Debug)]
 pub struct Holder {
     budget: BudgetId,
     identity: Identity,
     options: BudgetOptions,
-    /// Ledger as last read or written, with its version.
+    /// Ledger as last read or written, with its version; `None` if unknown or dropped from memory.
     view: Option<(Version, Ledger)>,
     view_at: Duration,
-    /// Newest version ever seen; an older one comes from a lagging read.
+    /// Newest version seen. An older version comes from a stale read and is ignored.
     seen_version: Version,
     holdings: BTreeMap<GrantId, Holding>,
     reservations: BTreeMap<RunId, Vec<Draw>>,
@@ -56,37 +56,37 @@
     page_in_flight: Option<u64>,
     waiters: Vec<Waiter>,
     round: Option<AskRound>,
-    /// Transfers that were taken, so that none is taken twice.
+    /// Accepted transfers with the number of their request, kept so that none is accepted twice.
     taken: BTreeSet<(u64, GrantId)>,
-    /// Questions below this number are forgotten; gifts for them are not taken any more.
+    /// Lowest request number still remembered; transfers for older requests are not accepted.
     oldest_ask: u64,
-    /// Numbers of this holder are above it.
+    /// All batch, grant and request numbers of this holder are higher.
     first_number: u64,
     open_gives: BTreeMap<GrantId, OpenGive>,
-    /// Gifts whose takers have not entered them in the ledger, with the grant they came from.
+    /// Transfers that were sent and are not in the ledger yet, with the grant they came from.
     unadopted: BTreeMap<GrantId, GrantId>,
     next_number: u64,
-    /// Highest number of a run that was reserved here.
+    /// Highest run number for which a reservation was requested.
     highest_run: u64,
     fruitless_ask_at: Option<Duration>,
     rate: Rate,
     peers: BTreeSet<InstanceId>,
-    /// Whether there are peers that cannot be reached.
+    /// Whether some peers are unresponsive.
     has_silent_peers: bool,
     witnesses: BTreeMap<InstanceId, Incarnation>,
     last_used_at: Duration,
-    /// When grants whose witnesses are gone are to be changed for new ones.
+    /// Time at which grants with outdated witnesses are to be replaced.
     wants_renewal_at: Option<Duration>,
     is_stopping: bool,
 }
 
 impl Holder {
-    /// Makes a holder that holds nothing yet.
+    /// Creates a holder without tokens.
     #[must_use]
     pub fn new(budget: &str, identity: &Identity, options: BudgetOptions, now: Duration) -> Self {
-        // A holder that is not used is dropped, and made anew when it is. Numbers of batches and
-        // grants must not come twice in one incarnation: the ledger would take the new batch for
-        // the old one and drop its bills. Counted from the time, they never do.
+        // An unused holder is dropped and created again on demand. Batch and grant numbers must
+        // not repeat within an incarnation: the ledger would mistake a new batch for the old one
+        // and drop its bills. Starting from the current time avoids repeats.
         let first_number = u64::try_from(now.as_micros()).unwrap_or(u64::MAX / 2);
         Self {
             budget: budget.to_owned(),
@@ -124,12 +124,12 @@
         }
     }
 
-    /// Sets the options in force from now on.
+    /// Replaces the options.
     pub fn set_options(&mut self, options: BudgetOptions) {
         self.options = options;
     }
 
-    /// Tells the holder of a change of who lives.
+    /// Updates the peers. Grants with outdated witnesses are replaced after a delay.
     pub fn set_peers(&mut self, now: Duration, peers: &Peers) {
         self.peers.clone_from(&peers.askable);
         self.has_silent_peers = peers.has_silent;
@@ -139,12 +139,12 @@
         }
     }
 
-    /// Tells whether a grant has other witnesses than a new one would have.
+    /// Returns whether a grant has other witnesses than a new grant would have.
     fn is_stale(&self, holding: &Holding) -> bool {
         !holding.witnesses.is_empty() && holding.witnesses != self.witnesses
     }
 
-    /// Reserves the worst case of a run.
+    /// Reserves the maximum tokens of a run, from open grants only if `is_open_only` is set.
     pub fn reserve(
         &mut self,
         now: Duration,
@@ -166,7 +166,7 @@
         self.wait(now, run, tokens, is_open_only, fx)
     }
 
-    /// Gives up a reservation of which nothing was spent, or a wait for one.
+    /// Cancels an unspent reservation, or the wait for one.
     pub fn release(&mut self, run: &RunId) {
         self.waiters.retain(|waiter| &waiter.run != run);
         for draw in self.reservations.remove(run).unwrap_or_default() {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Turns a reservation into an entry of the ledger. What was not used is free again.
+    /// Converts a reservation into a ledger entry. Unused tokens become free again.
     pub fn settle(&mut self, now: Duration, entry: Entry) {
         self.last_used_at = now;
         let draws = self.reservations.remove(&entry.run).unwrap_or_default();
@@ -188,9 +188,10 @@
         self.drop_empty_holdings();
     }
 
-    /// Accounts for a run of a silent holder, on the evidence of its record.
+    /// Accounts for a run of an unresponsive holder, based on the run's record.
     ///
-    /// The holder may have got the tokens from a peer and not have entered that any more.
+    /// `origins` are the transfers through which the holder got the tokens. They are entered as
+    /// well, since the holder may not have entered them.
     pub fn settle_for_other(
         &mut self,
         now: Duration,
@@ -204,7 +205,8 @@
         self.pending.push(LedgerOp::Spend { entry, draws });
     }
 
-    /// Stores that this instance accepts no more records of a silent holder's grants.
+    /// Enters in the ledger that this instance no longer accepts records for the grants of an
+    /// unresponsive holder.
     pub fn seal(
         &mut self,
         now: Duration,
@@ -221,14 +223,14 @@
         });
     }
 
-    /// Gives back all that is free and stops asking for more.
+    /// Returns all free tokens to the budget and stops requesting more.
     pub fn stop(&mut self, now: Duration) {
         self.is_stopping = true;
         self.next_flush_at = now;
         self.return_free();
     }
 
-    /// Tells whether nothing is held, reserved or waiting for the store.
+    /// Returns whether nothing is free, reserved, waiting for tokens or waiting for the store.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.reservations.is_empty()
@@ -238,7 +240,7 @@
             && self.free_tokens() == 0
     }
 
-    /// Returns the peers that witness what is held.
+    /// Returns the witnesses of all held grants.
     #[must_use]
     pub fn witnesses_in_use(&self) -> BTreeSet<InstanceId> {
         self.holdings
@@ -247,7 +249,7 @@
             .collect()
     }
 
-    /// Returns the peers that witness some grants.
+    /// Returns the witnesses of the grants drawn on.
     #[must_use]
     pub fn witnesses_of(&self, draws: &[Draw]) -> BTreeSet<InstanceId> {
         draws
@@ -257,7 +259,8 @@
             .collect()
     }
 
-    /// Tells whether the holder can be dropped from memory: it is unused and holds nothing.
+    /// Returns whether the holder can be dropped from memory: it holds nothing and has been unused
+    /// for longer than `idle_for`.
     #[must_use]
     pub fn is_idle(&self, now: Duration, idle_for: Duration) -> bool {
         self.holdings.is_empty()
@@ -267,13 +270,13 @@
             && now.saturating_sub(self.last_used_at) > idle_for
     }
 
-    /// Returns the ledger as last seen, where it is in memory.
+    /// Returns the ledger as last seen, if it is in memory.
     #[must_use]
     pub fn ledger(&self) -> Option<&Ledger> {
         self.view.as_ref().map(|(_, ledger)| ledger)
     }
 
-    /// Returns the tokens that could be reserved at once.
+    /// Returns the tokens that can be reserved immediately.
     #[must_use]
     pub fn free_tokens(&self) -> u64 {
         self.holdings
@@ -292,7 +295,7 @@
             .sum()
     }
 
-    /// Returns the number of entries that wait for the store.
+    /// Returns the number of entries not yet written to the store.
     #[must_use]
     pub fn pending_entries(&self) -> usize {
         let count = |ops: &[LedgerOp]| {
@@ -304,7 +307,7 @@
         count(&self.pending) + in_flight
     }
 
-    /// Returns the time that the holder wants to be woken at, if any.
+    /// Returns the time at which [`Self::tick`] is to be called next, if any.
     #[must_use]
     pub fn next_wake(&self) -> Option<Duration> {
         let flush_at = (!self.pending.is_empty() && self.batch.is_none())
@@ -327,7 +330,7 @@
             .min()
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due.
     pub fn tick(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         self.resend_gives(now, fx);
         self.end_round(now, fx);
@@ -349,7 +352,7 @@
         self.drop_empty_holdings();
     }
 
-    /// Forgets holdings of which nothing is free and nothing is reserved.
+    /// Removes holdings of which nothing is free, reserved or in a transfer.
     fn drop_empty_holdings(&mut self) {
         let used: BTreeSet<&GrantId> = self
             .reservations
--- a/crates/damaskstile-budgets/src/holder/batch.rs
+++ b/crates/damaskstile-budgets/src/holder/batch.rs
@@ -1,30 +1,32 @@
-//! `batch` holds changes on their way to the store.
+//! Batches of ledger changes being written to the store.
 
 use damaskstile_core::prelude::*;
 
 use crate::ledger::Ledger;
 use crate::op::LedgerOp;
 
-/// `Batch` is a set of changes on its way to the store. Its content never changes.
+/// Batch of ledger changes being written to the store. Its number and changes are fixed, so that a
+/// repeated write is recognised.
 #[derive(Debug)]
 pub struct Batch {
     pub number: u64,
     pub ops: Vec<LedgerOp>,
-    /// Whether a call to the store is out.
+    /// Whether a call to the store is in flight.
     pub is_called: bool,
-    /// Ledger with the batch applied, while its write is out.
+    /// Ledger with the batch applied, while its write is in flight.
     pub candidate: Option<Ledger>,
+    /// Runs whose entries the candidate refused.
     pub refused: Vec<RunId>,
-    /// Grants that the seals in the batch close, by holder.
+    /// Grants that the seals in the batch apply to, by holder.
     pub sealing: BTreeMap<(InstanceId, Incarnation), BTreeSet<GrantId>>,
 }
 
 impl Batch {
-    /// Notes which grants its seals close in a ledger.
+    /// Records which grants of the ledger the seals in the batch apply to.
     ///
-    /// It must be asked before the batch is applied: a grant of which nothing is left is closed
-    /// by the seal and is not in the ledger afterwards. Its witness would not remember it, and
-    /// would accept the records of a holder that wakes up late and spends it again.
+    /// Must be called before the batch is applied: the seal closes a grant of which nothing is
+    /// left, and the grant is not in the ledger afterwards. The witness would not remember it and
+    /// would accept records from a holder that resumes late and spends from the grant again.
     pub fn note_sealing(&mut self, ledger: &Ledger, identity: &Identity) {
         for op in &self.ops {
             let LedgerOp::Seal {
--- a/crates/damaskstile-budgets/src/holder/draw.rs
+++ b/crates/damaskstile-budgets/src/holder/draw.rs
@@ -1,4 +1,4 @@
-//! `draw` takes tokens out of holdings and puts them back.
+//! Drawing tokens from holdings and putting them back.
 
 use damaskstile_core::prelude::*;
 
@@ -24,7 +24,10 @@
         }
     }
 
-    /// Takes tokens out of as few holdings as possible, those with records first.
+    /// Reserves tokens from the holdings, from those with witnesses first. Within each group, the
+    /// smallest holding that covers the whole run is preferred, then the smaller holdings.
+    ///
+    /// Returns `None`, and reserves nothing, if there are not enough free tokens.
     pub(super) fn draw(
         &mut self,
         run: &RunId,
@@ -71,7 +74,8 @@
     }
 
     pub(super) fn put_back(&mut self, grant: &GrantId, tokens: u64) {
-        // A grant that was closed meanwhile is no longer in the list; its rest is not ours.
+        // A grant that was closed in the meantime is no longer held; the rest of its tokens belongs
+        // to the budget.
         if let Some(holding) = self.holdings.get_mut(grant) {
             holding.free_tokens = holding.free_tokens.saturating_add(tokens);
         }
--- a/crates/damaskstile-budgets/src/holder/flush.rs
+++ b/crates/damaskstile-budgets/src/holder/flush.rs
@@ -1,4 +1,4 @@
-//! `flush` carries batches of changes into the stored ledger, each exactly once.
+//! Writes batches of changes to the stored ledger, each exactly once.
 
 use damaskstile_core::prelude::*;
 
@@ -11,13 +11,13 @@
 use crate::op::LedgerOp;
 use crate::records::run_number;
 
-/// First wait after a lost answer; it doubles up to the longest.
+/// Wait after the first lost answer of the store; doubles up to [`BACKOFF_LONGEST`].
 const BACKOFF_FIRST: Duration = Duration::from_millis(200);
-/// Longest wait after lost answers.
+/// Longest wait after lost answers of the store.
 const BACKOFF_LONGEST: Duration = Duration::from_secs(3);
-/// Changes of one batch.
+/// Maximum number of changes in a batch.
 const OPS_MAX: usize = 512;
-/// Time without use after which the ledger is not kept in memory.
+/// Time without use after which the ledger is dropped from memory.
 const VIEW_KEPT: Duration = Duration::from_secs(30);
 
 impl Holder {
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Sends what is pending to the store, if nothing is on its way.
+    /// Starts to write pending changes to the store, unless a batch is in flight.
     pub(super) fn flush(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         if self.batch.is_some() || self.pending.is_empty() {
             return;
         }
         self.return_crumbs();
-        // Many bills wait after an outage. All in one write would make the value larger than the
-        // store takes, on this try and on every one after it.
+        // Many entries are pending after a store outage. Written in one batch, the ledger would
+        // exceed the size limit of the store, on this attempt and on every later one.
         let rest = self
             .pending
             .split_off(self.pending.len().min(self.batch_ops_max()));
@@ -69,21 +69,22 @@
         }
     }
 
-    /// Returns how many changes the next batch may have, by the room that the ledger has left.
+    /// Returns the maximum number of changes in the next batch, depending on the ledger's length.
     fn batch_ops_max(&self) -> usize {
         let entries = self
             .view
             .as_ref()
             .map_or(0, |(_, ledger)| ledger.entries.len());
         if entries >= RECENT_ENTRIES + PAGE_ENTRIES {
-            // As many as one page takes out again.
+            // No more than the removal of one page makes room for.
             PAGE_ENTRIES
         } else {
             OPS_MAX
         }
     }
 
-    /// Returns the number below which no run is open after the batch that is being made.
+    /// Returns the run number below which no run is open after the next batch. `rest` holds the
+    /// changes that stay pending.
     fn settled_below(&self, rest: &[LedgerOp]) -> u64 {
         let left = rest.iter().filter_map(|op| match op {
             LedgerOp::Spend { entry, .. } => Some(&entry.run),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Takes the store's answer to a read or write of the ledger.
+    /// Handles the store's answer to a read or write of the ledger.
     pub fn on_store(&mut self, now: Duration, answer: StoreAnswer, fx: &mut Vec<HolderEffect>) {
         if let Some(batch) = &mut self.batch {
             batch.is_called = false;
@@ -172,7 +173,7 @@
             return;
         };
         if object.version < self.seen_version {
-            // A lagging read must not bring back what was already spent.
+            // A stale read must not bring back tokens that were already spent.
             self.answer_lost(now, fx);
             return;
         }
@@ -189,10 +190,11 @@
         self.view_at = now;
         self.check_holdings(fx);
 
-        // The batch may be in the ledger already: its write took effect and the answer was lost.
+        // The batch may be in the ledger already, if its write took effect and the answer was lost.
         let writer = self.identity.writer();
         let (Some(batch), Some((_, ledger))) = (&self.batch, &self.view) else {
-            // The store was asked whether it is there.
+            // Without a batch, the read was a check that the store is available, made before grants
+            // are replaced.
             if self.wants_renewal_at.is_some() {
                 self.wants_renewal_at = Some(now);
                 self.renew_due(now, fx);
@@ -215,7 +217,7 @@
         self.retry_at = self.batch.as_ref().map(|_| now + BACKOFF_LONGEST);
     }
 
-    /// Drops a batch that only asks for grants; there is nothing to keep of it.
+    /// Drops a batch that only requests grants, since it holds nothing that must be written.
     fn drop_unanswered_asks(&mut self) {
         let is_only_asking = self.batch.as_ref().is_some_and(|batch| {
             batch
@@ -241,8 +243,8 @@
     }
 
     fn answer_lost(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
-        // The write may have taken effect, or may still do so. Only a read can tell, and a
-        // repeated write of the same batch number cannot count twice.
+        // The write may have taken effect, or may still do so. Only a read of the ledger can show
+        // it, and a repeated write with the same batch number is not applied twice.
         let backoff = BACKOFF_FIRST
             .saturating_mul(1 << self.lost_answers.min(4))
             .min(BACKOFF_LONGEST);
@@ -254,7 +256,7 @@
         Self::log(fx, EventCode::LedgerAnswerLost, &[("budget", &self.budget)]);
     }
 
-    /// Draws the conclusions of a batch that is in the ledger.
+    /// Updates the state of the holder after its batch was applied to the ledger.
     fn committed(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let Some(batch) = self.batch.take() else {
             return;
@@ -313,8 +315,8 @@
     }
 
     fn serve_after_grant(&mut self) {
-        // Whoever asked before this batch was applied has its answer now. A grant that came but
-        // is too small leaves the rest to peers.
+        // The store has now answered all runs that waited for this batch. If the grant was too
+        // small for them, the remaining tokens are requested from peers.
         self.mark_store(Stage::Tried, Stage::Empty);
     }
 
--- a/crates/damaskstile-budgets/src/holder/pages.rs
+++ b/crates/damaskstile-budgets/src/holder/pages.rs
@@ -1,4 +1,4 @@
-//! `pages` moves old entries out of the ledger, each page written once.
+//! Moves old entries from the ledger into separate pages of bills.
 
 use damaskstile_core::prelude::*;
 
@@ -9,7 +9,8 @@
 use crate::op::LedgerOp;
 
 impl Holder {
-    /// Stores the oldest entries as a page of their own when the ledger has grown long.
+    /// Stores the oldest entries as a page once the ledger holds [`RECENT_ENTRIES`] entries plus a
+    /// full page.
     pub(super) fn store_page(&mut self, fx: &mut Vec<HolderEffect>) {
         let Some((_, ledger)) = &self.view else {
             return;
@@ -18,8 +19,8 @@
         if !is_long || self.page_in_flight.is_some() {
             return;
         }
-        // Entries are only ever added at the end and taken from the front as whole pages. So
-        // whoever writes page n writes the same content, and a second write changes nothing.
+        // Entries are only appended at the end and removed from the front in whole pages. So every
+        // instance that writes page n writes the same content, and a second write has no effect.
         let page: &[Entry] = &ledger.entries[..PAGE_ENTRIES];
         if let Ok(value) = serde_json::to_string(page) {
             let number = ledger.next_page;
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Takes the store's answer to the write of a page.
+    /// Handles the store's answer to the write of a page.
     pub fn on_page_stored(&mut self, now: Duration, answer: &StoreAnswer) {
         let Some(page) = self.page_in_flight.take() else {
             return;
@@ -42,7 +43,7 @@
         );
         if is_stored {
             self.next_flush_at = self.next_flush_at.min(now);
-            // Before the bills that wait, so that there is room for them.
+            // First in the queue, so that the pending entries find room in the ledger.
             self.pending.insert(0, LedgerOp::DropPage { page });
         }
     }
--- a/crates/damaskstile-budgets/src/holder/peers.rs
+++ b/crates/damaskstile-budgets/src/holder/peers.rs
@@ -1,14 +1,14 @@
-//! `peers` holds what a holder knows of the other instances.
+//! State of the other instances as seen by a holder.
 
 use damaskstile_core::prelude::*;
 
-/// `Peers` is what a holder knows of the other instances.
+/// State of the other instances as seen by a holder.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Peers {
-    /// Peers that can be asked for tokens.
+    /// Peers from which tokens can be requested.
     pub askable: BTreeSet<InstanceId>,
-    /// Peers that new grants name as witnesses.
+    /// Peers to name as witnesses of new grants, with their incarnations.
     pub witnesses: BTreeMap<InstanceId, Incarnation>,
-    /// Whether there are peers that cannot be reached.
+    /// Whether some peers are unresponsive.
     pub has_silent: bool,
 }
--- a/crates/damaskstile-budgets/src/holder/refill.rs
+++ b/crates/damaskstile-budgets/src/holder/refill.rs
@@ -1,4 +1,4 @@
-//! `refill` asks for grants ahead of need and leads waiting runs to tokens or a refusal.
+//! Requests grants ahead of need and serves or refuses runs that wait for tokens.
 
 use damaskstile_core::prelude::*;
 
@@ -8,14 +8,15 @@
 
 /// Time constant of the measured spending rate.
 const RATE_WINDOW: Duration = Duration::from_secs(5);
-/// Age up to which a view that shows an empty budget saves a call to the store.
+/// Age up to which the last seen ledger, if it has no free tokens, is relied on instead of a call
+/// to the store.
 const EMPTY_VIEW_AGE: Duration = Duration::from_millis(250);
-/// Time after a fruitless question to all peers in which it is not asked again.
+/// Time after an unsuccessful round of requests to peers in which no new round starts.
 const FRUITLESS_ASK_AGE: Duration = Duration::from_millis(20);
-/// Requests of a budget that may wait for tokens.
+/// Maximum number of runs waiting for tokens of a budget.
 const WAITERS_MAX: usize = 256;
 
-/// `Rate` measures tokens reserved a second, with an exponential window.
+/// Exponentially decaying sum of the reserved tokens, which gives the spending rate.
 #[derive(Debug)]
 pub(super) struct Rate {
     tokens: f64,
@@ -42,7 +43,7 @@
         self.at = now;
     }
 
-    /// Returns the tokens that a span of time is expected to need.
+    /// Returns the tokens expected to be needed in a span of time.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -54,32 +55,33 @@
     }
 }
 
-/// `Stage` is how far one way to tokens was followed for a waiting run.
+/// State of one source of tokens, the store or the peers, for a waiting run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Not tried yet.
+    /// Not requested yet.
     Untried,
-    /// Tried; the answer is out.
+    /// Requested; the answer is pending.
     Tried,
-    /// There is nothing to get this way.
+    /// The source has no tokens, or not enough.
     Empty,
-    /// This way cannot be reached.
+    /// The source cannot be reached.
     Unreachable,
 }
 
-/// `Waiter` is a run that waits for tokens.
+/// A run that waits for tokens.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub run: RunId,
     pub tokens: u64,
     pub is_open_only: bool,
+    /// Time at which the wait for the store ends.
     pub next_at: Duration,
     pub store: Stage,
     pub peers: Stage,
 }
 
 impl Waiter {
-    /// Returns when the store has had its time; nothing is due where it was not asked.
+    /// Returns the end of the wait for the store, if an answer of the store is pending.
     pub(super) fn next_wake(&self) -> Option<Duration> {
         (self.store == Stage::Tried).then_some(self.next_at)
     }
@@ -109,7 +111,7 @@
         Reserve::Waiting
     }
 
-    /// Asks for a grant while tokens are still left, so that no request waits for it.
+    /// Requests a grant while tokens are still left, so that runs need not wait for it.
     pub(super) fn refill_ahead(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         if self.is_stopping || self.is_refill_out() || self.retry_at.is_some() {
             return;
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Takes a share before the first request, for policies that do so.
+    /// Requests a share of the budget before the first run, if the policy spreads tokens.
     pub fn take_share(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let is_wanted = self.options.policy.policy().is_spreading() && self.free_tokens() == 0;
         if is_wanted && !self.is_stopping && !self.is_refill_out() {
@@ -143,8 +145,9 @@
     fn ask_store(&mut self, now: Duration, need_tokens: u64, fx: &mut Vec<HolderEffect>) {
         let horizon_tokens = self.rate.tokens_in(now, self.options.horizon);
         let want_tokens = horizon_tokens.max(need_tokens);
-        // Part of what is held stays open, so that an instance that is cut off from all its
-        // witnesses can still spend. The rest is on record, so that it survives the holder.
+        // Part of the held tokens is in open grants, so that an instance that is cut off from all
+        // its witnesses can still spend. The rest has witnesses, so that it can be recovered if the
+        // holder fails.
         let open_tokens: u64 = self
             .holdings
             .values()
@@ -192,7 +195,8 @@
         self.next_number
     }
 
-    /// Leads waiting runs on: to a reservation, to the store, to peers, or to a refusal.
+    /// Advances waiting runs: reserves tokens for them, requests tokens from the store and then
+    /// from peers, or refuses them.
     pub(super) fn pump(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         self.serve_waiters(fx);
         if self.waiters.is_empty() {
@@ -217,7 +221,8 @@
         }
     }
 
-    /// Stops waiting for a store that is slow or down; peers are asked instead.
+    /// Stops waiting for a store that is slow or unavailable; tokens are requested from peers
+    /// instead.
     fn give_up_store(&mut self, now: Duration) {
         let is_down = self.retry_at.is_some();
         for waiter in &mut self.waiters {
@@ -237,7 +242,8 @@
         {
             return;
         }
-        // A budget that was empty a moment ago is empty: no write for every request.
+        // A budget that was empty a moment ago is assumed to be empty, to avoid a write for every
+        // run.
         let is_known_empty = self
             .view
             .as_ref()
@@ -263,7 +269,7 @@
         }
     }
 
-    /// Returns what all waiting runs lack together.
+    /// Returns the tokens that the waiting runs lack in total.
     pub(super) fn missing_tokens(&self) -> u64 {
         let wanted: u64 = self.waiters.iter().map(|waiter| waiter.tokens).sum();
         let is_open_only = self.waiters.iter().any(|waiter| waiter.is_open_only);
--- a/crates/damaskstile-budgets/src/holder/renewal.rs
+++ b/crates/damaskstile-budgets/src/holder/renewal.rs
@@ -1,4 +1,5 @@
-//! `renewal` keeps holdings in order: few, with witnesses that live, and still ours.
+//! Maintenance of holdings: limits their number, replaces grants with outdated witnesses and drops
+//! grants that were closed.
 
 use damaskstile_core::prelude::*;
 
@@ -6,16 +7,16 @@
 use crate::effect::HolderEffect;
 use crate::op::LedgerOp;
 
-/// Grants that are held side by side; past it the rests of old ones are given back.
+/// Number of holdings above which the smallest remainders are returned to the budget.
 const HOLDINGS_MAX: usize = 6;
-/// Age up to which a view shows that the store is there.
+/// Age up to which the last seen ledger shows that the store is available.
 const VIEW_FRESH: Duration = Duration::from_millis(20);
 
 impl Holder {
-    /// Gives back what is left of old grants, when there are many.
+    /// Returns the smallest remainders to the budget if there are too many holdings.
     ///
-    /// Each refill is a grant of its own. Their rests would otherwise pile up, and a gift to a
-    /// peer comes out of one grant only.
+    /// Each refill is a separate grant. Their remainders would otherwise accumulate, and a transfer
+    /// to a peer draws on one grant only.
     pub(super) fn return_crumbs(&mut self) {
         if self.holdings.len() <= HOLDINGS_MAX || !self.waiters.is_empty() {
             return;
@@ -37,12 +38,12 @@
         self.drop_empty_holdings();
     }
 
-    /// Changes grants whose witnesses are gone for new ones.
+    /// Replaces grants that have other witnesses than a new grant would have.
     ///
-    /// A grant can only be closed by all of its witnesses. Without this, those of an instance
-    /// that has been up for long would strand with it, since its witnesses were restarted since.
-    /// And a grant from the first moments, when few peers were known, has few witnesses; none of
-    /// them may be on its side of a cut.
+    /// An unresponsive holder's grant is released only when all of its witnesses seal it. The
+    /// witnesses of a long-running instance may have restarted since, and its grants would stay
+    /// blocked if it failed. A grant made soon after start, when few peers were known, has few
+    /// witnesses, and in a network partition none of them may be reachable.
     pub(super) fn renew_due(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         if self.wants_renewal_at.is_none_or(|at| now < at) {
             return;
@@ -52,8 +53,8 @@
             self.wants_renewal_at = (!self.is_stopping).then(|| now + super::RENEW_AFTER);
             return;
         }
-        // What is being changed cannot be spent. So the store is asked first whether it is there;
-        // in an outage the grants are left as they are.
+        // Tokens cannot be spent while their grant is being replaced. So a read checks first that
+        // the store is available; during an outage the grants are left as they are.
         if self.view.is_none() || now.saturating_sub(self.view_at) > VIEW_FRESH {
             self.wants_renewal_at = Some(now + super::RENEW_AFTER);
             fx.push(HolderEffect::Read);
@@ -85,7 +86,8 @@
         self.drop_empty_holdings();
     }
 
-    /// Spends grants without records whose witnesses have all fallen silent.
+    /// Queues the removal of the witnesses of grants whose witnesses are all unresponsive, so that
+    /// the grants can be spent without records.
     pub fn witnesses_lost(&mut self, now: Duration, grants: &BTreeSet<GrantId>) {
         for grant in grants {
             let is_queued = self
@@ -101,12 +103,13 @@
         }
     }
 
-    /// Drops holdings that were closed by witnesses while this instance was silent.
+    /// Drops holdings with witnesses whose grants were sealed or are no longer in the ledger, and
+    /// reports the transfers that have been entered.
     pub(super) fn check_holdings(&mut self, fx: &mut Vec<HolderEffect>) {
         let Some((_, ledger)) = &self.view else {
             return;
         };
-        // Records of gifts are needed until the taker's entry moves the tokens in the ledger.
+        // The record of a transfer is needed until the ledger contains the transfer.
         let adopted: Vec<GrantId> = self
             .unadopted
             .iter()
--- a/crates/damaskstile-budgets/src/holder/reserve.rs
+++ b/crates/damaskstile-budgets/src/holder/reserve.rs
@@ -1,16 +1,20 @@
-//! `reserve` holds the answer to a request for tokens.
+//! Results of reservations.
 
 use damaskstile_core::prelude::*;
 
 use crate::effect::DrawPlan;
 
-/// `Reserve` is the answer to a request for tokens.
+/// Result of a reservation request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reserve {
     /// The tokens are reserved.
     Ready(Vec<DrawPlan>),
-    /// The answer comes as an effect.
+    /// The run waits for tokens; the result follows as [`HolderEffect::Ready`] or
+    /// [`HolderEffect::Refused`].
+    ///
+    /// [`HolderEffect::Ready`]: crate::HolderEffect::Ready
+    /// [`HolderEffect::Refused`]: crate::HolderEffect::Refused
     Waiting,
-    /// There is no hope of tokens now.
+    /// No tokens can be reserved, and the run does not wait for any.
     Refused(RefusalCode),
 }
--- a/crates/damaskstile-budgets/src/holder/transfer.rs
+++ b/crates/damaskstile-budgets/src/holder/transfer.rs
@@ -1,4 +1,4 @@
-//! `transfer` hands tokens from holders that have them to holders that lack them.
+//! Transfers of tokens between holders of the same budget.
 
 use damaskstile_core::peer::{Adoption, AskTokens, GiveTokens, TakeTokens};
 use damaskstile_core::prelude::*;
@@ -9,43 +9,50 @@
 use crate::effect::{DrawPlan, HolderEffect};
 use crate::op::LedgerOp;
 
-/// Peers that one question goes to at most.
+/// Maximum number of peers that a request is sent to.
 const ASKED_MAX: usize = 16;
-/// Questions that a round asks at most before it ends.
+/// Maximum number of requests in a round, without the last try.
 const WAVES_MAX: u32 = 4;
-/// Grants that one question is answered out of at most.
+/// Maximum number of grants from which a request is answered.
 const PIECES_MAX: usize = 8;
-/// Pause before peers that had nothing to give are asked once more.
+/// Delay before the last request of a round if all peers have answered.
 const LAST_TRY_AFTER: Duration = Duration::from_millis(8);
-/// Gifts that are remembered, so that none is taken twice.
+/// Number of accepted transfers kept to detect duplicates.
 const TAKEN_MAX: usize = 4096;
-/// Time between two sendings of a gift that was not confirmed.
+/// Interval at which an unconfirmed transfer is resent.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
-/// Time after which an unconfirmed gift is not sent again.
+/// Time after which an unconfirmed transfer is no longer resent.
 const RESEND_UNTIL: Duration = Duration::from_mins(1);
 
-/// `AskRound` is a series of questions to peers on behalf of waiting runs.
+/// Series of requests to peers for tokens, on behalf of waiting runs.
 #[derive(Debug)]
 pub(super) struct AskRound {
+    /// Time at which the wait for answers, or the delay before the last request, ends.
     pub until: Duration,
+    /// Peers that have not answered the current request.
     open: BTreeSet<InstanceId>,
+    /// Id of the current request.
     ask: u64,
+    /// Number of requests made in the round.
     wave: u32,
+    /// Tokens received for the current request.
     got_tokens: u64,
+    /// Whether a request of the round ended with answers missing.
     is_unanswered: bool,
-    /// Whether the pause before the last question is on.
+    /// Whether the round is in the delay before the last request.
     is_pausing: bool,
-    /// Whether the last question was put, or will be after the pause.
+    /// Whether the last request was made, or will be after the delay.
     is_last_try: bool,
 }
 
-/// `OpenGive` is a gift that its taker has not confirmed.
+/// Outgoing transfer that its recipient has not confirmed.
 #[derive(Debug)]
 pub(super) struct OpenGive {
     to: InstanceId,
     ask: u64,
     pub plan: DrawPlan,
     origins: Vec<Adoption>,
+    /// Time of the next resend; `None` until the transfer was first sent.
     pub resend_at: Option<Duration>,
     until: Duration,
 }
@@ -65,11 +72,11 @@
         self.ask_peers(now, fx);
     }
 
-    /// Sends one question to the peers that hold most.
+    /// Sends a request to the peers that hold the most tokens.
     fn ask_peers(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let tokens = self.missing_tokens();
         let asked = self.likely_givers();
-        // The incarnation makes the numbers differ from those of an earlier process.
+        // The incarnation makes the ids differ from those of an earlier process.
         let number = self.next_number();
         let ask = self.identity.incarnation.wrapping_add(number);
         for peer in &asked {
@@ -102,7 +109,7 @@
         peers.into_iter().take(ASKED_MAX).cloned().collect()
     }
 
-    /// Answers a peer's question: with free tokens, given up here first, or with none.
+    /// Handles a peer's request for tokens: transfers free tokens, or answers that there are none.
     pub fn on_ask(
         &mut self,
         now: Duration,
@@ -110,8 +117,9 @@
         ask: &AskTokens,
         fx: &mut Vec<HolderEffect>,
     ) {
-        // Two instances that both lack tokens would each keep the half that the other needs. So
-        // of the two, the one whose name comes first gets them.
+        // Of two instances that both lack tokens, each would keep what the other needs, and neither
+        // could serve its run. So the instance whose name sorts first keeps its tokens, and the
+        // other one transfers its own.
         let is_needed_here = !self.waiters.is_empty() && self.identity.instance < *from;
         let pieces = if is_needed_here || self.is_stopping {
             Vec::new()
@@ -126,7 +134,7 @@
         }
     }
 
-    /// Chooses what to give, the largest rests first.
+    /// Selects the tokens to transfer, from the holdings with the most free tokens first.
     fn pieces(&self, wanted_tokens: u64) -> Vec<Draw> {
         let mut rests: Vec<(u64, &GrantId)> = self
             .holdings
@@ -169,8 +177,8 @@
         draw: Draw,
         fx: &mut Vec<HolderEffect>,
     ) {
-        // The tokens are given up before any word of them is sent. If the word is lost they are
-        // stranded until it is sent again; they can never be spent twice.
+        // The tokens are deducted here before the transfer is sent. If the message is lost, they
+        // are unavailable until it is resent; they can never be spent twice.
         let mut origins = Vec::new();
         if let Some(holding) = self.holdings.get_mut(&draw.grant) {
             holding.free_tokens -= draw.tokens;
@@ -195,7 +203,7 @@
         fx.push(HolderEffect::Give { transfer, plan });
     }
 
-    /// Sends a gift whose record is kept.
+    /// Sends a transfer. To be called once its record is kept, or at once if its grant is open.
     pub fn send_give(&mut self, now: Duration, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
         if let Some(give) = self.open_gives.get_mut(transfer) {
             give.resend_at = Some(now + RESEND_INTERVAL);
@@ -205,7 +213,7 @@
         }
     }
 
-    /// Takes a gift back that was never sent.
+    /// Cancels a transfer that was never sent and answers the peer that there are no tokens.
     pub fn cancel_give(&mut self, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
         let Some(give) = self.open_gives.remove(transfer) else {
             return;
@@ -225,13 +233,13 @@
         }
     }
 
-    /// Notes that a gift has arrived.
+    /// Handles a recipient's confirmation that a transfer has arrived.
     pub fn on_take(&mut self, transfer: &GrantId) {
         self.open_gives.remove(transfer);
         self.drop_empty_holdings();
     }
 
-    /// Takes a peer's gift.
+    /// Handles a peer's answer to a request for tokens and accepts the transferred tokens, if any.
     pub fn on_give(
         &mut self,
         now: Duration,
@@ -242,7 +250,7 @@
         let is_asked = self.is_own_ask(give.ask);
         if give.tokens > 0 && is_asked {
             self.confirm(from, give, fx);
-            // A gift may come twice. Its transfer is taken once.
+            // A resent transfer may arrive twice; it is accepted once.
             if self
                 .taken
                 .insert((self.ask_number(give.ask), give.transfer.clone()))
@@ -262,8 +270,10 @@
         self.flush_due(now, fx);
     }
 
-    /// Tells whether a question is of this incarnation. A gift to an earlier one is not taken:
-    /// its tokens may have been spent by that one.
+    /// Returns whether a request was made by this holder and is still remembered.
+    ///
+    /// A transfer to an earlier incarnation is not accepted, because that incarnation may have
+    /// spent its tokens.
     fn is_own_ask(&self, ask: u64) -> bool {
         let number = self.ask_number(ask);
         number > self.first_number && number <= self.next_number && number >= self.oldest_ask
@@ -273,8 +283,10 @@
         ask.wrapping_sub(self.identity.incarnation)
     }
 
-    /// Bounds what is remembered. A gift for a question that is forgotten is refused, since it
-    /// might have been taken before; its tokens stay with the giver's grant.
+    /// Limits the number of remembered transfers.
+    ///
+    /// A transfer for a forgotten request is ignored, since it may have been accepted before; its
+    /// tokens stay in the sender's grant.
     fn forget_old_asks(&mut self) {
         while self.taken.len() > TAKEN_MAX {
             if let Some((number, _)) = self.taken.pop_first() {
@@ -294,8 +306,8 @@
     }
 
     fn adopt(&mut self, from: &InstanceId, give: &GiveTokens, fx: &mut Vec<HolderEffect>) {
-        // The giver may have got the tokens from another, and may not have entered that yet. The
-        // ledger needs the transfers in their order, so all of them are entered here.
+        // The sender may have received the tokens from another peer and may not have entered that
+        // transfer yet. The ledger needs the transfers in order, so all of them are entered here.
         let mut origins = give.origins.clone();
         origins.push(Adoption {
             transfer: give.transfer.clone(),
@@ -329,7 +341,8 @@
         );
     }
 
-    /// Ends a round when it has given enough, has nothing more to give, or is out of time.
+    /// Ends the round, or starts its next request, once the current request has brought enough
+    /// tokens, is fully answered or has timed out.
     pub(super) fn end_round(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let missing_tokens = self.missing_tokens();
         let Some(round) = &mut self.round else {
@@ -349,13 +362,14 @@
         }
         round.is_unanswered |= !is_answered;
 
-        // Holders hand over one grant's tokens at a time; ask on while that still helps.
+        // Peers answer a request from a limited number of grants; repeat it while it brings tokens.
         let is_worth_more = missing_tokens > 0 && round.got_tokens > 0 && round.wave < WAVES_MAX;
         if is_worth_more {
             self.ask_peers(now, fx);
             return;
         }
-        // A peer that lacked tokens itself may have given up by now what it had gathered.
+        // A peer that lacked tokens itself may have released in the meantime the tokens that it had
+        // collected, so the request is made once more.
         if missing_tokens > 0 && !round.is_last_try {
             round.is_last_try = true;
             if is_late {
--- a/crates/damaskstile-budgets/src/ledger.rs
+++ b/crates/damaskstile-budgets/src/ledger.rs
@@ -1,4 +1,4 @@
-//! `ledger` holds the stored state of one budget and the rules for changing it.
+//! Stored state of a budget and the rules for changing it.
 
 mod accounting;
 
@@ -15,53 +15,55 @@
 use crate::op::LedgerOp;
 use crate::policy::GrantPolicy;
 
-/// Entries of one stored page of bills.
+/// Number of entries in a stored page of bills.
 pub const PAGE_ENTRIES: usize = 128;
-/// Entries that stay in the ledger at least; a repeat of one of them is not billed again.
+/// Minimum number of entries kept in the ledger. A request whose bill is among them is not billed
+/// again.
 pub const RECENT_ENTRIES: usize = 256;
-/// Ids of top-ups that are remembered, so that a repeated top-up counts once.
+/// Number of top-up ids kept to detect repeated top-ups.
 const TOP_UPS_KEPT: usize = 256;
-/// Time after which a writer that holds nothing is forgotten.
+/// Time after its last batch at which a writer without grants is removed.
 const WRITER_KEPT: Duration = Duration::from_hours(24);
 
-/// `Ledger` is the stored state of one budget.
+/// Stored state of one budget.
 ///
-/// At every version: settled + outstanding <= topped up. Every change is a conditional update of
-/// the one object, so the rule holds whoever writes.
+/// Every version satisfies the invariant settled + outstanding <= topped up. The ledger is a
+/// single object that is changed only by conditional updates, so concurrent writers cannot break
+/// the invariant.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Ledger {
     /// Tokens topped up so far.
     pub topped_up_tokens: u64,
-    /// Tokens that entries account for, of all grants.
+    /// Tokens that entries account for, over all grants.
     pub settled_tokens: u64,
-    /// Part of the settled tokens that callers are billed for.
+    /// Settled tokens that callers are billed for.
     pub billed_tokens: u64,
     /// Number of bills.
     pub bills: u64,
-    /// Tokens settled by grants that are closed.
+    /// Tokens settled on closed grants.
     pub closed_tokens: u64,
-    /// Grants that are not closed.
+    /// Grants that are not closed yet.
     pub grants: BTreeMap<GrantId, Grant>,
-    /// Last batch of each writer.
+    /// Last batch of each ledger writer.
     pub writers: BTreeMap<String, WriterState>,
-    /// Tokens ever granted to each instance; the fixed slices need it.
+    /// Total tokens granted to each instance, tracked for the fixed slices policy only.
     pub taken_tokens: BTreeMap<InstanceId, u64>,
-    /// Latest entries, oldest first.
+    /// Most recent entries, oldest first.
     pub entries: Vec<Entry>,
     /// Number of the next page of bills.
     pub next_page: u64,
-    /// Ids of the latest top-ups, oldest first.
+    /// Ids of the most recent top-ups, oldest first.
     pub top_ups: Vec<String>,
 }
 
-/// `WriterState` remembers the last batch of a writer, so that none is applied twice.
+/// Last batch of a ledger writer, kept so that no batch is applied twice.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WriterState {
-    /// Number of its last batch.
+    /// Number of the last batch.
     pub last_batch: u64,
-    /// All its runs with a lower number are accounted for.
+    /// All runs of the writer with a lower number are accounted for.
     #[serde(default)]
     pub settled_runs_below: u64,
     /// Time of the batch, in milliseconds since the Unix epoch.
@@ -69,7 +71,7 @@
 }
 
 impl Ledger {
-    /// Reads a stored ledger.
+    /// Parses a stored ledger.
     ///
     /// ```
     /// use damaskstile_budgets::ledger::Ledger;
@@ -79,30 +81,32 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the value is no ledger or breaks the rule of ledgers.
+    /// Returns an error if the value is not a ledger or violates the ledger invariants.
     pub fn try_from_json(value: &str) -> Result<Self> {
-        // An array would be read as a ledger's fields in their order.
+        // Parsed as a map first: serde would accept an array as the fields in their order.
         let fields: serde_json::Map<String, serde_json::Value> = serde_json::from_str(value)?;
         let ledger: Self = serde_json::from_value(serde_json::Value::Object(fields))?;
         ledger.check()?;
         Ok(ledger)
     }
 
-    /// Writes the ledger as it is stored.
+    /// Serialises the ledger to its stored form.
     ///
     /// # Errors
     ///
-    /// Returns an error where the ledger breaks the rule; it must not be stored then.
+    /// Returns an error if the ledger violates its invariants and so must not be stored, or if it
+    /// cannot be serialised.
     pub fn to_json(&self) -> Result<String> {
         self.check()?;
         Ok(serde_json::to_string(self)?)
     }
 
-    /// Checks the rule of ledgers.
+    /// Checks the invariants of the ledger.
     ///
     /// # Errors
     ///
-    /// Returns an error where more is committed than was topped up.
+    /// Returns an error if a grant has more tokens spent than granted, or if more tokens are
+    /// committed than were topped up.
     pub fn check(&self) -> Result<()> {
         for (id, grant) in &self.grants {
             if grant.spent_tokens > grant.granted_tokens {
@@ -119,7 +123,7 @@
         Ok(())
     }
 
-    /// Returns the tokens that are settled or stand out with holders.
+    /// Returns the tokens that are settled or outstanding in grants.
     #[must_use]
     pub fn committed_tokens(&self) -> u64 {
         self.grants.values().fold(self.closed_tokens, |sum, grant| {
@@ -127,20 +131,20 @@
         })
     }
 
-    /// Returns the tokens that no holder has.
+    /// Returns the tokens that are not granted to any holder.
     #[must_use]
     pub fn free_tokens(&self) -> u64 {
         self.topped_up_tokens
             .saturating_sub(self.committed_tokens())
     }
 
-    /// Returns the tokens that stand out with holders.
+    /// Returns the unspent tokens of all grants.
     #[must_use]
     pub fn outstanding_tokens(&self) -> u64 {
         self.grants.values().map(Grant::outstanding_tokens).sum()
     }
 
-    /// Returns the tokens that stand out with one instance.
+    /// Returns the unspent tokens of the grants of one instance.
     #[must_use]
     pub fn held_tokens(&self, instance: &str) -> u64 {
         self.grants
@@ -150,7 +154,7 @@
             .sum()
     }
 
-    /// Adds prepaid tokens. A top-up id that was seen before changes nothing.
+    /// Adds prepaid tokens. A top-up with an id that is still remembered changes nothing.
     ///
     /// Returns whether the top-up was new.
     pub fn top_up(&mut self, id: &str, tokens: u64) -> bool {
@@ -165,7 +169,7 @@
         true
     }
 
-    /// Tells whether a writer's batch is in the ledger.
+    /// Returns whether a batch of a writer has been applied.
     #[must_use]
     pub fn has_batch(&self, writer: &str, batch: u64) -> bool {
         self.writers
@@ -173,9 +177,10 @@
             .is_some_and(|state| state.last_batch >= batch)
     }
 
-    /// Applies a writer's batch, unless it is applied already.
+    /// Applies a batch of a writer unless it has been applied already.
     ///
-    /// Returns the runs whose accounting was refused because they are accounted for already.
+    /// Returns the runs whose entries were refused, because they are accounted for already or
+    /// because their grants no longer admit them.
     pub fn apply(
         &mut self,
         identity: &Identity,
@@ -286,8 +291,8 @@
         let Some(source) = self.grants.get_mut(&adoption.from_grant) else {
             return;
         };
-        // Tokens leave the source once: the taker's grant bears the transfer's name. A sealed
-        // source still holds them if its witness had the transfer on record.
+        // Tokens leave the source grant once; the recipient's grant has the transfer's id. A
+        // sealed source still holds the tokens only if a witness had the transfer on record.
         let transfer = &adoption.transfer;
         let is_known = source.moved.contains(transfer);
         let is_kept = source.kept.remove(transfer).is_some();
@@ -332,7 +337,8 @@
                 continue;
             }
             for (run, tokens) in kept.get(id).into_iter().flatten() {
-                // A record may outlive its entry when the word to forget it was lost.
+                // A witness may still keep the record of a run that has its entry, if the message
+                // to forget the record was lost.
                 let is_accounted = entered.contains(run)
                     || grant.resolved.contains(run)
                     || grant.moved.contains(run);
@@ -379,8 +385,8 @@
 
     fn forget_writers(&mut self, now_unix_ms: u64) {
         let kept_ms = unix_ms(WRITER_KEPT);
-        // A writer that still holds a grant may come back after days with a batch whose answer
-        // it never got. Without its number the batch would be applied again.
+        // A writer that still holds a grant may return days later with a batch for which it never
+        // received the store's answer. Without its batch number, the batch would be applied again.
         let holders: BTreeSet<String> = self
             .grants
             .values()
--- a/crates/damaskstile-budgets/src/ledger/accounting.rs
+++ b/crates/damaskstile-budgets/src/ledger/accounting.rs
@@ -1,4 +1,4 @@
-//! `accounting` enters what runs used, each once whoever reports it.
+//! Accounting of runs: each run is entered once, whichever instance reports it.
 
 use damaskstile_core::identity::writer_name;
 use damaskstile_core::prelude::*;
@@ -9,7 +9,9 @@
 use crate::records::run_number;
 
 impl Ledger {
-    /// Accounts for a run, at most once whoever reports it. Returns whether it was accepted.
+    /// Enters what a run used, at most once whichever instance reports it.
+    ///
+    /// Returns whether the entry was accepted.
     pub(super) fn spend(&mut self, identity: &Identity, entry: &Entry, draws: &[Draw]) -> bool {
         if !self.is_spend_new(identity, entry, draws) {
             return false;
@@ -42,8 +44,8 @@
             left_tokens -= spent_tokens;
             match self.grants.get(&draw.grant) {
                 Some(grant) => grants.push(grant),
-                // What the run left of this grant may have been spent since, and the grant may
-                // be closed. Only where the run has spent of it, it must still be there.
+                // Tokens that the run reserved but did not use may have been spent by another run,
+                // and the grant closed. Only a grant that the run spent from must still exist.
                 None if spent_tokens == 0 => {}
                 None => return false,
             }
@@ -51,13 +53,13 @@
         let is_kept = |grant: &Grant| grant.kept.contains_key(&entry.run);
         let is_resolved = |grant: &Grant| grant.resolved.contains(&entry.run);
         if grants.iter().any(|grant| grant.is_held_by(identity)) {
-            // The holder's word counts unless a witness was faster.
+            // The holder's entry is accepted unless a witness has accounted for the run first.
             return grants
                 .iter()
                 .all(|grant| !is_resolved(grant) && (!grant.is_sealed() || is_kept(grant)));
         }
-        // Anybody else needs the evidence of a witness's record. For a run on open grants alone
-        // there is no seal; it counts unless the holder or another witness has entered it.
+        // Any other writer needs a witness's record as evidence. A run on open grants alone has no
+        // seal; it is accepted unless the holder or another instance has entered it.
         let is_open_new = |grant: &&Grant| self.is_open_run_new(grant, &entry.run);
         grants.iter().any(|grant| is_kept(grant))
             || (!grants.is_empty() && grants.iter().all(is_open_new))
@@ -76,7 +78,8 @@
 
     fn add_entry(&mut self, entry: &Entry, uncovered_tokens: u64) {
         let mut entry = entry.clone();
-        // What no grant covers cannot be billed. It is cut at the output, the larger part.
+        // Tokens that no grant covers cannot be billed. They are deducted from the output, which is
+        // the larger part.
         entry.output_tokens = entry.output_tokens.saturating_sub(uncovered_tokens);
         let is_repeat = self.entries.iter().any(|other| {
             other.is_billed && other.key == entry.key && other.account == entry.account
--- a/crates/damaskstile-budgets/src/lib.rs
+++ b/crates/damaskstile-budgets/src/lib.rs
@@ -1,9 +1,10 @@
-//! `damaskstile-budgets` keeps client accounts within their prepaid budgets.
+//! Enforcement of prepaid token budgets across the instances of a fleet.
 //!
-//! A budget's [`Ledger`] stands in the platform's store. An instance spends only out of grants
-//! that the ledger names it the holder of; its [`Holder`] asks for them ahead of need, hands
-//! tokens to peers and stores the bills. A [`RecordKeeper`] holds the records of other
-//! instances' runs, which are the evidence when one of them falls silent.
+//! The [`Ledger`] of a budget is kept in the platform's store. An instance spends only from
+//! grants that the ledger lists it as the holder of. Its [`Holder`] requests grants ahead of
+//! need, transfers tokens to peers and writes the bills to the ledger. A [`RecordKeeper`] keeps
+//! the records of other instances' runs; they show what a holder may have spent when it stops
+//! responding.
 
 pub mod effect;
 pub mod entry;
--- a/crates/damaskstile-budgets/src/op.rs
+++ b/crates/damaskstile-budgets/src/op.rs
@@ -1,4 +1,4 @@
-//! `op` lists the changes that instances make to a ledger, in batches.
+//! Changes to a ledger, which instances apply in batches.
 
 use damaskstile_core::peer::Adoption;
 use damaskstile_core::prelude::*;
@@ -6,60 +6,61 @@
 
 use crate::entry::Entry;
 
-/// `LedgerOp` is one change to a ledger.
+/// A change to a ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LedgerOp {
-    /// Asks for a grant. Its id is chosen before the write, so that a lost answer can be
-    /// resolved by looking for it.
+    /// Requests a grant. Its id is chosen before the write, so that after a lost answer a read of
+    /// the ledger shows whether the grant was made.
     Grant {
         /// Id of the new grant.
         grant: GrantId,
-        /// Tokens that are needed now.
+        /// Tokens needed immediately.
         need_tokens: u64,
-        /// Tokens that are wanted, by the rate of spending.
+        /// Tokens wanted according to the spending rate.
         want_tokens: u64,
-        /// Part of what the policy gives that this grant takes, in percent.
+        /// Share of the size decided by the policy that this grant takes, in percent.
         part_percent: u64,
-        /// Peers that will keep the records.
+        /// Peers that will keep the records, with their incarnations. Empty for an open grant.
         witnesses: BTreeMap<InstanceId, Incarnation>,
     },
-    /// Enters a transfer. Its taker does so, and whoever got the tokens on from the taker.
+    /// Enters a transfer. The recipient does so, and any later recipient of the same tokens.
     Adopt(Adoption),
-    /// Accounts for a run.
+    /// Enters what a run used.
     Spend {
-        /// What the run used.
+        /// Entry of the run.
         entry: Entry,
-        /// Grants that the run was reserved on.
+        /// Reservation of the run, by grant.
         draws: Vec<Draw>,
     },
-    /// Gives unspent tokens back to the budget.
+    /// Returns unspent tokens to the budget.
     Return {
         /// The grant.
         grant: GrantId,
-        /// Tokens given back.
+        /// Tokens returned.
         tokens: u64,
     },
-    /// Says that the writer accepts no more records for an incarnation's grants.
+    /// States that the writer no longer accepts records for the grants of an incarnation.
     Seal {
-        /// Holder that is silent.
+        /// Unresponsive holder.
         holder: InstanceId,
-        /// Its incarnation.
+        /// Incarnation of the holder.
         incarnation: Incarnation,
-        /// Runs on record, by grant, with their worst case.
+        /// Runs and transfers on record, by grant, with their maximum tokens.
         kept: BTreeMap<GrantId, BTreeMap<RunId, u64>>,
     },
-    /// Spends a grant without records from now on. Refused where a witness has sealed.
+    /// Removes the witnesses of a grant, which is spent without records from then on. Refused if a
+    /// witness has sealed the grant.
     Unwitness {
         /// The grant.
         grant: GrantId,
     },
-    /// Says that all runs of the writer with a lower number are in the ledger after this batch.
+    /// States that after this batch all runs of the writer with a lower number are accounted for.
     SettledBelow {
-        /// The number.
+        /// Lowest run number that may still be open.
         number: u64,
     },
-    /// Drops the oldest entries, which stand in a stored page.
+    /// Removes the oldest entries, which have been stored as a page.
     DropPage {
         /// Number of the page.
         page: u64,
--- a/crates/damaskstile-budgets/src/options.rs
+++ b/crates/damaskstile-budgets/src/options.rs
@@ -1,27 +1,28 @@
-//! `options` holds the settings of a budget's holder.
+//! Options of a budget's holder.
 
 use damaskstile_core::prelude::*;
 
 use crate::policy::PolicyKind;
 
-/// `BudgetOptions` sets how an instance holds a budget.
+/// Options for holding a budget at an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BudgetOptions {
-    /// How large grants are and whether tokens are handed over.
+    /// Policy that decides the size of grants and whether tokens are transferred between peers.
     pub policy: PolicyKind,
-    /// Instances of the fleet.
+    /// Number of instances in the fleet.
     pub instances: u64,
-    /// Time ahead that a grant should last.
+    /// Time that a grant should last at the current spending rate.
     pub horizon: Duration,
-    /// Part of what is held that is spent without records, for cuts, in percent.
+    /// Share of the held tokens kept in open grants, in percent. These can be spent without records
+    /// while a network partition cuts the instance off from its witnesses.
     pub open_percent: u64,
-    /// Time between flushes of bills.
+    /// Interval between writes of pending entries to the ledger.
     pub flush_interval: Duration,
-    /// Time a request waits for the store before peers are asked.
+    /// Time that a request waits for the store before tokens are requested from peers.
     pub store_patience: Duration,
-    /// Time a request waits for peers' tokens.
+    /// Time that a request to peers for tokens waits for their answers.
     pub ask_patience: Duration,
-    /// Entries that may wait for the store.
+    /// Maximum number of entries waiting for the store.
     pub pending_entries_max: usize,
 }
 
--- a/crates/damaskstile-budgets/src/policy.rs
+++ b/crates/damaskstile-budgets/src/policy.rs
@@ -1,4 +1,4 @@
-//! `policy` decides how large a grant is.
+//! Policies that decide the size of grants.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,37 +8,37 @@
 /// Smallest grant worth a write while the budget has more, in tokens.
 const LEAST_GRANT_TOKENS: u64 = 64;
 
-/// `PolicyKind` names a policy in the settings.
+/// Grant policy, as named in the settings.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// Every instance gets the same part of each top-up, once. The baseline of measurements.
+    /// Every instance gets an equal part of each top-up, once. Serves as the baseline in
+    /// measurements.
     FixedSlices,
     /// Grants follow the rate of spending and shrink as the budget runs low.
     Adaptive,
-    /// As `Adaptive`, and holders hand tokens to peers that lack them.
+    /// As `Adaptive`, and holders also transfer tokens to peers that lack them.
     Transfers,
-    /// Each instance holds a share of what is free even when idle; holders hand over tokens.
+    /// Each instance holds a share of the unspent tokens even when idle, and holders transfer
+    /// tokens to peers.
     #[default]
     SpreadTransfers,
 }
 
-/// `GrantPolicy` decides how large a grant is.
+/// Decides the size of grants.
 pub trait GrantPolicy {
-    /// Returns the tokens to grant out of the free ones.
-    ///
-    /// `holders` is the number of instances that may want a part of the budget.
+    /// Returns the number of tokens to grant from the free tokens of the ledger.
     fn size_tokens(&self, ledger: &Ledger, request: &GrantRequest<'_>) -> u64;
 
-    /// Tells whether holders hand tokens over.
+    /// Returns whether holders transfer tokens to peers.
     fn is_transferring(&self) -> bool;
 
-    /// Tells whether an instance takes a grant before its first request.
+    /// Returns whether an instance requests a grant before its first request arrives.
     fn is_spreading(&self) -> bool {
         false
     }
 
-    /// Tells whether the ledger must count what each instance was ever granted.
+    /// Returns whether the ledger must track the total granted to each instance.
     fn is_slicing(&self) -> bool {
         false
     }
@@ -52,7 +52,7 @@
 
 impl GrantPolicy for FixedSlices {
     fn size_tokens(&self, ledger: &Ledger, request: &GrantRequest<'_>) -> u64 {
-        // A slice is what this instance has not yet been granted of its part of all top-ups.
+        // The slice is the instance's equal part of all top-ups, less what it was already granted.
         let slice = ledger.topped_up_tokens / request.instances.max(1);
         let taken = ledger.taken_tokens.get(request.instance).copied();
         slice
@@ -84,8 +84,8 @@
 
 impl GrantPolicy for Spread {
     fn size_tokens(&self, ledger: &Ledger, request: &GrantRequest<'_>) -> u64 {
-        // Money that stands with an instance is there when the network is cut, and peers can
-        // ask for it as long as it is not. So an instance takes a share even when it is idle.
+        // An instance can spend the tokens that it holds during a network partition, and peers
+        // can request them while there is none. So even an idle instance takes a share.
         let free = ledger.free_tokens();
         let held = ledger.held_tokens(request.instance);
         let unspent = free.saturating_add(ledger.outstanding_tokens());
@@ -112,7 +112,7 @@
         Self::SpreadTransfers,
     ];
 
-    /// Returns the policy's name in the settings.
+    /// Returns the name of the policy in the settings.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Returns the policy of that name.
+    /// Returns the implementation of the policy.
     ///
     /// ```
     /// use damaskstile_budgets::policy::PolicyKind;
--- a/crates/damaskstile-budgets/src/records.rs
+++ b/crates/damaskstile-budgets/src/records.rs
@@ -1,30 +1,30 @@
-//! `records` keeps the records of other instances' runs: the evidence when one falls silent.
+//! Records of other instances' runs, kept as evidence in case an instance stops responding.
 
 use damaskstile_core::peer::RunRecord;
 use damaskstile_core::prelude::*;
 
-/// Records that are kept at most; past it none is accepted.
+/// Maximum number of records; further records are not accepted.
 const RECORDS_MAX: usize = 50_000;
 
-/// Names one incarnation of an instance.
+/// Identifies one incarnation of a holder.
 pub type Life = (InstanceId, Incarnation);
 
 #[derive(Debug, Default)]
 struct Kept {
     runs: BTreeMap<RunId, RunRecord>,
-    /// Budgets of which a seal is on its way to the store.
+    /// Budgets whose seal is being written to the store.
     sealing: BTreeSet<BudgetId>,
-    /// Grants that are sealed; they never accept a record again.
+    /// Sealed grants, for which no record is accepted again.
     sealed: BTreeSet<(BudgetId, GrantId)>,
-    /// Runs of sealed grants that must be looked into.
+    /// Runs on record at the time of the seal whose result has to be determined.
     following: BTreeMap<RunId, RunRecord>,
     budgets: BTreeSet<BudgetId>,
 }
 
-/// `RecordKeeper` keeps records for peers.
+/// Keeps run records on behalf of peers.
 ///
-/// A record is accepted before its run is dispatched. Once a grant is sealed no record on it is
-/// accepted, so its holder cannot spend it any more, however long it was paused.
+/// A record is accepted before its run is dispatched. Once a grant is sealed, no record for it is
+/// accepted, so its holder cannot spend from it even if it resumes after a long pause.
 #[derive(Debug, Default)]
 pub struct RecordKeeper {
     lives: BTreeMap<Life, Kept>,
@@ -32,13 +32,13 @@
 }
 
 impl RecordKeeper {
-    /// Makes a keeper without records.
+    /// Creates a keeper without records.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Keeps a record and tells whether it was accepted.
+    /// Stores a record and returns whether it was accepted.
     pub fn keep(&mut self, life: &Life, record: RunRecord) -> bool {
         let kept = self.lives.entry(life.clone()).or_default();
         let is_sealed = kept.sealing.contains(&record.budget)
@@ -52,7 +52,7 @@
         kept.budgets.insert(record.budget.clone());
         let is_empty = record.draws.iter().all(|draw| draw.tokens == 0);
         if is_empty {
-            // The word that a grant has come; there is no run yet.
+            // Announces a new grant; there is no run to record yet.
             return true;
         }
         if kept.runs.insert(record.run.clone(), record).is_none() {
@@ -61,7 +61,7 @@
         true
     }
 
-    /// Lets go of records whose entries are stored.
+    /// Removes the records of runs whose entries are in the ledger.
     pub fn forget(&mut self, life: &Life, runs: &[RunId]) {
         let Some(kept) = self.lives.get_mut(life) else {
             return;
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Lets go of all records of runs below a number, whose entries are stored.
+    /// Removes the records of all runs with a number below `number`, whose entries are in the
+    /// ledger.
     pub fn forget_below(&mut self, life: &Life, number: u64) {
         let Some(kept) = self.lives.get(life) else {
             return;
@@ -88,9 +89,10 @@
         self.forget(life, &settled);
     }
 
-    /// Stops accepting records of a silent life.
+    /// Stops accepting records of an unresponsive incarnation.
     ///
-    /// Returns the kept worst cases for each budget, by grant, as the seal needs them.
+    /// Returns the content of the seals: for each budget and grant, the runs on record with their
+    /// maximum tokens. Budgets whose seal is already being written are left out.
     pub fn seal(
         &mut self,
         life: &Life,
@@ -118,9 +120,9 @@
         by_budget
     }
 
-    /// Notes that the seal of a budget is stored.
+    /// Handles that the seal of a budget is in the ledger.
     ///
-    /// Returns the runs that must be looked into: they are on record and not accounted for.
+    /// Returns the runs on record whose result has to be determined. Transfers are not among them.
     pub fn sealed(
         &mut self,
         life: &Life,
@@ -150,25 +152,25 @@
         followed
     }
 
-    /// Returns the record of a sealed run that is being looked into.
+    /// Returns the record of a run whose result is being determined after a seal.
     #[must_use]
     pub fn followed(&self, run: &RunId) -> Option<&RunRecord> {
         self.lives.values().find_map(|kept| kept.following.get(run))
     }
 
-    /// Returns all sealed runs that are being looked into.
+    /// Returns the records of all runs whose result is being determined after a seal.
     pub fn all_followed(&self) -> impl Iterator<Item = &RunRecord> {
         self.lives.values().flat_map(|kept| kept.following.values())
     }
 
-    /// Ends looking into a run.
+    /// Removes a run whose result no longer has to be determined.
     pub fn unfollow(&mut self, run: &RunId) {
         for kept in self.lives.values_mut() {
             kept.following.remove(run);
         }
     }
 
-    /// Returns the lives of an instance that have records or unsealed budgets.
+    /// Returns the incarnations with budgets whose seal is not in the ledger yet.
     pub fn lives(&self) -> impl Iterator<Item = &Life> {
         self.lives
             .iter()
@@ -182,14 +184,14 @@
         self.records
     }
 
-    /// Tells whether no record is kept.
+    /// Returns whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records == 0
     }
 }
 
-/// Returns the number in a run's name.
+/// Returns the number in the name of a run, or `None` if the name is not that of a run.
 ///
 /// ```
 /// use damaskstile_budgets::records::run_number;
