--- a/crates/damaskstile-budgets/src/holder.rs
+++ b/crates/damaskstile-budgets/src/holder.rs
@@ -23,10 +23,10 @@
 use batch::Batch;
 use holding::Holding;
 use refill::{Rate, Waiter};
-use transfer::{AskRound, OpenGive};
+use transfer::{OutgoingTransfer, RequestRound};
 
 /// Delay from a change of witnesses until the affected grants are replaced.
-const RENEW_AFTER: Duration = Duration::from_millis(500);
+const RENEWAL_DELAY: Duration = Duration::from_millis(500);
 
 pub use peers::Peers;
 pub use reserve::Reserve;
@@ -55,20 +55,20 @@
     lost_answers: u32,
     page_in_flight: Option<u64>,
     waiters: Vec<Waiter>,
-    round: Option<AskRound>,
+    round: Option<RequestRound>,
     /// Accepted transfers with the number of their request, kept so that none is accepted twice.
-    taken: BTreeSet<(u64, GrantId)>,
+    accepted_transfers: BTreeSet<(u64, GrantId)>,
     /// Lowest request number still remembered; transfers for older requests are not accepted.
-    oldest_ask: u64,
+    oldest_request: u64,
     /// All batch, grant and request numbers of this holder are higher.
     first_number: u64,
-    open_gives: BTreeMap<GrantId, OpenGive>,
+    outgoing_transfers: BTreeMap<GrantId, OutgoingTransfer>,
     /// Transfers that were sent and are not in the ledger yet, with the grant they came from.
-    unadopted: BTreeMap<GrantId, GrantId>,
+    unentered_transfers: BTreeMap<GrantId, GrantId>,
     next_number: u64,
     /// Highest run number for which a reservation was requested.
     highest_run: u64,
-    fruitless_ask_at: Option<Duration>,
+    unsuccessful_round_at: Option<Duration>,
     rate: Rate,
     peers: BTreeSet<InstanceId>,
     /// Whether some peers are unresponsive.
@@ -76,7 +76,7 @@
     witnesses: BTreeMap<InstanceId, Incarnation>,
     last_used_at: Duration,
     /// Time at which grants with outdated witnesses are to be replaced.
-    wants_renewal_at: Option<Duration>,
+    renew_at: Option<Duration>,
     is_stopping: bool,
 }
 
@@ -106,20 +106,20 @@
             page_in_flight: None,
             waiters: Vec::new(),
             round: None,
-            taken: BTreeSet::new(),
-            oldest_ask: 0,
+            accepted_transfers: BTreeSet::new(),
+            oldest_request: 0,
             first_number,
-            open_gives: BTreeMap::new(),
-            unadopted: BTreeMap::new(),
+            outgoing_transfers: BTreeMap::new(),
+            unentered_transfers: BTreeMap::new(),
             next_number: first_number,
             highest_run: 0,
-            fruitless_ask_at: None,
+            unsuccessful_round_at: None,
             rate: Rate::new(now),
             peers: BTreeSet::new(),
             has_silent_peers: false,
             witnesses: BTreeMap::new(),
             last_used_at: now,
-            wants_renewal_at: None,
+            renew_at: None,
             is_stopping: false,
         }
     }
@@ -135,7 +135,7 @@
         self.has_silent_peers = peers.has_silent;
         self.witnesses.clone_from(&peers.witnesses);
         if self.holdings.values().any(|holding| self.is_stale(holding)) {
-            self.wants_renewal_at.get_or_insert(now + RENEW_AFTER);
+            self.renew_at.get_or_insert(now + RENEWAL_DELAY);
         }
     }
 
@@ -265,8 +265,8 @@
     pub fn is_idle(&self, now: Duration, idle_for: Duration) -> bool {
         self.holdings.is_empty()
             && self.is_settled()
-            && self.open_gives.is_empty()
-            && self.unadopted.is_empty()
+            && self.outgoing_transfers.is_empty()
+            && self.unentered_transfers.is_empty()
             && now.saturating_sub(self.last_used_at) > idle_for
     }
 
@@ -312,29 +312,34 @@
     pub fn next_wake(&self) -> Option<Duration> {
         let flush_at = (!self.pending.is_empty() && self.batch.is_none())
             .then(|| self.retry_at.unwrap_or(self.next_flush_at));
-        let batch_at = self
-            .batch
-            .as_ref()
-            .and_then(|batch| if batch.is_called { None } else { self.retry_at });
+        let batch_at = self.batch.as_ref().and_then(|batch| {
+            if batch.is_in_flight {
+                None
+            } else {
+                self.retry_at
+            }
+        });
         let waiter_at = self.waiters.iter().filter_map(Waiter::next_wake).min();
         let round_at = self.round.as_ref().map(|round| round.until);
-        let give_at = self
-            .open_gives
+        let resend_at = self
+            .outgoing_transfers
             .values()
-            .filter_map(|give| give.resend_at)
+            .filter_map(|outgoing| outgoing.resend_at)
             .min();
-        let renewal_at = self.wants_renewal_at;
-        [renewal_at, flush_at, batch_at, waiter_at, round_at, give_at]
-            .into_iter()
-            .flatten()
-            .min()
+        let renewal_at = self.renew_at;
+        [
+            renewal_at, flush_at, batch_at, waiter_at, round_at, resend_at,
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     /// Performs all actions that are due.
     pub fn tick(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
-        self.resend_gives(now, fx);
-        self.end_round(now, fx);
-        self.pump(now, fx);
+        self.resend_transfers(now, fx);
+        self.advance_round(now, fx);
+        self.advance_waiters(now, fx);
         self.renew_due(now, fx);
         self.flush_due(now, fx);
     }
@@ -359,7 +364,11 @@
             .values()
             .flatten()
             .map(|draw| &draw.grant)
-            .chain(self.open_gives.values().map(|give| &give.plan.draw.grant))
+            .chain(
+                self.outgoing_transfers
+                    .values()
+                    .map(|outgoing| &outgoing.plan.draw.grant),
+            )
             .collect();
         self.holdings
             .retain(|grant, holding| holding.free_tokens > 0 || used.contains(grant));
--- a/crates/damaskstile-budgets/src/holder/batch.rs
+++ b/crates/damaskstile-budgets/src/holder/batch.rs
@@ -12,7 +12,7 @@
     pub number: u64,
     pub ops: Vec<LedgerOp>,
     /// Whether a call to the store is in flight.
-    pub is_called: bool,
+    pub is_in_flight: bool,
     /// Ledger with the batch applied, while its write is in flight.
     pub candidate: Option<Ledger>,
     /// Runs whose entries the candidate refused.
--- a/crates/damaskstile-budgets/src/holder/flush.rs
+++ b/crates/damaskstile-budgets/src/holder/flush.rs
@@ -5,25 +5,25 @@
 use super::Holder;
 use super::batch::Batch;
 use super::holding::Holding;
-use super::refill::Stage;
+use super::refill::SourceState;
 use crate::effect::HolderEffect;
 use crate::ledger::{Ledger, PAGE_ENTRIES, RECENT_ENTRIES};
 use crate::op::LedgerOp;
 use crate::records::run_number;
 
-/// Wait after the first lost answer of the store; doubles up to [`BACKOFF_LONGEST`].
-const BACKOFF_FIRST: Duration = Duration::from_millis(200);
+/// Wait after the first lost answer of the store; doubles up to [`BACKOFF_MAX`].
+const BACKOFF_MIN: Duration = Duration::from_millis(200);
 /// Longest wait after lost answers of the store.
-const BACKOFF_LONGEST: Duration = Duration::from_secs(3);
+const BACKOFF_MAX: Duration = Duration::from_secs(3);
 /// Maximum number of changes in a batch.
-const OPS_MAX: usize = 512;
+const BATCH_OPS_MAX: usize = 512;
 /// Time without use after which the ledger is dropped from memory.
-const VIEW_KEPT: Duration = Duration::from_secs(30);
+const VIEW_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Holder {
     pub(super) fn flush_due(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         if let Some(batch) = &self.batch {
-            let is_due = !batch.is_called && self.retry_at.is_some_and(|at| at <= now);
+            let is_due = !batch.is_in_flight && self.retry_at.is_some_and(|at| at <= now);
             if is_due {
                 self.read(fx);
             }
@@ -33,7 +33,7 @@
         if !self.pending.is_empty() && now >= due_at {
             self.flush(now, fx);
         }
-        let is_idle = now.saturating_sub(self.last_used_at) > VIEW_KEPT;
+        let is_idle = now.saturating_sub(self.last_used_at) > VIEW_IDLE_TIMEOUT;
         if is_idle && self.batch.is_none() && self.page_in_flight.is_none() {
             self.view = None;
         }
@@ -44,7 +44,7 @@
         if self.batch.is_some() || self.pending.is_empty() {
             return;
         }
-        self.return_crumbs();
+        self.return_small_remainders();
         // Many entries are pending after a store outage. Written in one batch, the ledger would
         // exceed the size limit of the store, on this attempt and on every later one.
         let rest = self
@@ -57,7 +57,7 @@
         self.batch = Some(Batch {
             number: self.last_batch,
             ops: std::mem::replace(&mut self.pending, rest),
-            is_called: false,
+            is_in_flight: false,
             candidate: None,
             refused: Vec::new(),
             sealing: BTreeMap::new(),
@@ -79,7 +79,7 @@
             // No more than the removal of one page makes room for.
             PAGE_ENTRIES
         } else {
-            OPS_MAX
+            BATCH_OPS_MAX
         }
     }
 
@@ -100,7 +100,7 @@
 
     fn read(&mut self, fx: &mut Vec<HolderEffect>) {
         if let Some(batch) = &mut self.batch {
-            batch.is_called = true;
+            batch.is_in_flight = true;
             batch.candidate = None;
         }
         fx.push(HolderEffect::Read);
@@ -122,41 +122,41 @@
         );
         match candidate.to_json() {
             Ok(value) => {
-                batch.is_called = true;
+                batch.is_in_flight = true;
                 batch.candidate = Some(candidate);
                 fx.push(HolderEffect::Write {
                     expected_version: *version,
                     value,
                 });
             }
-            Err(error) => self.ledger_invalid(now, &error.to_string(), fx),
+            Err(error) => self.on_ledger_invalid(now, &error.to_string(), fx),
         }
     }
 
     /// Handles the store's answer to a read or write of the ledger.
     pub fn on_store(&mut self, now: Duration, answer: StoreAnswer, fx: &mut Vec<HolderEffect>) {
         if let Some(batch) = &mut self.batch {
-            batch.is_called = false;
+            batch.is_in_flight = false;
         }
         match answer {
-            StoreAnswer::Written { version } => self.written(now, version, fx),
+            StoreAnswer::Written { version } => self.on_written(now, version, fx),
             StoreAnswer::Found(object) | StoreAnswer::Conflict(object) => {
-                self.store_answered();
-                self.found(now, object, fx);
+                self.reset_backoff();
+                self.on_found(now, object, fx);
             }
-            StoreAnswer::Lost => self.answer_lost(now, fx),
+            StoreAnswer::Lost => self.on_answer_lost(now, fx),
         }
-        self.pump(now, fx);
+        self.advance_waiters(now, fx);
         self.flush_due(now, fx);
     }
 
-    fn store_answered(&mut self) {
+    fn reset_backoff(&mut self) {
         self.retry_at = None;
         self.lost_answers = 0;
     }
 
-    fn written(&mut self, now: Duration, version: Version, fx: &mut Vec<HolderEffect>) {
-        self.store_answered();
+    fn on_written(&mut self, now: Duration, version: Version, fx: &mut Vec<HolderEffect>) {
+        self.reset_backoff();
         let candidate = self.batch.as_mut().and_then(|batch| batch.candidate.take());
         let Some(ledger) = candidate else {
             return;
@@ -164,17 +164,17 @@
         self.seen_version = version;
         self.view = Some((version, ledger));
         self.view_at = now;
-        self.committed(now, fx);
+        self.on_committed(now, fx);
     }
 
-    fn found(&mut self, now: Duration, object: Option<Object>, fx: &mut Vec<HolderEffect>) {
+    fn on_found(&mut self, now: Duration, object: Option<Object>, fx: &mut Vec<HolderEffect>) {
         let Some(object) = object else {
-            self.budget_missing(now);
+            self.on_budget_missing(now);
             return;
         };
         if object.version < self.seen_version {
             // A stale read must not bring back tokens that were already spent.
-            self.answer_lost(now, fx);
+            self.on_answer_lost(now, fx);
             return;
         }
         match Ledger::try_from_json(&object.value) {
@@ -183,7 +183,7 @@
                 self.view = Some((object.version, ledger));
             }
             Err(error) => {
-                self.ledger_invalid(now, &error.to_string(), fx);
+                self.on_ledger_invalid(now, &error.to_string(), fx);
                 return;
             }
         }
@@ -195,30 +195,30 @@
         let (Some(batch), Some((_, ledger))) = (&self.batch, &self.view) else {
             // Without a batch, the read was a check that the store is available, made before grants
             // are replaced.
-            if self.wants_renewal_at.is_some() {
-                self.wants_renewal_at = Some(now);
+            if self.renew_at.is_some() {
+                self.renew_at = Some(now);
                 self.renew_due(now, fx);
             }
             return;
         };
         let is_in = ledger.has_batch(&writer, batch.number);
         if is_in {
-            self.committed(now, fx);
+            self.on_committed(now, fx);
         } else {
             self.write(now, fx);
         }
     }
 
-    fn budget_missing(&mut self, now: Duration) {
+    fn on_budget_missing(&mut self, now: Duration) {
         self.view = None;
-        self.mark_store(Stage::Tried, Stage::Empty);
-        self.mark_store(Stage::Untried, Stage::Empty);
-        self.drop_unanswered_asks();
-        self.retry_at = self.batch.as_ref().map(|_| now + BACKOFF_LONGEST);
+        self.mark_store(SourceState::Requested, SourceState::Empty);
+        self.mark_store(SourceState::NotRequested, SourceState::Empty);
+        self.drop_grant_only_batch();
+        self.retry_at = self.batch.as_ref().map(|_| now + BACKOFF_MAX);
     }
 
     /// Drops a batch that only requests grants, since it holds nothing that must be written.
-    fn drop_unanswered_asks(&mut self) {
+    fn drop_grant_only_batch(&mut self) {
         let is_only_asking = self.batch.as_ref().is_some_and(|batch| {
             batch
                 .ops
@@ -230,11 +230,11 @@
         }
     }
 
-    fn ledger_invalid(&mut self, now: Duration, error: &str, fx: &mut Vec<HolderEffect>) {
+    fn on_ledger_invalid(&mut self, now: Duration, error: &str, fx: &mut Vec<HolderEffect>) {
         self.view = None;
-        self.retry_at = Some(now + BACKOFF_LONGEST);
-        self.mark_store(Stage::Tried, Stage::Unreachable);
-        self.mark_store(Stage::Untried, Stage::Unreachable);
+        self.retry_at = Some(now + BACKOFF_MAX);
+        self.mark_store(SourceState::Requested, SourceState::Unreachable);
+        self.mark_store(SourceState::NotRequested, SourceState::Unreachable);
         Self::log(
             fx,
             EventCode::LedgerInvalid,
@@ -242,40 +242,44 @@
         );
     }
 
-    fn answer_lost(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    fn on_answer_lost(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         // The write may have taken effect, or may still do so. Only a read of the ledger can show
         // it, and a repeated write with the same batch number is not applied twice.
-        let backoff = BACKOFF_FIRST
+        let backoff = BACKOFF_MIN
             .saturating_mul(1 << self.lost_answers.min(4))
-            .min(BACKOFF_LONGEST);
+            .min(BACKOFF_MAX);
         self.lost_answers = self.lost_answers.saturating_add(1);
         self.retry_at = Some(now + backoff);
         self.view = None;
-        self.mark_store(Stage::Tried, Stage::Unreachable);
-        self.mark_store(Stage::Untried, Stage::Unreachable);
+        self.mark_store(SourceState::Requested, SourceState::Unreachable);
+        self.mark_store(SourceState::NotRequested, SourceState::Unreachable);
         Self::log(fx, EventCode::LedgerAnswerLost, &[("budget", &self.budget)]);
     }
 
     /// Updates the state of the holder after its batch was applied to the ledger.
-    fn committed(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    fn on_committed(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let Some(batch) = self.batch.take() else {
             return;
         };
         let mut runs = Vec::new();
         for op in &batch.ops {
             match op {
-                LedgerOp::Grant { grant, .. } => self.grant_committed(grant, fx),
+                LedgerOp::Grant { grant, .. } => self.on_grant_committed(grant, fx),
                 LedgerOp::Spend { entry, .. } => runs.push(entry.run.clone()),
                 LedgerOp::Seal {
                     holder,
                     incarnation,
                     ..
                 } => {
-                    let life = (holder.clone(), *incarnation);
-                    let grants = batch.sealing.get(&life).cloned().unwrap_or_default();
-                    self.seal_committed(life, grants, fx);
+                    let sealed_holder = (holder.clone(), *incarnation);
+                    let grants = batch
+                        .sealing
+                        .get(&sealed_holder)
+                        .cloned()
+                        .unwrap_or_default();
+                    self.on_seal_committed(sealed_holder, grants, fx);
                 }
-                LedgerOp::Unwitness { grant } => self.unwitness_committed(grant),
+                LedgerOp::Unwitness { grant } => self.on_unwitness_committed(grant),
                 LedgerOp::Adopt(adoption) => {
                     if let Some(holding) = self.holdings.get_mut(&adoption.transfer) {
                         holding.origins.clear();
@@ -304,23 +308,23 @@
         if !self.pending.is_empty() {
             self.next_flush_at = self.next_flush_at.min(now);
         }
-        let has_asked = batch
+        let has_requested = batch
             .ops
             .iter()
             .any(|op| matches!(op, LedgerOp::Grant { .. }));
-        if has_asked {
-            self.serve_after_grant();
+        if has_requested {
+            self.mark_store_answered();
         }
         self.store_page(fx);
     }
 
-    fn serve_after_grant(&mut self) {
+    fn mark_store_answered(&mut self) {
         // The store has now answered all runs that waited for this batch. If the grant was too
         // small for them, the remaining tokens are requested from peers.
-        self.mark_store(Stage::Tried, Stage::Empty);
+        self.mark_store(SourceState::Requested, SourceState::Empty);
     }
 
-    fn grant_committed(&mut self, id: &GrantId, fx: &mut Vec<HolderEffect>) {
+    fn on_grant_committed(&mut self, id: &GrantId, fx: &mut Vec<HolderEffect>) {
         let Some((_, ledger)) = &self.view else {
             return;
         };
@@ -355,7 +359,7 @@
         }
     }
 
-    fn seal_committed(
+    fn on_seal_committed(
         &self,
         (holder, incarnation): (InstanceId, Incarnation),
         grants: BTreeSet<GrantId>,
@@ -373,7 +377,7 @@
         });
     }
 
-    fn unwitness_committed(&mut self, id: &GrantId) {
+    fn on_unwitness_committed(&mut self, id: &GrantId) {
         let is_open = self
             .view
             .as_ref()
--- a/crates/damaskstile-budgets/src/holder/refill.rs
+++ b/crates/damaskstile-budgets/src/holder/refill.rs
@@ -12,7 +12,7 @@
 /// to the store.
 const EMPTY_VIEW_AGE: Duration = Duration::from_millis(250);
 /// Time after an unsuccessful round of requests to peers in which no new round starts.
-const FRUITLESS_ASK_AGE: Duration = Duration::from_millis(20);
+const UNSUCCESSFUL_ROUND_AGE: Duration = Duration::from_millis(20);
 /// Maximum number of runs waiting for tokens of a budget.
 const WAITERS_MAX: usize = 256;
 
@@ -57,11 +57,11 @@
 
 /// State of one source of tokens, the store or the peers, for a waiting run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Stage {
+pub(super) enum SourceState {
     /// Not requested yet.
-    Untried,
+    NotRequested,
     /// Requested; the answer is pending.
-    Tried,
+    Requested,
     /// The source has no tokens, or not enough.
     Empty,
     /// The source cannot be reached.
@@ -75,15 +75,15 @@
     pub tokens: u64,
     pub is_open_only: bool,
     /// Time at which the wait for the store ends.
-    pub next_at: Duration,
-    pub store: Stage,
-    pub peers: Stage,
+    pub store_wait_until: Duration,
+    pub store: SourceState,
+    pub peers: SourceState,
 }
 
 impl Waiter {
     /// Returns the end of the wait for the store, if an answer of the store is pending.
     pub(super) fn next_wake(&self) -> Option<Duration> {
-        (self.store == Stage::Tried).then_some(self.next_at)
+        (self.store == SourceState::Requested).then_some(self.store_wait_until)
     }
 }
 
@@ -103,17 +103,17 @@
             run: run.clone(),
             tokens,
             is_open_only,
-            next_at: now + self.options.store_patience,
-            store: Stage::Untried,
-            peers: Stage::Untried,
+            store_wait_until: now + self.options.store_patience,
+            store: SourceState::NotRequested,
+            peers: SourceState::NotRequested,
         });
-        self.pump(now, fx);
+        self.advance_waiters(now, fx);
         Reserve::Waiting
     }
 
     /// Requests a grant while tokens are still left, so that runs need not wait for it.
     pub(super) fn refill_ahead(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
-        if self.is_stopping || self.is_refill_out() || self.retry_at.is_some() {
+        if self.is_stopping || self.is_grant_pending() || self.retry_at.is_some() {
             return;
         }
         let horizon_tokens = self.rate.tokens_in(now, self.options.horizon);
@@ -122,19 +122,19 @@
             .as_ref()
             .is_none_or(|(_, ledger)| ledger.free_tokens() > 0);
         if is_free && self.free_tokens() < horizon_tokens / 2 {
-            self.ask_store(now, 0, fx);
+            self.request_grant(now, 0, fx);
         }
     }
 
     /// Requests a share of the budget before the first run, if the policy spreads tokens.
     pub fn take_share(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let is_wanted = self.options.policy.policy().is_spreading() && self.free_tokens() == 0;
-        if is_wanted && !self.is_stopping && !self.is_refill_out() {
-            self.ask_store(now, 0, fx);
+        if is_wanted && !self.is_stopping && !self.is_grant_pending() {
+            self.request_grant(now, 0, fx);
         }
     }
 
-    fn is_refill_out(&self) -> bool {
+    fn is_grant_pending(&self) -> bool {
         let in_flight = self.batch.as_ref().map_or(&[][..], |batch| &batch.ops);
         self.pending
             .iter()
@@ -142,7 +142,7 @@
             .any(|op| matches!(op, LedgerOp::Grant { .. }))
     }
 
-    fn ask_store(&mut self, now: Duration, need_tokens: u64, fx: &mut Vec<HolderEffect>) {
+    fn request_grant(&mut self, now: Duration, need_tokens: u64, fx: &mut Vec<HolderEffect>) {
         let horizon_tokens = self.rate.tokens_in(now, self.options.horizon);
         let want_tokens = horizon_tokens.max(need_tokens);
         // Part of the held tokens is in open grants, so that an instance that is cut off from all
@@ -197,14 +197,14 @@
 
     /// Advances waiting runs: reserves tokens for them, requests tokens from the store and then
     /// from peers, or refuses them.
-    pub(super) fn pump(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    pub(super) fn advance_waiters(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         self.serve_waiters(fx);
         if self.waiters.is_empty() {
             return;
         }
-        self.give_up_store(now);
-        self.send_waiters_to_store(now, fx);
-        self.send_waiters_to_peers(now, fx);
+        self.stop_waiting_for_store(now);
+        self.request_from_store_for_waiters(now, fx);
+        self.request_from_peers_for_waiters(now, fx);
         self.refuse_waiters(fx);
     }
 
@@ -223,22 +223,22 @@
 
     /// Stops waiting for a store that is slow or unavailable; tokens are requested from peers
     /// instead.
-    fn give_up_store(&mut self, now: Duration) {
+    fn stop_waiting_for_store(&mut self, now: Duration) {
         let is_down = self.retry_at.is_some();
         for waiter in &mut self.waiters {
-            let is_late = waiter.store == Stage::Tried && now >= waiter.next_at;
-            let is_hopeless = waiter.store == Stage::Untried && is_down;
-            if is_late || is_hopeless {
-                waiter.store = Stage::Unreachable;
+            let is_late = waiter.store == SourceState::Requested && now >= waiter.store_wait_until;
+            let is_unavailable = waiter.store == SourceState::NotRequested && is_down;
+            if is_late || is_unavailable {
+                waiter.store = SourceState::Unreachable;
             }
         }
     }
 
-    fn send_waiters_to_store(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    fn request_from_store_for_waiters(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         if !self
             .waiters
             .iter()
-            .any(|waiter| waiter.store == Stage::Untried)
+            .any(|waiter| waiter.store == SourceState::NotRequested)
         {
             return;
         }
@@ -250,18 +250,18 @@
             .is_some_and(|(_, ledger)| ledger.free_tokens() == 0)
             && now.saturating_sub(self.view_at) < EMPTY_VIEW_AGE;
         if is_known_empty {
-            self.mark_store(Stage::Untried, Stage::Empty);
+            self.mark_store(SourceState::NotRequested, SourceState::Empty);
             return;
         }
-        if self.is_refill_out() {
+        if self.is_grant_pending() {
             return;
         }
         let need_tokens = self.missing_tokens();
-        self.mark_store(Stage::Untried, Stage::Tried);
-        self.ask_store(now, need_tokens, fx);
+        self.mark_store(SourceState::NotRequested, SourceState::Requested);
+        self.request_grant(now, need_tokens, fx);
     }
 
-    pub(super) fn mark_store(&mut self, from: Stage, to: Stage) {
+    pub(super) fn mark_store(&mut self, from: SourceState, to: SourceState) {
         for waiter in &mut self.waiters {
             if waiter.store == from {
                 waiter.store = to;
@@ -282,27 +282,28 @@
         wanted.saturating_sub(free)
     }
 
-    fn send_waiters_to_peers(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    fn request_from_peers_for_waiters(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let is_transferring = self.options.policy.policy().is_transferring();
-        let is_fruitless = self
-            .fruitless_ask_at
-            .is_some_and(|at| now.saturating_sub(at) < FRUITLESS_ASK_AGE);
+        let is_unsuccessful = self
+            .unsuccessful_round_at
+            .is_some_and(|at| now.saturating_sub(at) < UNSUCCESSFUL_ROUND_AGE);
         let mut has_new = false;
         for waiter in &mut self.waiters {
-            let is_store_done = matches!(waiter.store, Stage::Empty | Stage::Unreachable);
-            if !is_store_done || waiter.peers != Stage::Untried {
+            let is_store_done =
+                matches!(waiter.store, SourceState::Empty | SourceState::Unreachable);
+            if !is_store_done || waiter.peers != SourceState::NotRequested {
                 continue;
             }
             if !is_transferring {
-                waiter.peers = Stage::Empty;
-            } else if is_fruitless || self.peers.is_empty() {
+                waiter.peers = SourceState::Empty;
+            } else if is_unsuccessful || self.peers.is_empty() {
                 waiter.peers = if self.has_silent_peers {
-                    Stage::Unreachable
+                    SourceState::Unreachable
                 } else {
-                    Stage::Empty
+                    SourceState::Empty
                 };
             } else {
-                waiter.peers = Stage::Tried;
+                waiter.peers = SourceState::Requested;
                 has_new = true;
             }
         }
@@ -314,14 +315,17 @@
     fn refuse_waiters(&mut self, fx: &mut Vec<HolderEffect>) {
         let waiters = std::mem::take(&mut self.waiters);
         for waiter in waiters {
-            let is_store_done = matches!(waiter.store, Stage::Empty | Stage::Unreachable);
-            let is_peers_done = matches!(waiter.peers, Stage::Empty | Stage::Unreachable);
+            let is_store_done =
+                matches!(waiter.store, SourceState::Empty | SourceState::Unreachable);
+            let is_peers_done =
+                matches!(waiter.peers, SourceState::Empty | SourceState::Unreachable);
             if !is_store_done || !is_peers_done {
                 self.waiters.push(waiter);
                 continue;
             }
-            let is_reached = waiter.store == Stage::Empty && waiter.peers == Stage::Empty;
-            let code = if is_reached {
+            let are_sources_empty =
+                waiter.store == SourceState::Empty && waiter.peers == SourceState::Empty;
+            let code = if are_sources_empty {
                 RefusalCode::BudgetExhausted
             } else {
                 RefusalCode::BudgetUnreachable
--- a/crates/damaskstile-budgets/src/holder/renewal.rs
+++ b/crates/damaskstile-budgets/src/holder/renewal.rs
@@ -10,26 +10,26 @@
 /// Number of holdings above which the smallest remainders are returned to the budget.
 const HOLDINGS_MAX: usize = 6;
 /// Age up to which the last seen ledger shows that the store is available.
-const VIEW_FRESH: Duration = Duration::from_millis(20);
+const VIEW_FRESH_AGE: Duration = Duration::from_millis(20);
 
 impl Holder {
     /// Returns the smallest remainders to the budget if there are too many holdings.
     ///
     /// Each refill is a separate grant. Their remainders would otherwise accumulate, and a transfer
     /// to a peer draws on one grant only.
-    pub(super) fn return_crumbs(&mut self) {
+    pub(super) fn return_small_remainders(&mut self) {
         if self.holdings.len() <= HOLDINGS_MAX || !self.waiters.is_empty() {
             return;
         }
-        let mut rests: Vec<(u64, GrantId)> = self
+        let mut remainders: Vec<(u64, GrantId)> = self
             .holdings
             .iter()
             .map(|(grant, holding)| (holding.free_tokens, grant.clone()))
             .filter(|(free, _)| *free > 0)
             .collect();
-        rests.sort();
+        remainders.sort();
         let excess = self.holdings.len() - HOLDINGS_MAX;
-        for (tokens, grant) in rests.into_iter().take(excess) {
+        for (tokens, grant) in remainders.into_iter().take(excess) {
             if let Some(holding) = self.holdings.get_mut(&grant) {
                 holding.free_tokens = 0;
             }
@@ -45,22 +45,22 @@
     /// blocked if it failed. A grant made soon after start, when few peers were known, has few
     /// witnesses, and in a network partition none of them may be reachable.
     pub(super) fn renew_due(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
-        if self.wants_renewal_at.is_none_or(|at| now < at) {
+        if self.renew_at.is_none_or(|at| now < at) {
             return;
         }
         let is_busy = self.retry_at.is_some() || self.batch.is_some() || !self.waiters.is_empty();
         if is_busy || self.is_stopping {
-            self.wants_renewal_at = (!self.is_stopping).then(|| now + super::RENEW_AFTER);
+            self.renew_at = (!self.is_stopping).then(|| now + super::RENEWAL_DELAY);
             return;
         }
         // Tokens cannot be spent while their grant is being replaced. So a read checks first that
         // the store is available; during an outage the grants are left as they are.
-        if self.view.is_none() || now.saturating_sub(self.view_at) > VIEW_FRESH {
-            self.wants_renewal_at = Some(now + super::RENEW_AFTER);
+        if self.view.is_none() || now.saturating_sub(self.view_at) > VIEW_FRESH_AGE {
+            self.renew_at = Some(now + super::RENEWAL_DELAY);
             fx.push(HolderEffect::Read);
             return;
         }
-        self.wants_renewal_at = None;
+        self.renew_at = None;
         self.next_flush_at = now;
         let stale: Vec<(GrantId, u64)> = self
             .holdings
@@ -111,7 +111,7 @@
         };
         // The record of a transfer is needed until the ledger contains the transfer.
         let adopted: Vec<GrantId> = self
-            .unadopted
+            .unentered_transfers
             .iter()
             .filter(|(transfer, grant)| {
                 ledger
@@ -121,7 +121,7 @@
             })
             .map(|(transfer, _)| transfer.clone())
             .collect();
-        self.unadopted
+        self.unentered_transfers
             .retain(|transfer, _| !adopted.contains(transfer));
         if !adopted.is_empty() {
             fx.push(HolderEffect::Flushed { runs: adopted });
--- a/crates/damaskstile-budgets/src/holder/transfer.rs
+++ b/crates/damaskstile-budgets/src/holder/transfer.rs
@@ -5,51 +5,51 @@
 
 use super::Holder;
 use super::holding::Holding;
-use super::refill::Stage;
+use super::refill::SourceState;
 use crate::effect::{DrawPlan, HolderEffect};
 use crate::op::LedgerOp;
 
 /// Maximum number of peers that a request is sent to.
-const ASKED_MAX: usize = 16;
+const REQUEST_PEERS_MAX: usize = 16;
 /// Maximum number of requests in a round, without the last try.
-const WAVES_MAX: u32 = 4;
+const ROUND_REQUESTS_MAX: u32 = 4;
 /// Maximum number of grants from which a request is answered.
-const PIECES_MAX: usize = 8;
+const REQUEST_GRANTS_MAX: usize = 8;
 /// Delay before the last request of a round if all peers have answered.
-const LAST_TRY_AFTER: Duration = Duration::from_millis(8);
+const LAST_REQUEST_DELAY: Duration = Duration::from_millis(8);
 /// Number of accepted transfers kept to detect duplicates.
-const TAKEN_MAX: usize = 4096;
+const ACCEPTED_TRANSFERS_MAX: usize = 4096;
 /// Interval at which an unconfirmed transfer is resent.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 /// Time after which an unconfirmed transfer is no longer resent.
-const RESEND_UNTIL: Duration = Duration::from_mins(1);
+const RESEND_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// Series of requests to peers for tokens, on behalf of waiting runs.
 #[derive(Debug)]
-pub(super) struct AskRound {
+pub(super) struct RequestRound {
     /// Time at which the wait for answers, or the delay before the last request, ends.
     pub until: Duration,
     /// Peers that have not answered the current request.
-    open: BTreeSet<InstanceId>,
+    unanswered: BTreeSet<InstanceId>,
     /// Id of the current request.
-    ask: u64,
+    request_id: u64,
     /// Number of requests made in the round.
-    wave: u32,
+    requests_made: u32,
     /// Tokens received for the current request.
-    got_tokens: u64,
+    received_tokens: u64,
     /// Whether a request of the round ended with answers missing.
-    is_unanswered: bool,
+    has_unanswered: bool,
     /// Whether the round is in the delay before the last request.
-    is_pausing: bool,
+    is_delaying: bool,
     /// Whether the last request was made, or will be after the delay.
-    is_last_try: bool,
+    is_last_request: bool,
 }
 
 /// Outgoing transfer that its recipient has not confirmed.
 #[derive(Debug)]
-pub(super) struct OpenGive {
+pub(super) struct OutgoingTransfer {
     to: InstanceId,
-    ask: u64,
+    request_id: u64,
     pub plan: DrawPlan,
     origins: Vec<Adoption>,
     /// Time of the next resend; `None` until the transfer was first sent.
@@ -59,46 +59,46 @@
 
 impl Holder {
     pub(super) fn start_round(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
-        self.round = Some(AskRound {
+        self.round = Some(RequestRound {
             until: now,
-            open: BTreeSet::new(),
-            ask: 0,
-            wave: 0,
-            got_tokens: 0,
-            is_unanswered: false,
-            is_pausing: false,
-            is_last_try: false,
+            unanswered: BTreeSet::new(),
+            request_id: 0,
+            requests_made: 0,
+            received_tokens: 0,
+            has_unanswered: false,
+            is_delaying: false,
+            is_last_request: false,
         });
-        self.ask_peers(now, fx);
+        self.request_from_peers(now, fx);
     }
 
     /// Sends a request to the peers that hold the most tokens.
-    fn ask_peers(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    fn request_from_peers(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let tokens = self.missing_tokens();
-        let asked = self.likely_givers();
+        let peers = self.likely_senders();
         // The incarnation makes the ids differ from those of an earlier process.
         let number = self.next_number();
-        let ask = self.identity.incarnation.wrapping_add(number);
-        for peer in &asked {
+        let request_id = self.identity.incarnation.wrapping_add(number);
+        for peer in &peers {
             fx.push(HolderEffect::Send {
                 to: peer.clone(),
                 message: PeerMessage::Ask(AskTokens {
                     budget: self.budget.clone(),
                     tokens,
-                    ask,
+                    ask: request_id,
                 }),
             });
         }
         if let Some(round) = &mut self.round {
             round.until = now + self.options.ask_patience;
-            round.open = asked;
-            round.ask = ask;
-            round.wave += 1;
-            round.got_tokens = 0;
+            round.unanswered = peers;
+            round.request_id = request_id;
+            round.requests_made += 1;
+            round.received_tokens = 0;
         }
     }
 
-    fn likely_givers(&self) -> BTreeSet<InstanceId> {
+    fn likely_senders(&self) -> BTreeSet<InstanceId> {
         let held_tokens = |peer: &InstanceId| {
             self.view
                 .as_ref()
@@ -106,7 +106,7 @@
         };
         let mut peers: Vec<&InstanceId> = self.peers.iter().collect();
         peers.sort_by_key(|peer| std::cmp::Reverse(held_tokens(peer)));
-        peers.into_iter().take(ASKED_MAX).cloned().collect()
+        peers.into_iter().take(REQUEST_PEERS_MAX).cloned().collect()
     }
 
     /// Handles a peer's request for tokens: transfers free tokens, or answers that there are none.
@@ -121,59 +121,59 @@
         // could serve its run. So the instance whose name sorts first keeps its tokens, and the
         // other one transfers its own.
         let is_needed_here = !self.waiters.is_empty() && self.identity.instance < *from;
-        let pieces = if is_needed_here || self.is_stopping {
+        let draws = if is_needed_here || self.is_stopping {
             Vec::new()
         } else {
-            self.pieces(ask.tokens)
+            self.select_draws(ask.tokens)
         };
-        if pieces.is_empty() {
-            self.give_none(from, ask.ask, fx);
+        if draws.is_empty() {
+            self.send_no_tokens(from, ask.ask, fx);
         }
-        for draw in pieces {
-            self.give(now, from, ask.ask, draw, fx);
+        for draw in draws {
+            self.transfer_out(now, from, ask.ask, draw, fx);
         }
     }
 
     /// Selects the tokens to transfer, from the holdings with the most free tokens first.
-    fn pieces(&self, wanted_tokens: u64) -> Vec<Draw> {
-        let mut rests: Vec<(u64, &GrantId)> = self
+    fn select_draws(&self, wanted_tokens: u64) -> Vec<Draw> {
+        let mut remainders: Vec<(u64, &GrantId)> = self
             .holdings
             .iter()
             .map(|(grant, holding)| (holding.free_tokens, grant))
             .filter(|(free, _)| *free > 0)
             .collect();
-        rests.sort_by_key(|(free, _)| std::cmp::Reverse(*free));
+        remainders.sort_by_key(|(free, _)| std::cmp::Reverse(*free));
         let mut left_tokens = wanted_tokens;
-        let mut pieces = Vec::new();
-        for (free, grant) in rests.into_iter().take(PIECES_MAX) {
+        let mut draws = Vec::new();
+        for (free, grant) in remainders.into_iter().take(REQUEST_GRANTS_MAX) {
             let tokens = free.min(left_tokens);
             left_tokens -= tokens;
             if tokens > 0 {
-                pieces.push(Draw {
+                draws.push(Draw {
                     grant: grant.clone(),
                     tokens,
                 });
             }
         }
-        pieces
+        draws
     }
 
-    fn give_none(&self, to: &InstanceId, ask: u64, fx: &mut Vec<HolderEffect>) {
+    fn send_no_tokens(&self, to: &InstanceId, request_id: u64, fx: &mut Vec<HolderEffect>) {
         fx.push(HolderEffect::Send {
             to: to.clone(),
             message: PeerMessage::Give(GiveTokens {
-                ask,
+                ask: request_id,
                 budget: self.budget.clone(),
                 ..GiveTokens::default()
             }),
         });
     }
 
-    fn give(
+    fn transfer_out(
         &mut self,
         now: Duration,
         to: &InstanceId,
-        ask: u64,
+        request_id: u64,
         draw: Draw,
         fx: &mut Vec<HolderEffect>,
     ) {
@@ -189,15 +189,15 @@
             .identity
             .unique(&format!("give-{}", self.budget), number);
         let plan = self.plan(draw);
-        self.open_gives.insert(
+        self.outgoing_transfers.insert(
             transfer.clone(),
-            OpenGive {
+            OutgoingTransfer {
                 to: to.clone(),
-                ask,
+                request_id,
                 plan: plan.clone(),
                 origins,
                 resend_at: None,
-                until: now + RESEND_UNTIL,
+                until: now + RESEND_TIMEOUT,
             },
         );
         fx.push(HolderEffect::Give { transfer, plan });
@@ -205,37 +205,37 @@
 
     /// Sends a transfer. To be called once its record is kept, or at once if its grant is open.
     pub fn send_give(&mut self, now: Duration, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
-        if let Some(give) = self.open_gives.get_mut(transfer) {
-            give.resend_at = Some(now + RESEND_INTERVAL);
-            fx.push(give_message(&self.budget, transfer, give));
-            let grant = give.plan.draw.grant.clone();
-            self.unadopted.insert(transfer.clone(), grant);
+        if let Some(outgoing) = self.outgoing_transfers.get_mut(transfer) {
+            outgoing.resend_at = Some(now + RESEND_INTERVAL);
+            fx.push(transfer_message(&self.budget, transfer, outgoing));
+            let grant = outgoing.plan.draw.grant.clone();
+            self.unentered_transfers.insert(transfer.clone(), grant);
         }
     }
 
     /// Cancels a transfer that was never sent and answers the peer that there are no tokens.
     pub fn cancel_give(&mut self, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
-        let Some(give) = self.open_gives.remove(transfer) else {
+        let Some(outgoing) = self.outgoing_transfers.remove(transfer) else {
             return;
         };
-        self.put_back(&give.plan.draw.grant, give.plan.draw.tokens);
-        self.give_none(&give.to, give.ask, fx);
+        self.put_back(&outgoing.plan.draw.grant, outgoing.plan.draw.tokens);
+        self.send_no_tokens(&outgoing.to, outgoing.request_id, fx);
     }
 
-    pub(super) fn resend_gives(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
-        self.open_gives
-            .retain(|_, give| give.resend_at.is_none() || now < give.until);
-        for (transfer, give) in &mut self.open_gives {
-            if give.resend_at.is_some_and(|at| at <= now) {
-                give.resend_at = Some(now + RESEND_INTERVAL);
-                fx.push(give_message(&self.budget, transfer, give));
+    pub(super) fn resend_transfers(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+        self.outgoing_transfers
+            .retain(|_, outgoing| outgoing.resend_at.is_none() || now < outgoing.until);
+        for (transfer, outgoing) in &mut self.outgoing_transfers {
+            if outgoing.resend_at.is_some_and(|at| at <= now) {
+                outgoing.resend_at = Some(now + RESEND_INTERVAL);
+                fx.push(transfer_message(&self.budget, transfer, outgoing));
             }
         }
     }
 
     /// Handles a recipient's confirmation that a transfer has arrived.
     pub fn on_take(&mut self, transfer: &GrantId) {
-        self.open_gives.remove(transfer);
+        self.outgoing_transfers.remove(transfer);
         self.drop_empty_holdings();
     }
 
@@ -247,26 +247,26 @@
         give: &GiveTokens,
         fx: &mut Vec<HolderEffect>,
     ) {
-        let is_asked = self.is_own_ask(give.ask);
-        if give.tokens > 0 && is_asked {
-            self.confirm(from, give, fx);
+        let is_requested = self.is_own_request(give.ask);
+        if give.tokens > 0 && is_requested {
+            self.confirm_transfer(from, give, fx);
             // A resent transfer may arrive twice; it is accepted once.
             if self
-                .taken
-                .insert((self.ask_number(give.ask), give.transfer.clone()))
+                .accepted_transfers
+                .insert((self.request_number(give.ask), give.transfer.clone()))
             {
-                self.adopt(from, give, fx);
+                self.accept_transfer(from, give, fx);
             }
-            self.forget_old_asks();
+            self.forget_old_requests();
         }
         if let Some(round) = &mut self.round
-            && round.ask == give.ask
+            && round.request_id == give.ask
         {
-            round.open.remove(from);
-            round.got_tokens = round.got_tokens.saturating_add(give.tokens);
+            round.unanswered.remove(from);
+            round.received_tokens = round.received_tokens.saturating_add(give.tokens);
         }
-        self.end_round(now, fx);
-        self.pump(now, fx);
+        self.advance_round(now, fx);
+        self.advance_waiters(now, fx);
         self.flush_due(now, fx);
     }
 
@@ -274,28 +274,28 @@
     ///
     /// A transfer to an earlier incarnation is not accepted, because that incarnation may have
     /// spent its tokens.
-    fn is_own_ask(&self, ask: u64) -> bool {
-        let number = self.ask_number(ask);
-        number > self.first_number && number <= self.next_number && number >= self.oldest_ask
+    fn is_own_request(&self, request_id: u64) -> bool {
+        let number = self.request_number(request_id);
+        number > self.first_number && number <= self.next_number && number >= self.oldest_request
     }
 
-    fn ask_number(&self, ask: u64) -> u64 {
-        ask.wrapping_sub(self.identity.incarnation)
+    fn request_number(&self, request_id: u64) -> u64 {
+        request_id.wrapping_sub(self.identity.incarnation)
     }
 
     /// Limits the number of remembered transfers.
     ///
     /// A transfer for a forgotten request is ignored, since it may have been accepted before; its
     /// tokens stay in the sender's grant.
-    fn forget_old_asks(&mut self) {
-        while self.taken.len() > TAKEN_MAX {
-            if let Some((number, _)) = self.taken.pop_first() {
-                self.oldest_ask = number + 1;
+    fn forget_old_requests(&mut self) {
+        while self.accepted_transfers.len() > ACCEPTED_TRANSFERS_MAX {
+            if let Some((number, _)) = self.accepted_transfers.pop_first() {
+                self.oldest_request = number + 1;
             }
         }
     }
 
-    fn confirm(&self, from: &InstanceId, give: &GiveTokens, fx: &mut Vec<HolderEffect>) {
+    fn confirm_transfer(&self, from: &InstanceId, give: &GiveTokens, fx: &mut Vec<HolderEffect>) {
         fx.push(HolderEffect::Send {
             to: from.clone(),
             message: PeerMessage::Take(TakeTokens {
@@ -305,7 +305,12 @@
         });
     }
 
-    fn adopt(&mut self, from: &InstanceId, give: &GiveTokens, fx: &mut Vec<HolderEffect>) {
+    fn accept_transfer(
+        &mut self,
+        from: &InstanceId,
+        give: &GiveTokens,
+        fx: &mut Vec<HolderEffect>,
+    ) {
         // The sender may have received the tokens from another peer and may not have entered that
         // transfer yet. The ledger needs the transfers in order, so all of them are entered here.
         let mut origins = give.origins.clone();
@@ -343,70 +348,76 @@
 
     /// Ends the round, or starts its next request, once the current request has brought enough
     /// tokens, is fully answered or has timed out.
-    pub(super) fn end_round(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    pub(super) fn advance_round(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let missing_tokens = self.missing_tokens();
         let Some(round) = &mut self.round else {
             return;
         };
         let is_late = now >= round.until;
-        if round.is_pausing && missing_tokens > 0 {
+        if round.is_delaying && missing_tokens > 0 {
             if is_late {
-                round.is_pausing = false;
-                self.ask_peers(now, fx);
+                round.is_delaying = false;
+                self.request_from_peers(now, fx);
             }
             return;
         }
-        let is_answered = round.open.is_empty();
+        let is_answered = round.unanswered.is_empty();
         if !is_answered && !is_late && missing_tokens > 0 {
             return;
         }
-        round.is_unanswered |= !is_answered;
+        round.has_unanswered |= !is_answered;
 
         // Peers answer a request from a limited number of grants; repeat it while it brings tokens.
-        let is_worth_more = missing_tokens > 0 && round.got_tokens > 0 && round.wave < WAVES_MAX;
+        let is_worth_more = missing_tokens > 0
+            && round.received_tokens > 0
+            && round.requests_made < ROUND_REQUESTS_MAX;
         if is_worth_more {
-            self.ask_peers(now, fx);
+            self.request_from_peers(now, fx);
             return;
         }
         // A peer that lacked tokens itself may have released in the meantime the tokens that it had
         // collected, so the request is made once more.
-        if missing_tokens > 0 && !round.is_last_try {
-            round.is_last_try = true;
+        if missing_tokens > 0 && !round.is_last_request {
+            round.is_last_request = true;
             if is_late {
-                self.ask_peers(now, fx);
+                self.request_from_peers(now, fx);
             } else {
-                round.until = now + LAST_TRY_AFTER;
-                round.is_pausing = true;
+                round.until = now + LAST_REQUEST_DELAY;
+                round.is_delaying = true;
             }
             return;
         }
-        let stage = if round.is_unanswered || self.has_silent_peers {
-            Stage::Unreachable
+        let state = if round.has_unanswered || self.has_silent_peers {
+            SourceState::Unreachable
         } else {
-            Stage::Empty
+            SourceState::Empty
         };
         if missing_tokens > 0 {
-            self.fruitless_ask_at = Some(now);
+            self.unsuccessful_round_at = Some(now);
         }
         self.round = None;
         for waiter in &mut self.waiters {
-            if waiter.peers == Stage::Tried {
-                waiter.peers = stage;
+            if waiter.peers == SourceState::Requested {
+                waiter.peers = state;
             }
         }
     }
 }
 
-fn give_message(budget: &BudgetId, transfer: &GrantId, give: &OpenGive) -> HolderEffect {
+fn transfer_message(
+    budget: &BudgetId,
+    transfer: &GrantId,
+    outgoing: &OutgoingTransfer,
+) -> HolderEffect {
     HolderEffect::Send {
-        to: give.to.clone(),
+        to: outgoing.to.clone(),
         message: PeerMessage::Give(GiveTokens {
-            ask: give.ask,
+            ask: outgoing.request_id,
             budget: budget.clone(),
             transfer: transfer.clone(),
-            grant: give.plan.draw.grant.clone(),
-            tokens: give.plan.draw.tokens,
-            origins: give.origins.clone(),
+            grant: outgoing.plan.draw.grant.clone(),
+            tokens: outgoing.plan.draw.tokens,
+            origins: outgoing.origins.clone(),
         }),
     }
 }
--- a/crates/damaskstile-budgets/src/ledger.rs
+++ b/crates/damaskstile-budgets/src/ledger.rs
@@ -21,9 +21,9 @@
 /// again.
 pub const RECENT_ENTRIES: usize = 256;
 /// Number of top-up ids kept to detect repeated top-ups.
-const TOP_UPS_KEPT: usize = 256;
+const TOP_UP_IDS_MAX: usize = 256;
 /// Time after its last batch at which a writer without grants is removed.
-const WRITER_KEPT: Duration = Duration::from_hours(24);
+const WRITER_RETENTION: Duration = Duration::from_hours(24);
 
 /// Stored state of one budget.
 ///
@@ -163,7 +163,7 @@
         }
         self.topped_up_tokens = self.topped_up_tokens.saturating_add(tokens);
         self.top_ups.push(id.to_owned());
-        if self.top_ups.len() > TOP_UPS_KEPT {
+        if self.top_ups.len() > TOP_UP_IDS_MAX {
             self.top_ups.remove(0);
         }
         true
@@ -197,7 +197,7 @@
         let mut refused = Vec::new();
         for op in ops {
             if let LedgerOp::Spend { entry, draws } = op {
-                if !self.spend(identity, entry, draws) {
+                if !self.enter_run(identity, entry, draws) {
                     refused.push(entry.run.clone());
                 }
             } else {
@@ -251,13 +251,13 @@
                         .entry(identity.instance.clone())
                         .or_default();
                 }
-                let whole = policy.size_tokens(self, &request);
-                let part = whole.saturating_mul((*part_percent).min(100)) / 100;
-                let tokens = part.max(*need_tokens);
+                let full_tokens = policy.size_tokens(self, &request);
+                let share = full_tokens.saturating_mul((*part_percent).min(100)) / 100;
+                let tokens = share.max(*need_tokens);
                 self.grant(identity, grant, tokens.min(self.free_tokens()), witnesses);
             }
             LedgerOp::Adopt(adoption) => self.adopt(adoption),
-            LedgerOp::Return { grant, tokens } => self.give_back(identity, grant, *tokens),
+            LedgerOp::Return { grant, tokens } => self.return_tokens(identity, grant, *tokens),
             LedgerOp::Seal {
                 holder,
                 incarnation,
@@ -302,12 +302,12 @@
         }
         source.granted_tokens -= adoption.tokens;
         source.moved.insert(transfer.clone());
-        let taker = Identity::new(&adoption.holder, adoption.incarnation, "");
+        let recipient = Identity::new(&adoption.holder, adoption.incarnation, "");
         self.grants
-            .insert(transfer.clone(), Grant::new(&taker, adoption.tokens));
+            .insert(transfer.clone(), Grant::new(&recipient, adoption.tokens));
     }
 
-    fn give_back(&mut self, identity: &Identity, id: &GrantId, tokens: u64) {
+    fn return_tokens(&mut self, identity: &Identity, id: &GrantId, tokens: u64) {
         let Some(grant) = self.grants.get_mut(id) else {
             return;
         };
@@ -330,10 +330,10 @@
     ) {
         let entered: BTreeSet<RunId> = self.entries.iter().map(|entry| entry.run.clone()).collect();
         for (id, grant) in &mut self.grants {
-            let is_meant = grant.holder == holder
+            let is_affected = grant.holder == holder
                 && grant.incarnation == incarnation
                 && grant.is_witnessed_by(identity);
-            if !is_meant || grant.is_sealed() {
+            if !is_affected || grant.is_sealed() {
                 continue;
             }
             for (run, tokens) in kept.get(id).into_iter().flatten() {
@@ -384,7 +384,7 @@
     }
 
     fn forget_writers(&mut self, now_unix_ms: u64) {
-        let kept_ms = unix_ms(WRITER_KEPT);
+        let kept_ms = unix_ms(WRITER_RETENTION);
         // A writer that still holds a grant may return days later with a batch for which it never
         // received the store's answer. Without its batch number, the batch would be applied again.
         let holders: BTreeSet<String> = self
--- a/crates/damaskstile-budgets/src/ledger/accounting.rs
+++ b/crates/damaskstile-budgets/src/ledger/accounting.rs
@@ -12,8 +12,8 @@
     /// Enters what a run used, at most once whichever instance reports it.
     ///
     /// Returns whether the entry was accepted.
-    pub(super) fn spend(&mut self, identity: &Identity, entry: &Entry, draws: &[Draw]) -> bool {
-        if !self.is_spend_new(identity, entry, draws) {
+    pub(super) fn enter_run(&mut self, identity: &Identity, entry: &Entry, draws: &[Draw]) -> bool {
+        if !self.is_entry_admitted(identity, entry, draws) {
             return false;
         }
         let mut left_tokens = entry.cost_tokens();
@@ -36,7 +36,7 @@
         true
     }
 
-    fn is_spend_new(&self, identity: &Identity, entry: &Entry, draws: &[Draw]) -> bool {
+    fn is_entry_admitted(&self, identity: &Identity, entry: &Entry, draws: &[Draw]) -> bool {
         let mut left_tokens = entry.cost_tokens();
         let mut grants = Vec::new();
         for draw in draws {
--- a/crates/damaskstile-budgets/src/policy.rs
+++ b/crates/damaskstile-budgets/src/policy.rs
@@ -6,7 +6,7 @@
 use crate::ledger::Ledger;
 
 /// Smallest grant worth a write while the budget has more, in tokens.
-const LEAST_GRANT_TOKENS: u64 = 64;
+const MIN_GRANT_TOKENS: u64 = 64;
 
 /// Grant policy, as named in the settings.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
     fn size_tokens(&self, ledger: &Ledger, request: &GrantRequest<'_>) -> u64 {
         let free = ledger.free_tokens();
         let fair = free / request.instances.max(1).saturating_mul(2);
-        let ahead = request.want_tokens.min(fair).max(LEAST_GRANT_TOKENS);
+        let ahead = request.want_tokens.min(fair).max(MIN_GRANT_TOKENS);
         request.need_tokens.max(ahead).min(free)
     }
 
@@ -90,7 +90,7 @@
         let held = ledger.held_tokens(request.instance);
         let unspent = free.saturating_add(ledger.outstanding_tokens());
         let share = unspent / request.instances.max(1);
-        let ahead = share.saturating_sub(held).max(LEAST_GRANT_TOKENS);
+        let ahead = share.saturating_sub(held).max(MIN_GRANT_TOKENS);
         request.need_tokens.max(ahead).min(free)
     }
 
--- a/crates/damaskstile-budgets/src/records.rs
+++ b/crates/damaskstile-budgets/src/records.rs
@@ -7,17 +7,17 @@
 const RECORDS_MAX: usize = 50_000;
 
 /// Identifies one incarnation of a holder.
-pub type Life = (InstanceId, Incarnation);
+pub type HolderIncarnation = (InstanceId, Incarnation);
 
 #[derive(Debug, Default)]
-struct Kept {
+struct IncarnationRecords {
     runs: BTreeMap<RunId, RunRecord>,
     /// Budgets whose seal is being written to the store.
     sealing: BTreeSet<BudgetId>,
     /// Sealed grants, for which no record is accepted again.
     sealed: BTreeSet<(BudgetId, GrantId)>,
     /// Runs on record at the time of the seal whose result has to be determined.
-    following: BTreeMap<RunId, RunRecord>,
+    unresolved: BTreeMap<RunId, RunRecord>,
     budgets: BTreeSet<BudgetId>,
 }
 
@@ -27,7 +27,7 @@
 /// accepted, so its holder cannot spend from it even if it resumes after a long pause.
 #[derive(Debug, Default)]
 pub struct RecordKeeper {
-    lives: BTreeMap<Life, Kept>,
+    by_holder: BTreeMap<HolderIncarnation, IncarnationRecords>,
     records: usize,
 }
 
@@ -39,8 +39,8 @@
     }
 
     /// Stores a record and returns whether it was accepted.
-    pub fn keep(&mut self, life: &Life, record: RunRecord) -> bool {
-        let kept = self.lives.entry(life.clone()).or_default();
+    pub fn keep(&mut self, holder: &HolderIncarnation, record: RunRecord) -> bool {
+        let kept = self.by_holder.entry(holder.clone()).or_default();
         let is_sealed = kept.sealing.contains(&record.budget)
             || record.draws.iter().any(|draw| {
                 kept.sealed
@@ -62,22 +62,22 @@
     }
 
     /// Removes the records of runs whose entries are in the ledger.
-    pub fn forget(&mut self, life: &Life, runs: &[RunId]) {
-        let Some(kept) = self.lives.get_mut(life) else {
+    pub fn forget(&mut self, holder: &HolderIncarnation, runs: &[RunId]) {
+        let Some(kept) = self.by_holder.get_mut(holder) else {
             return;
         };
         for run in runs {
             if kept.runs.remove(run).is_some() {
                 self.records -= 1;
             }
-            kept.following.remove(run);
+            kept.unresolved.remove(run);
         }
     }
 
     /// Removes the records of all runs with a number below `number`, whose entries are in the
     /// ledger.
-    pub fn forget_below(&mut self, life: &Life, number: u64) {
-        let Some(kept) = self.lives.get(life) else {
+    pub fn forget_below(&mut self, holder: &HolderIncarnation, number: u64) {
+        let Some(kept) = self.by_holder.get(holder) else {
             return;
         };
         let settled: Vec<RunId> = kept
@@ -86,7 +86,7 @@
             .filter(|run| run_number(run).is_some_and(|run| run < number))
             .cloned()
             .collect();
-        self.forget(life, &settled);
+        self.forget(holder, &settled);
     }
 
     /// Stops accepting records of an unresponsive incarnation.
@@ -95,10 +95,10 @@
     /// maximum tokens. Budgets whose seal is already being written are left out.
     pub fn seal(
         &mut self,
-        life: &Life,
+        holder: &HolderIncarnation,
     ) -> BTreeMap<BudgetId, BTreeMap<GrantId, BTreeMap<RunId, u64>>> {
         let mut by_budget: BTreeMap<_, BTreeMap<_, BTreeMap<_, _>>> = BTreeMap::new();
-        let Some(kept) = self.lives.get_mut(life) else {
+        let Some(kept) = self.by_holder.get_mut(holder) else {
             return by_budget;
         };
         for budget in &kept.budgets {
@@ -125,11 +125,11 @@
     /// Returns the runs on record whose result has to be determined. Transfers are not among them.
     pub fn sealed(
         &mut self,
-        life: &Life,
+        holder: &HolderIncarnation,
         budget: &BudgetId,
         grants: &BTreeSet<GrantId>,
     ) -> Vec<RunRecord> {
-        let Some(kept) = self.lives.get_mut(life) else {
+        let Some(kept) = self.by_holder.get_mut(holder) else {
             return Vec::new();
         };
         kept.sealing.remove(budget);
@@ -137,45 +137,49 @@
         for grant in grants {
             kept.sealed.insert((budget.clone(), grant.clone()));
         }
-        let (gone, rest): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut kept.runs)
+        let (removed, rest): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut kept.runs)
             .into_iter()
             .partition(|(_, record)| &record.budget == budget);
         kept.runs = rest;
-        self.records -= gone.len();
-        let followed: Vec<RunRecord> = gone
+        self.records -= removed.len();
+        let unresolved_runs: Vec<RunRecord> = removed
             .into_values()
             .filter(|record| !record.target.is_empty())
             .collect();
-        for record in &followed {
-            kept.following.insert(record.run.clone(), record.clone());
+        for record in &unresolved_runs {
+            kept.unresolved.insert(record.run.clone(), record.clone());
         }
-        followed
+        unresolved_runs
     }
 
     /// Returns the record of a run whose result is being determined after a seal.
     #[must_use]
-    pub fn followed(&self, run: &RunId) -> Option<&RunRecord> {
-        self.lives.values().find_map(|kept| kept.following.get(run))
+    pub fn unresolved_run(&self, run: &RunId) -> Option<&RunRecord> {
+        self.by_holder
+            .values()
+            .find_map(|kept| kept.unresolved.get(run))
     }
 
     /// Returns the records of all runs whose result is being determined after a seal.
-    pub fn all_followed(&self) -> impl Iterator<Item = &RunRecord> {
-        self.lives.values().flat_map(|kept| kept.following.values())
+    pub fn unresolved_runs(&self) -> impl Iterator<Item = &RunRecord> {
+        self.by_holder
+            .values()
+            .flat_map(|kept| kept.unresolved.values())
     }
 
     /// Removes a run whose result no longer has to be determined.
     pub fn unfollow(&mut self, run: &RunId) {
-        for kept in self.lives.values_mut() {
-            kept.following.remove(run);
+        for kept in self.by_holder.values_mut() {
+            kept.unresolved.remove(run);
         }
     }
 
     /// Returns the incarnations with budgets whose seal is not in the ledger yet.
-    pub fn lives(&self) -> impl Iterator<Item = &Life> {
-        self.lives
+    pub fn lives(&self) -> impl Iterator<Item = &HolderIncarnation> {
+        self.by_holder
             .iter()
             .filter(|(_, kept)| !kept.budgets.is_empty())
-            .map(|(life, _)| life)
+            .map(|(holder, _)| holder)
     }
 
     /// Returns the number of records.
