--- a/crates/damaskstile-budgets/src/holder/refill.rs
+++ b/crates/damaskstile-budgets/src/holder/refill.rs
@@ -103,7 +103,7 @@
             run: run.clone(),
             tokens,
             is_open_only,
-            store_wait_until: now + self.options.store_patience,
+            store_wait_until: now + self.options.store_wait_limit,
             store: SourceState::NotRequested,
             peers: SourceState::NotRequested,
         });
--- a/crates/damaskstile-budgets/src/holder/transfer.rs
+++ b/crates/damaskstile-budgets/src/holder/transfer.rs
@@ -90,7 +90,7 @@
             });
         }
         if let Some(round) = &mut self.round {
-            round.until = now + self.options.ask_patience;
+            round.until = now + self.options.peer_wait_limit;
             round.unanswered = peers;
             round.request_id = request_id;
             round.requests_made += 1;
--- a/crates/damaskstile-budgets/src/options.rs
+++ b/crates/damaskstile-budgets/src/options.rs
@@ -19,9 +19,9 @@
     /// Interval between writes of pending entries to the ledger.
     pub flush_interval: Duration,
     /// Time that a request waits for the store before tokens are requested from peers.
-    pub store_patience: Duration,
+    pub store_wait_limit: Duration,
     /// Time that a request to peers for tokens waits for their answers.
-    pub ask_patience: Duration,
+    pub peer_wait_limit: Duration,
     /// Maximum number of entries waiting for the store.
     pub pending_entries_max: usize,
 }
@@ -34,8 +34,8 @@
             horizon: Duration::from_secs(4),
             open_percent: 5,
             flush_interval: Duration::from_millis(500),
-            store_patience: Duration::from_millis(120),
-            ask_patience: Duration::from_millis(40),
+            store_wait_limit: Duration::from_millis(120),
+            peer_wait_limit: Duration::from_millis(40),
             pending_entries_max: 10_000,
         }
     }
--- a/crates/damaskstile-budgets/tests/ledger.rs
+++ b/crates/damaskstile-budgets/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! Tests of ledgers: the rule holds at every version, whoever writes and however often.
+//! Tests of ledgers: the invariant holds at every version, with several writers and repeated
+//! batches.
 
 use std::time::Duration;
 
@@ -18,8 +19,8 @@
     PolicyKind::Transfers.policy()
 }
 
-fn apply(ledger: &mut Ledger, who: &str, batch: u64, ops: &[LedgerOp]) -> Vec<RunId> {
-    ledger.apply(&identity(who), batch, ops, policy(), 3, NOW)
+fn apply(ledger: &mut Ledger, writer: &str, batch: u64, ops: &[LedgerOp]) -> Vec<RunId> {
+    ledger.apply(&identity(writer), batch, ops, policy(), 3, NOW)
 }
 
 fn grant(id: &str, tokens: u64, witnesses: &[&str]) -> LedgerOp {
@@ -77,9 +78,9 @@
 }
 
 #[test]
-fn a_batch_counts_once_however_often_it_is_applied() {
-    // Symptom: a bill stands twice after an answer of the store was lost.
-    // Sequence: the write takes effect, the answer is lost, the same batch is written again.
+fn a_repeated_batch_is_applied_once() {
+    // Guards against a duplicate bill after a lost answer of the store: the write takes effect, the
+    // answer is lost, and the same batch is written again.
     let mut ledger = ledger(100);
     let ops = [grant("g", 50, &[]), spend("run-1", "k", "g", 20, 10)];
 
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn a_top_up_counts_once_however_often_it_is_sent() {
+fn a_repeated_top_up_counts_once() {
     let mut ledger = ledger(100);
 
     assert!(ledger.top_up("payment-1", 50));
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_second_run_of_a_request_takes_tokens_and_is_not_billed() {
+fn a_second_run_of_a_request_costs_tokens_and_is_not_billed() {
     let mut ledger = ledger(100);
 
     apply(
@@ -122,9 +123,9 @@
 }
 
 #[test]
-fn a_grant_is_closed_only_when_all_its_witnesses_have_sealed() {
-    // Symptom: more is run than was topped up. Cause looked for: one witness's word is taken for
-    // all, while the holder goes on with another one's acceptance.
+fn a_grant_is_released_only_when_all_its_witnesses_have_sealed() {
+    // Guards against spending more than was topped up: the seal of one witness must not release
+    // the grant while the holder can still spend with records accepted by another witness.
     let mut ledger = ledger(100);
     apply(&mut ledger, "one", 1, &[grant("g", 70, &["two", "three"])]);
 
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn a_sealed_run_is_accounted_for_once_by_whoever_comes_first() {
+fn a_run_on_a_sealed_grant_is_entered_once_by_holder_or_witness() {
     for (first, second) in [("one", "two"), ("two", "one")] {
         let mut ledger = ledger(100);
         apply(&mut ledger, "one", 1, &[grant("g", 60, &["two"])]);
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn a_transfer_is_entered_once_by_whoever_comes_first() {
+fn a_transfer_reported_by_two_instances_is_entered_once() {
     let adoption = Adoption {
         transfer: "t".to_owned(),
         from_grant: "g".to_owned(),
@@ -178,11 +179,10 @@
 }
 
 #[test]
-fn a_draw_whose_rest_was_spent_by_another_run_does_not_lose_the_bill() {
-    // Symptom: a request is answered and not billed.
-    // Sequence: a run reserves on two grants and uses only the first; the second is spent by
-    // another run and closed; then the first run's entry comes.
-    // Cause: the entry was refused because one of its grants was gone.
+fn a_run_is_billed_although_an_unused_grant_of_it_is_closed() {
+    // Guards against a request that is answered and not billed. A run reserves on two grants and
+    // uses only the first. The second is spent by another run and closed before the entry of the
+    // first run arrives. The fault was to refuse that entry because one of its grants was gone.
     let mut ledger = ledger(200);
     apply(
         &mut ledger,
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_stored_value_that_breaks_the_rule_is_refused() {
+fn a_stored_value_that_is_invalid_or_overdrawn_is_refused() {
     for value in [
         "",
         "[]",
@@ -231,17 +231,17 @@
     })]
 
     #[test]
-    fn any_text_gives_a_ledger_or_an_error(text in ".{0,200}") {
+    fn parsing_any_text_does_not_panic(text in ".{0,200}") {
         let _ = Ledger::try_from_json(&text);
     }
 
     #[test]
-    fn the_rule_holds_after_any_changes(
+    fn the_invariants_hold_after_any_changes(
         changes in prop::collection::vec((0..6_u8, 0..3_usize, 0..4_u64, 0..80_u64), 1..40),
     ) {
         let mut ledger = ledger(200);
-        for (batch, (kind, who, number, tokens)) in changes.into_iter().enumerate() {
-            let who = ["one", "two", "three"][who];
+        for (batch, (kind, writer, number, tokens)) in changes.into_iter().enumerate() {
+            let writer = ["one", "two", "three"][writer];
             let (id, run) = (format!("g-{number}"), format!("run-{number}"));
             let op = match kind {
                 0 | 1 => grant(&id, tokens, if number % 2 == 0 { &["two"] } else { &[] }),
@@ -252,12 +252,12 @@
                     transfer: format!("t-{number}"),
                     from_grant: id,
                     tokens,
-                    holder: who.to_owned(),
+                    holder: writer.to_owned(),
                     incarnation: 7,
                 }),
             };
             let batch = u64::try_from(batch).unwrap() + 1;
-            apply(&mut ledger, who, batch, &[op]);
+            apply(&mut ledger, writer, batch, &[op]);
             prop_assert!(ledger.check().is_ok());
         }
     }
