--- a/crates/damaskstile-budgets/src/holder/refill.rs
+++ b/crates/damaskstile-budgets/src/holder/refill.rs
@@ -1,4 +1,4 @@
-//! `refill` asks for grants ahead of need and leads waiting runs to tokens or a refusal.
+//! Requests grants ahead of need and serves or refuses runs that wait for tokens.
 
 use damaskstile_core::prelude::*;
 
@@ -8,14 +8,15 @@
 
 /// Time constant of the measured spending rate.
 const RATE_WINDOW: Duration = Duration::from_secs(5);
-/// Age up to which a view that shows an empty budget saves a call to the store.
+/// Age up to which the last seen ledger, if it has no free tokens, is relied on instead of a call
+/// to the store.
 const EMPTY_VIEW_AGE: Duration = Duration::from_millis(250);
-/// Time after a fruitless question to all peers in which it is not asked again.
-const FRUITLESS_ASK_AGE: Duration = Duration::from_millis(20);
-/// Requests of a budget that may wait for tokens.
+/// Time after an unsuccessful round of requests to peers in which no new round starts.
+const UNSUCCESSFUL_ROUND_AGE: Duration = Duration::from_millis(20);
+/// Maximum number of runs waiting for tokens of a budget.
 const WAITERS_MAX: usize = 256;
 
-/// `Rate` measures tokens reserved a second, with an exponential window.
+/// Exponentially decaying sum of the reserved tokens, which gives the spending rate.
 #[derive(Debug)]
 pub(super) struct Rate {
     tokens: f64,
@@ -42,7 +43,7 @@
         self.at = now;
     }
 
-    /// Returns the tokens that a span of time is expected to need.
+    /// Returns the tokens expected to be needed in a span of time.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -54,34 +55,35 @@
     }
 }
 
-/// `Stage` is how far one way to tokens was followed for a waiting run.
+/// State of one source of tokens, the store or the peers, for a waiting run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Stage {
-    /// Not tried yet.
-    Untried,
-    /// Tried; the answer is out.
-    Tried,
-    /// There is nothing to get this way.
+pub(super) enum SourceState {
+    /// Not requested yet.
+    NotRequested,
+    /// Requested; the answer is pending.
+    Requested,
+    /// The source has no tokens, or not enough.
     Empty,
-    /// This way cannot be reached.
+    /// The source cannot be reached.
     Unreachable,
 }
 
-/// `Waiter` is a run that waits for tokens.
+/// A run that waits for tokens.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub run: RunId,
     pub tokens: u64,
     pub is_open_only: bool,
-    pub next_at: Duration,
-    pub store: Stage,
-    pub peers: Stage,
+    /// Time at which the wait for the store ends.
+    pub store_wait_until: Duration,
+    pub store: SourceState,
+    pub peers: SourceState,
 }
 
 impl Waiter {
-    /// Returns when the store has had its time; nothing is due where it was not asked.
+    /// Returns the end of the wait for the store, if an answer of the store is pending.
     pub(super) fn next_wake(&self) -> Option<Duration> {
-        (self.store == Stage::Tried).then_some(self.next_at)
+        (self.store == SourceState::Requested).then_some(self.store_wait_until)
     }
 }
 
@@ -101,17 +103,17 @@
             run: run.clone(),
             tokens,
             is_open_only,
-            next_at: now + self.options.store_patience,
-            store: Stage::Untried,
-            peers: Stage::Untried,
+            store_wait_until: now + self.options.store_wait_limit,
+            store: SourceState::NotRequested,
+            peers: SourceState::NotRequested,
         });
-        self.pump(now, fx);
+        self.advance_waiters(now, fx);
         Reserve::Waiting
     }
 
-    /// Asks for a grant while tokens are still left, so that no request waits for it.
+    /// Requests a grant while tokens are still left, so that runs need not wait for it.
     pub(super) fn refill_ahead(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
-        if self.is_stopping || self.is_refill_out() || self.retry_at.is_some() {
+        if self.is_stopping || self.is_grant_pending() || self.retry_at.is_some() {
             return;
         }
         let horizon_tokens = self.rate.tokens_in(now, self.options.horizon);
@@ -120,19 +122,19 @@
             .as_ref()
             .is_none_or(|(_, ledger)| ledger.free_tokens() > 0);
         if is_free && self.free_tokens() < horizon_tokens / 2 {
-            self.ask_store(now, 0, fx);
+            self.request_grant(now, 0, fx);
         }
     }
 
-    /// Takes a share before the first request, for policies that do so.
+    /// Requests a share of the budget before the first run, if the policy spreads tokens.
     pub fn take_share(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let is_wanted = self.options.policy.policy().is_spreading() && self.free_tokens() == 0;
-        if is_wanted && !self.is_stopping && !self.is_refill_out() {
-            self.ask_store(now, 0, fx);
+        if is_wanted && !self.is_stopping && !self.is_grant_pending() {
+            self.request_grant(now, 0, fx);
         }
     }
 
-    fn is_refill_out(&self) -> bool {
+    fn is_grant_pending(&self) -> bool {
         let in_flight = self.batch.as_ref().map_or(&[][..], |batch| &batch.ops);
         self.pending
             .iter()
@@ -140,11 +142,12 @@
             .any(|op| matches!(op, LedgerOp::Grant { .. }))
     }
 
-    fn ask_store(&mut self, now: Duration, need_tokens: u64, fx: &mut Vec<HolderEffect>) {
+    fn request_grant(&mut self, now: Duration, need_tokens: u64, fx: &mut Vec<HolderEffect>) {
         let horizon_tokens = self.rate.tokens_in(now, self.options.horizon);
         let want_tokens = horizon_tokens.max(need_tokens);
-        // Part of what is held stays open, so that an instance that is cut off from all its
-        // witnesses can still spend. The rest is on record, so that it survives the holder.
+        // Part of the held tokens is in open grants, so that an instance that is cut off from all
+        // its witnesses can still spend. The rest has witnesses, so that it can be recovered if the
+        // holder fails.
         let open_tokens: u64 = self
             .holdings
             .values()
@@ -192,15 +195,16 @@
         self.next_number
     }
 
-    /// Leads waiting runs on: to a reservation, to the store, to peers, or to a refusal.
-    pub(super) fn pump(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    /// Advances waiting runs: reserves tokens for them, requests tokens from the store and then
+    /// from peers, or refuses them.
+    pub(super) fn advance_waiters(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         self.serve_waiters(fx);
         if self.waiters.is_empty() {
             return;
         }
-        self.give_up_store(now);
-        self.send_waiters_to_store(now, fx);
-        self.send_waiters_to_peers(now, fx);
+        self.stop_waiting_for_store(now);
+        self.request_from_store_for_waiters(now, fx);
+        self.request_from_peers_for_waiters(now, fx);
         self.refuse_waiters(fx);
     }
 
@@ -217,45 +221,47 @@
         }
     }
 
-    /// Stops waiting for a store that is slow or down; peers are asked instead.
-    fn give_up_store(&mut self, now: Duration) {
+    /// Stops waiting for a store that is slow or unavailable; tokens are requested from peers
+    /// instead.
+    fn stop_waiting_for_store(&mut self, now: Duration) {
         let is_down = self.retry_at.is_some();
         for waiter in &mut self.waiters {
-            let is_late = waiter.store == Stage::Tried && now >= waiter.next_at;
-            let is_hopeless = waiter.store == Stage::Untried && is_down;
-            if is_late || is_hopeless {
-                waiter.store = Stage::Unreachable;
+            let is_late = waiter.store == SourceState::Requested && now >= waiter.store_wait_until;
+            let is_unavailable = waiter.store == SourceState::NotRequested && is_down;
+            if is_late || is_unavailable {
+                waiter.store = SourceState::Unreachable;
             }
         }
     }
 
-    fn send_waiters_to_store(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    fn request_from_store_for_waiters(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         if !self
             .waiters
             .iter()
-            .any(|waiter| waiter.store == Stage::Untried)
+            .any(|waiter| waiter.store == SourceState::NotRequested)
         {
             return;
         }
-        // A budget that was empty a moment ago is empty: no write for every request.
+        // A budget that was empty a moment ago is assumed to be empty, to avoid a write for every
+        // run.
         let is_known_empty = self
             .view
             .as_ref()
             .is_some_and(|(_, ledger)| ledger.free_tokens() == 0)
             && now.saturating_sub(self.view_at) < EMPTY_VIEW_AGE;
         if is_known_empty {
-            self.mark_store(Stage::Untried, Stage::Empty);
+            self.mark_store(SourceState::NotRequested, SourceState::Empty);
             return;
         }
-        if self.is_refill_out() {
+        if self.is_grant_pending() {
             return;
         }
         let need_tokens = self.missing_tokens();
-        self.mark_store(Stage::Untried, Stage::Tried);
-        self.ask_store(now, need_tokens, fx);
+        self.mark_store(SourceState::NotRequested, SourceState::Requested);
+        self.request_grant(now, need_tokens, fx);
     }
 
-    pub(super) fn mark_store(&mut self, from: Stage, to: Stage) {
+    pub(super) fn mark_store(&mut self, from: SourceState, to: SourceState) {
         for waiter in &mut self.waiters {
             if waiter.store == from {
                 waiter.store = to;
@@ -263,7 +269,7 @@
         }
     }
 
-    /// Returns what all waiting runs lack together.
+    /// Returns the tokens that the waiting runs lack in total.
     pub(super) fn missing_tokens(&self) -> u64 {
         let wanted: u64 = self.waiters.iter().map(|waiter| waiter.tokens).sum();
         let is_open_only = self.waiters.iter().any(|waiter| waiter.is_open_only);
@@ -276,27 +282,28 @@
         wanted.saturating_sub(free)
     }
 
-    fn send_waiters_to_peers(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    fn request_from_peers_for_waiters(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let is_transferring = self.options.policy.policy().is_transferring();
-        let is_fruitless = self
-            .fruitless_ask_at
-            .is_some_and(|at| now.saturating_sub(at) < FRUITLESS_ASK_AGE);
+        let is_unsuccessful = self
+            .unsuccessful_round_at
+            .is_some_and(|at| now.saturating_sub(at) < UNSUCCESSFUL_ROUND_AGE);
         let mut has_new = false;
         for waiter in &mut self.waiters {
-            let is_store_done = matches!(waiter.store, Stage::Empty | Stage::Unreachable);
-            if !is_store_done || waiter.peers != Stage::Untried {
+            let is_store_done =
+                matches!(waiter.store, SourceState::Empty | SourceState::Unreachable);
+            if !is_store_done || waiter.peers != SourceState::NotRequested {
                 continue;
             }
             if !is_transferring {
-                waiter.peers = Stage::Empty;
-            } else if is_fruitless || self.peers.is_empty() {
+                waiter.peers = SourceState::Empty;
+            } else if is_unsuccessful || self.peers.is_empty() {
                 waiter.peers = if self.has_silent_peers {
-                    Stage::Unreachable
+                    SourceState::Unreachable
                 } else {
-                    Stage::Empty
+                    SourceState::Empty
                 };
             } else {
-                waiter.peers = Stage::Tried;
+                waiter.peers = SourceState::Requested;
                 has_new = true;
             }
         }
@@ -308,14 +315,17 @@
     fn refuse_waiters(&mut self, fx: &mut Vec<HolderEffect>) {
         let waiters = std::mem::take(&mut self.waiters);
         for waiter in waiters {
-            let is_store_done = matches!(waiter.store, Stage::Empty | Stage::Unreachable);
-            let is_peers_done = matches!(waiter.peers, Stage::Empty | Stage::Unreachable);
+            let is_store_done =
+                matches!(waiter.store, SourceState::Empty | SourceState::Unreachable);
+            let is_peers_done =
+                matches!(waiter.peers, SourceState::Empty | SourceState::Unreachable);
             if !is_store_done || !is_peers_done {
                 self.waiters.push(waiter);
                 continue;
             }
-            let is_reached = waiter.store == Stage::Empty && waiter.peers == Stage::Empty;
-            let code = if is_reached {
+            let are_sources_empty =
+                waiter.store == SourceState::Empty && waiter.peers == SourceState::Empty;
+            let code = if are_sources_empty {
                 RefusalCode::BudgetExhausted
             } else {
                 RefusalCode::BudgetUnreachable
--- a/crates/damaskstile-budgets/src/options.rs
+++ b/crates/damaskstile-budgets/src/options.rs
@@ -1,27 +1,28 @@
-//! `options` holds the settings of a budget's holder.
+//! Options of a budget's holder.
 
 use damaskstile_core::prelude::*;
 
 use crate::policy::PolicyKind;
 
-/// `BudgetOptions` sets how an instance holds a budget.
+/// Options for holding a budget at an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BudgetOptions {
-    /// How large grants are and whether tokens are handed over.
+    /// Policy that decides the size of grants and whether tokens are transferred between peers.
     pub policy: PolicyKind,
-    /// Instances of the fleet.
+    /// Number of instances in the fleet.
     pub instances: u64,
-    /// Time ahead that a grant should last.
+    /// Time that a grant should last at the current spending rate.
     pub horizon: Duration,
-    /// Part of what is held that is spent without records, for cuts, in percent.
+    /// Share of the held tokens kept in open grants, in percent. These can be spent without records
+    /// while a network partition cuts the instance off from its witnesses.
     pub open_percent: u64,
-    /// Time between flushes of bills.
+    /// Interval between writes of pending entries to the ledger.
     pub flush_interval: Duration,
-    /// Time a request waits for the store before peers are asked.
-    pub store_patience: Duration,
-    /// Time a request waits for peers' tokens.
-    pub ask_patience: Duration,
-    /// Entries that may wait for the store.
+    /// Time that a request waits for the store before tokens are requested from peers.
+    pub store_wait_limit: Duration,
+    /// Time that a request to peers for tokens waits for their answers.
+    pub peer_wait_limit: Duration,
+    /// Maximum number of entries waiting for the store.
     pub pending_entries_max: usize,
 }
 
@@ -33,8 +34,8 @@
             horizon: Duration::from_secs(4),
             open_percent: 5,
             flush_interval: Duration::from_millis(500),
-            store_patience: Duration::from_millis(120),
-            ask_patience: Duration::from_millis(40),
+            store_wait_limit: Duration::from_millis(120),
+            peer_wait_limit: Duration::from_millis(40),
             pending_entries_max: 10_000,
         }
     }
--- a/crates/damaskstile-budgets/src/records.rs
+++ b/crates/damaskstile-budgets/src/records.rs
@@ -1,46 +1,46 @@
-//! `records` keeps the records of other instances' runs: the evidence when one falls silent.
+//! Records of other instances' runs, kept as evidence in case an instance stops responding.
 
 use damaskstile_core::peer::RunRecord;
 use damaskstile_core::prelude::*;
 
-/// Records that are kept at most; past it none is accepted.
+/// Maximum number of records; further records are not accepted.
 const RECORDS_MAX: usize = 50_000;
 
-/// Names one incarnation of an instance.
-pub type Life = (InstanceId, Incarnation);
+/// Identifies one incarnation of a holder.
+pub type HolderIncarnation = (InstanceId, Incarnation);
 
 #[derive(Debug, Default)]
-struct Kept {
+struct IncarnationRecords {
     runs: BTreeMap<RunId, RunRecord>,
-    /// Budgets of which a seal is on its way to the store.
+    /// Budgets whose seal is being written to the store.
     sealing: BTreeSet<BudgetId>,
-    /// Grants that are sealed; they never accept a record again.
+    /// Sealed grants, for which no record is accepted again.
     sealed: BTreeSet<(BudgetId, GrantId)>,
-    /// Runs of sealed grants that must be looked into.
-    following: BTreeMap<RunId, RunRecord>,
+    /// Runs on record at the time of the seal whose result has to be determined.
+    unresolved: BTreeMap<RunId, RunRecord>,
     budgets: BTreeSet<BudgetId>,
 }
 
-/// `RecordKeeper` keeps records for peers.
+/// Keeps run records on behalf of peers.
 ///
-/// A record is accepted before its run is dispatched. Once a grant is sealed no record on it is
-/// accepted, so its holder cannot spend it any more, however long it was paused.
+/// A record is accepted before its run is dispatched. Once a grant is sealed, no record for it is
+/// accepted, so its holder cannot spend from it even if it resumes after a long pause.
 #[derive(Debug, Default)]
 pub struct RecordKeeper {
-    lives: BTreeMap<Life, Kept>,
+    by_holder: BTreeMap<HolderIncarnation, IncarnationRecords>,
     records: usize,
 }
 
 impl RecordKeeper {
-    /// Makes a keeper without records.
+    /// Creates a keeper without records.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Keeps a record and tells whether it was accepted.
-    pub fn keep(&mut self, life: &Life, record: RunRecord) -> bool {
-        let kept = self.lives.entry(life.clone()).or_default();
+    /// Stores a record and returns whether it was accepted.
+    pub fn keep(&mut self, holder: &HolderIncarnation, record: RunRecord) -> bool {
+        let kept = self.by_holder.entry(holder.clone()).or_default();
         let is_sealed = kept.sealing.contains(&record.budget)
             || record.draws.iter().any(|draw| {
                 kept.sealed
@@ -52,7 +52,7 @@
         kept.budgets.insert(record.budget.clone());
         let is_empty = record.draws.iter().all(|draw| draw.tokens == 0);
         if is_empty {
-            // The word that a grant has come; there is no run yet.
+            // Announces a new grant; there is no run to record yet.
             return true;
         }
         if kept.runs.insert(record.run.clone(), record).is_none() {
@@ -61,22 +61,23 @@
         true
     }
 
-    /// Lets go of records whose entries are stored.
-    pub fn forget(&mut self, life: &Life, runs: &[RunId]) {
-        let Some(kept) = self.lives.get_mut(life) else {
+    /// Removes the records of runs whose entries are in the ledger.
+    pub fn forget(&mut self, holder: &HolderIncarnation, runs: &[RunId]) {
+        let Some(kept) = self.by_holder.get_mut(holder) else {
             return;
         };
         for run in runs {
             if kept.runs.remove(run).is_some() {
                 self.records -= 1;
             }
-            kept.following.remove(run);
+            kept.unresolved.remove(run);
         }
     }
 
-    /// Lets go of all records of runs below a number, whose entries are stored.
-    pub fn forget_below(&mut self, life: &Life, number: u64) {
-        let Some(kept) = self.lives.get(life) else {
+    /// Removes the records of all runs with a number below `number`, whose entries are in the
+    /// ledger.
+    pub fn forget_below(&mut self, holder: &HolderIncarnation, number: u64) {
+        let Some(kept) = self.by_holder.get(holder) else {
             return;
         };
         let settled: Vec<RunId> = kept
@@ -85,18 +86,19 @@
             .filter(|run| run_number(run).is_some_and(|run| run < number))
             .cloned()
             .collect();
-        self.forget(life, &settled);
+        self.forget(holder, &settled);
     }
 
-    /// Stops accepting records of a silent life.
+    /// Stops accepting records of an unresponsive incarnation.
     ///
-    /// Returns the kept worst cases for each budget, by grant, as the seal needs them.
+    /// Returns the content of the seals: for each budget and grant, the runs on record with their
+    /// maximum tokens. Budgets whose seal is already being written are left out.
     pub fn seal(
         &mut self,
-        life: &Life,
+        holder: &HolderIncarnation,
     ) -> BTreeMap<BudgetId, BTreeMap<GrantId, BTreeMap<RunId, u64>>> {
         let mut by_budget: BTreeMap<_, BTreeMap<_, BTreeMap<_, _>>> = BTreeMap::new();
-        let Some(kept) = self.lives.get_mut(life) else {
+        let Some(kept) = self.by_holder.get_mut(holder) else {
             return by_budget;
         };
         for budget in &kept.budgets {
@@ -118,16 +120,16 @@
         by_budget
     }
 
-    /// Notes that the seal of a budget is stored.
+    /// Handles that the seal of a budget is in the ledger.
     ///
-    /// Returns the runs that must be looked into: they are on record and not accounted for.
+    /// Returns the runs on record whose result has to be determined. Transfers are not among them.
     pub fn sealed(
         &mut self,
-        life: &Life,
+        holder: &HolderIncarnation,
         budget: &BudgetId,
         grants: &BTreeSet<GrantId>,
     ) -> Vec<RunRecord> {
-        let Some(kept) = self.lives.get_mut(life) else {
+        let Some(kept) = self.by_holder.get_mut(holder) else {
             return Vec::new();
         };
         kept.sealing.remove(budget);
@@ -135,45 +137,49 @@
         for grant in grants {
             kept.sealed.insert((budget.clone(), grant.clone()));
         }
-        let (gone, rest): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut kept.runs)
+        let (removed, rest): (BTreeMap<_, _>, BTreeMap<_, _>) = std::mem::take(&mut kept.runs)
             .into_iter()
             .partition(|(_, record)| &record.budget == budget);
         kept.runs = rest;
-        self.records -= gone.len();
-        let followed: Vec<RunRecord> = gone
+        self.records -= removed.len();
+        let unresolved_runs: Vec<RunRecord> = removed
             .into_values()
             .filter(|record| !record.target.is_empty())
             .collect();
-        for record in &followed {
-            kept.following.insert(record.run.clone(), record.clone());
+        for record in &unresolved_runs {
+            kept.unresolved.insert(record.run.clone(), record.clone());
         }
-        followed
+        unresolved_runs
     }
 
-    /// Returns the record of a sealed run that is being looked into.
+    /// Returns the record of a run whose result is being determined after a seal.
     #[must_use]
-    pub fn followed(&self, run: &RunId) -> Option<&RunRecord> {
-        self.lives.values().find_map(|kept| kept.following.get(run))
+    pub fn unresolved_run(&self, run: &RunId) -> Option<&RunRecord> {
+        self.by_holder
+            .values()
+            .find_map(|kept| kept.unresolved.get(run))
     }
 
-    /// Returns all sealed runs that are being looked into.
-    pub fn all_followed(&self) -> impl Iterator<Item = &RunRecord> {
-        self.lives.values().flat_map(|kept| kept.following.values())
+    /// Returns the records of all runs whose result is being determined after a seal.
+    pub fn unresolved_runs(&self) -> impl Iterator<Item = &RunRecord> {
+        self.by_holder
+            .values()
+            .flat_map(|kept| kept.unresolved.values())
     }
 
-    /// Ends looking into a run.
+    /// Removes a run whose result no longer has to be determined.
     pub fn unfollow(&mut self, run: &RunId) {
-        for kept in self.lives.values_mut() {
-            kept.following.remove(run);
+        for kept in self.by_holder.values_mut() {
+            kept.unresolved.remove(run);
         }
     }
 
-    /// Returns the lives of an instance that have records or unsealed budgets.
-    pub fn lives(&self) -> impl Iterator<Item = &Life> {
-        self.lives
+    /// Returns the incarnations with budgets whose seal is not in the ledger yet.
+    pub fn lives(&self) -> impl Iterator<Item = &HolderIncarnation> {
+        self.by_holder
             .iter()
             .filter(|(_, kept)| !kept.budgets.is_empty())
-            .map(|(life, _)| life)
+            .map(|(holder, _)| holder)
     }
 
     /// Returns the number of records.
@@ -182,14 +188,14 @@
         self.records
     }
 
-    /// Tells whether no record is kept.
+    /// Returns whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records == 0
     }
 }
 
-/// Returns the number in a run's name.
+/// Returns the number in the name of a run, or `None` if the name is not that of a run.
 ///
 /// ```
 /// use damaskstile_budgets::records::run_number;
