--- a/crates/damaskstile/src/instance.rs
+++ b/crates/damaskstile/src/instance.rs
@@ -1,4 +1,4 @@
-//! `instance` composes the duties of one instance behind a single entry.
+//! State machine of one router instance: requests, budgets, targets, membership and settings.
 
 mod admit;
 mod claims;
@@ -29,10 +29,10 @@
 use stray::Stray;
 use timers::Timer;
 
-/// Outputs of one step, in their order.
+/// Effects of one event, in the order in which the host executes them.
 pub type Effects = Vec<Effect>;
 
-/// `Call` remembers what a store call was for.
+/// Purpose of a store call, which decides what receives its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Call {
     Ledger(BudgetId),
@@ -42,10 +42,11 @@
     Explain(u64),
 }
 
-/// `Instance` holds all decisions of one instance.
+/// Decision logic of one router instance.
 ///
-/// `handle` is its only way in and effects are its only way out. It has no clock, no socket and
-/// no hidden randomness: the same events at the same times give the same effects.
+/// All input goes through [`handle`](Self::handle) and all output is effects. It has no clock, no
+/// sockets and no randomness besides its seed: the same options and the same events at the same
+/// times give the same effects.
 #[derive(Debug)]
 pub struct Instance {
     options: InstanceOptions,
@@ -66,11 +67,11 @@
     by_run: BTreeMap<RunId, u64>,
     by_caller: BTreeMap<RequestHandle, u64>,
     open_of_account: BTreeMap<AccountId, u64>,
-    /// Numbers of runs that are not accounted for in the store yet.
+    /// Numbers of this instance's runs that are not yet accounted for in the store.
     unsettled: BTreeSet<u64>,
-    /// Records of own runs that are not accounted for in the store yet.
+    /// Records of this instance's runs that are not yet accounted for in the store.
     records: BTreeMap<RunId, RunRecord>,
-    /// Witnesses that have those records.
+    /// Witnesses that have been sent those records.
     record_keepers: BTreeMap<InstanceId, Incarnation>,
     strays: BTreeMap<RunId, Stray>,
     gives: BTreeMap<GrantId, PendingGive>,
@@ -85,7 +86,9 @@
 }
 
 impl Instance {
-    /// Makes an instance that knows nothing but its options.
+    /// Creates an instance that has no settings, peers or tokens yet; the first event starts it.
+    ///
+    /// Times are durations since the Unix epoch.
     #[must_use]
     pub fn new(options: InstanceOptions, now: Duration) -> Self {
         let identity = &options.identity;
@@ -142,9 +145,9 @@
         }
     }
 
-    /// Takes in one event and says what to do about it.
+    /// Handles one event and appends the resulting effects.
     ///
-    /// Time never goes back: an earlier `now` counts as the latest one.
+    /// Time never goes backwards: a `now` before the latest one counts as the latest one.
     pub fn handle(&mut self, now: Duration, event: Event, effects: &mut Effects) {
         self.advance(now);
         self.start(effects);
@@ -175,7 +178,8 @@
         self.check_stopped(effects);
     }
 
-    /// Returns the time at which the host should deliver a `Tick` at the latest.
+    /// Returns the time by which the host should deliver the next event, a `Tick` if there is no
+    /// other.
     #[must_use]
     pub fn next_wake(&self) -> Duration {
         let round_at = self.membership.next_round_at();
@@ -184,37 +188,37 @@
             .map_or(round_at, |(at, _)| round_at.min(*at))
     }
 
-    /// Tells whether the balancer should send new work here.
+    /// Returns whether the load balancer should send new requests to this instance.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.stop_at.is_none() && !self.settings.is_empty()
     }
 
-    /// Returns the settings in force here.
+    /// Returns the settings in force at this instance.
     #[must_use]
     pub fn settings(&self) -> &SettingsInForce {
         &self.settings
     }
 
-    /// Returns what this instance knows of the others.
+    /// Returns the membership view of this instance.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Returns the tokens of a budget that could be reserved here at once.
+    /// Returns the number of a budget's tokens that this instance can reserve at once.
     #[must_use]
     pub fn free_tokens(&self, budget: &str) -> u64 {
         self.holders.get(budget).map_or(0, Holder::free_tokens)
     }
 
-    /// Returns the tokens of a budget that are reserved for runs of this instance.
+    /// Returns the number of a budget's tokens that are reserved for runs of this instance.
     #[must_use]
     pub fn reserved_tokens(&self, budget: &str) -> u64 {
         self.holders.get(budget).map_or(0, Holder::reserved_tokens)
     }
 
-    /// Returns the number of requests without a final word.
+    /// Returns the number of requests without an outcome.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.requests
@@ -235,8 +239,9 @@
         }
         let gap = now.saturating_sub(self.now);
         self.now = now;
-        // A process that was paused has not listened; that says nothing of its peers. Without
-        // this it would close the grants of all of them when it wakes.
+        // A gap of more than two gossip intervals means that this process was paused. It received
+        // nothing in that time, so the gap must not count as silence of its peers: otherwise it
+        // would seal the grants of all of them on waking.
         let is_pause = self.is_started && gap > self.options.membership.interval * 2;
         if is_pause {
             self.membership.forgive(gap);
@@ -278,7 +283,7 @@
     }
 
     fn on_store(&mut self, id: CallId, answer: StoreAnswer, effects: &mut Effects) {
-        // An answer that comes late or twice was given up or taken before.
+        // Answers after the time-out and repeated answers are ignored.
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
--- a/crates/damaskstile/src/instance/admit.rs
+++ b/crates/damaskstile/src/instance/admit.rs
@@ -1,4 +1,4 @@
-//! `admit` takes requests in: who calls, what is asked, and whether it may go on.
+//! Admission of requests: authentication, limits, repeated keys and deadlines.
 
 use damaskstile_core::prelude::*;
 use damaskstile_fleet::settings::{Effective, ServiceKind, ServiceSettings};
@@ -10,16 +10,16 @@
 use super::{Effects, Instance};
 use crate::keys;
 
-/// Time by which a caller's clock may be ahead of ours.
+/// Tolerance for the clock of a caller that is ahead of ours.
 const CLOCK_MARGIN: Duration = Duration::from_mins(5);
-/// Longest key that is taken.
+/// Maximum length of a request key, in bytes.
 const KEY_BYTES_MAX: usize = 128;
-/// Wait that is advised where the cause is likely to pass.
+/// Advised retry delay where the cause is likely to pass by itself.
 pub(super) const RETRY_SHORT: Duration = Duration::from_secs(1);
-/// Entries that may wait for the store before new work is refused.
+/// Number of unstored bills from which new requests are refused.
 const PENDING_ENTRIES_MAX: usize = 10_000;
 
-/// `Terms` are what the settings in force say of a request.
+/// Settings in force that apply to a request.
 struct Terms {
     account: AccountId,
     budget: BudgetId,
@@ -106,8 +106,8 @@
             return Err((RefusalCode::BadRequest, None));
         }
         if self.pending_entries >= PENDING_ENTRIES_MAX {
-            // Bills that cannot be stored are kept in memory, up to a bound. Past it a request
-            // is refused rather than a bill lost.
+            // Bills that cannot be stored are kept in memory, up to a limit. Beyond it requests are
+            // refused, so that no bill is lost.
             return Err((RefusalCode::BillsBacklog, Some(RETRY_SHORT * 5)));
         }
         let open = self.open_of_account.get(&terms.account).copied();
@@ -118,7 +118,9 @@
         Ok(())
     }
 
-    /// Tells whether claims of the key are still kept, so that a repeat would be noticed.
+    /// Returns whether a claim of the key would still be retained, so that a repeat is detected.
+    ///
+    /// The time in the key may be ahead of ours by `CLOCK_MARGIN`.
     fn is_key_in_time(&self, key: &str) -> bool {
         let kept = self.claims_kept();
         key_unix_ms(key).is_some_and(|time| {
@@ -162,7 +164,8 @@
             first_call: request.request,
             body_hash: request.body_hash,
             is_non_idempotent: terms.service.is_non_idempotent || request.non_idempotent,
-            // Only model engines know a run again; a plain service would run the call once more.
+            // Only model engines recognise a run and resume it; a plain service would execute the
+            // call a second time.
             can_resume: terms.service.can_resume && terms.service.kind == ServiceKind::Model,
             prompt_tokens,
             cap_tokens,
@@ -192,7 +195,8 @@
         number
     }
 
-    /// Sends an admitted request on its way: to its claim, or straight to its reservation.
+    /// Starts an admitted request: with its claim if it is non-idempotent, else with the
+    /// reservation of its tokens.
     fn go(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -214,7 +218,7 @@
         });
     }
 
-    /// Answers a call whose key is known here: it joins the open request or gets its answer again.
+    /// Handles a call whose key is known here: it joins the open request or gets its answer again.
     fn on_repeat(&mut self, number: u64, call: &NewRequest, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -223,7 +227,7 @@
             refuse_call(call.request, RefusalCode::KeyReused, None, effects);
             return;
         }
-        request.note("a repeat of the key joined".to_owned());
+        request.note("joined by a repeated call with the same key".to_owned());
         effects.push(Effect::BodyDone {
             request: call.request,
         });
@@ -250,8 +254,8 @@
         self.by_caller.insert(call.request, number);
     }
 
-    /// Forgets a call whose caller has gone. Its request runs on: the caller may come back with
-    /// the same key, and what the target runs is billed in any case.
+    /// Removes a call whose caller has disconnected. Its request continues: the caller may come
+    /// back with the same key, and what the target runs is billed in any case.
     pub(super) fn on_caller_gone(&mut self, call: RequestHandle) {
         let Some(number) = self.by_caller.remove(&call) else {
             return;
--- a/crates/damaskstile/src/instance/claims.rs
+++ b/crates/damaskstile/src/instance/claims.rs
@@ -1,4 +1,4 @@
-//! `claims` lets a non-idempotent request be sent by one run only.
+//! Claims, which let only one run of a non-idempotent request be sent.
 
 use damaskstile_core::prelude::*;
 use damaskstile_requests::claim::ClaimState;
@@ -19,7 +19,7 @@
         self.end_claim(number, Some(state), effects);
     }
 
-    /// Stores the state of a request's claim, or gives the claim up where there is none.
+    /// Stores the final state of a request's claim, or releases the claim if `state` is `None`.
     fn end_claim(&mut self, number: u64, state: Option<ClaimState>, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -97,10 +97,12 @@
     }
 
     fn on_claim_won(&mut self, run: &RunId, effects: &mut Effects) {
-        // A request that was refused while its claim was on its way has queued the release.
+        // If the request was refused while its claim was being stored, its run is gone from
+        // `by_run`, and the release of the claim is queued already.
         if let Some(number) = self.by_run.get(run).copied() {
-            // The run is numbered anew: the ledger takes all runs below the lowest one that is
-            // reserved or waits for tokens as accounted for, and this one had not waited yet.
+            // The run gets a new number: the ledger treats every run below the lowest one that is
+            // reserved or waits for tokens as accounted for, and this run did neither while its
+            // claim was being stored.
             self.drop_run(number, effects);
             self.renew_run(number);
             self.reserve(number, false, effects);
@@ -116,7 +118,7 @@
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.note(format!("claimed by {} before", claim.instance));
+        request.note(format!("already claimed by {}", claim.instance));
         let key = request.key.clone();
         Self::log(
             effects,
--- a/crates/damaskstile/src/instance/dispatch.rs
+++ b/crates/damaskstile/src/instance/dispatch.rs
@@ -1,4 +1,4 @@
-//! `dispatch` finds targets for reserved requests and sends them.
+//! Target selection and dispatch of requests whose tokens are reserved.
 
 use damaskstile_core::prelude::*;
 use damaskstile_targets::Queued;
@@ -8,9 +8,9 @@
 use super::timers::Timer;
 use super::{Effects, Instance};
 
-/// Time within which the host must send a request that it was told to send.
+/// Time within which the host must send a dispatched request.
 const SEND_WITHIN: Duration = Duration::from_secs(1);
-/// Time between two looks at the queue while nothing else happens.
+/// Maximum interval between two checks of a queue that is not empty.
 const QUEUE_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Instance {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Looks at the queue with the next event.
+    /// Schedules a check of the queue for the next run of the timers.
     pub(super) fn queue_soon(&mut self) {
         if !self.queue.is_empty() {
             self.set_timer(Duration::ZERO, Timer::Queue);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Sends a request whose tokens are reserved and whose record is kept.
+    /// Sends a request whose tokens are reserved and whose record, where needed, is accepted.
     pub(super) fn send_request(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -142,7 +142,7 @@
             return;
         };
         if !self.registry.may_send(self.now, &target) {
-            // The target began to leave while the record was on its way.
+            // The target began to leave while the record was being accepted.
             self.try_other_target(number, &target, effects);
             return;
         }
@@ -154,7 +154,7 @@
         effects.extend(dispatch.map(Effect::Dispatch));
     }
 
-    /// Sends a request that has not run to another target, as a new run.
+    /// Starts a new run for a request whose current run did not begin, excluding this target.
     pub(super) fn try_other_target(
         &mut self,
         number: u64,
--- a/crates/damaskstile/src/instance/explain.rs
+++ b/crates/damaskstile/src/instance/explain.rs
@@ -1,4 +1,4 @@
-//! `explain` tells what became of a request, from memory or from the bills in the store.
+//! Explanations of what happened to a request, from memory or from the bills in the store.
 
 use damaskstile_budgets::Ledger;
 use damaskstile_core::prelude::*;
@@ -6,7 +6,7 @@
 use super::{Call, Effects, Instance};
 use crate::keys;
 
-/// `PendingExplain` is a question that waits for the store.
+/// Explain call that waits for a read of the ledger.
 #[derive(Debug)]
 pub(super) struct PendingExplain {
     request: RequestHandle,
@@ -98,7 +98,7 @@
                 billed_tokens: billed.cost_tokens(),
                 runs: u64::try_from(runs.len()).unwrap_or(u64::MAX),
                 instance: billed.biller.clone(),
-                why: vec!["from the bills in the store".to_owned()],
+                why: vec!["read from the bills in the store".to_owned()],
             })
         });
         effects.push(Effect::Explained {
--- a/crates/damaskstile/src/instance/finish.rs
+++ b/crates/damaskstile/src/instance/finish.rs
@@ -1,4 +1,4 @@
-//! `finish` gives requests their final word, and keeps answers for callers that come back.
+//! Outcomes of requests, and retention of answers for repeated calls.
 
 use damaskstile_core::prelude::*;
 use damaskstile_requests::claim::ClaimState;
@@ -7,11 +7,11 @@
 use super::request::{Request, Step};
 use super::{Effects, Instance};
 
-/// Wait that is advised where only an operator can help.
+/// Advised retry delay where only an operator can remove the cause.
 const RETRY_LONG: Duration = Duration::from_secs(30);
 
 impl Instance {
-    /// Ends a request that was not sent, or whose sending is proved not to have begun a run.
+    /// Ends a request whose current run was not sent or provably did not begin.
     pub(super) fn refuse(
         &mut self,
         number: u64,
@@ -25,7 +25,7 @@
             .get(&number)
             .is_some_and(|request| request.has_begun);
         if has_begun {
-            // An earlier run was cut and this one cannot be sent. Something has run.
+            // This run did not begin, but an earlier one broke off, so something may have run.
             self.end_unknown(number, code, effects);
             return;
         }
@@ -33,7 +33,7 @@
         self.finish(number, &Outcome::not_run(code, retry_after), effects);
     }
 
-    /// Ends a request that may have run.
+    /// Ends a request that may have run, with an unknown outcome.
     pub(super) fn end_unknown(&mut self, number: u64, code: RefusalCode, effects: &mut Effects) {
         self.finish_claim(number, ClaimState::Unknown, effects);
         let Some(request) = self.requests.get(&number) else {
@@ -47,7 +47,7 @@
         self.finish(number, &outcome, effects);
     }
 
-    /// Gives the final word to all callers of a request.
+    /// Sets the outcome of a request and answers all its callers.
     pub(super) fn finish(&mut self, number: u64, outcome: &Outcome, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -83,7 +83,8 @@
             return;
         };
         let is_kept = match outcome {
-            // A refused request may be sent again under its key, and a cut one may be rerun.
+            // A refused request may be sent again with the same key, and an idempotent one with an
+            // unknown outcome may run again.
             Outcome::NotRun { .. } => false,
             Outcome::Unknown { .. } => request.is_non_idempotent,
             Outcome::Answered(_) => {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Returns the wait that is advised for a refusal.
+    /// Returns the advised retry delay for a refusal.
     pub(super) fn retry_after(&self, code: RefusalCode, service: &str) -> Duration {
         match code {
             RefusalCode::BudgetExhausted => RETRY_LONG,
--- a/crates/damaskstile/src/instance/fleet.rs
+++ b/crates/damaskstile/src/instance/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet` joins an instance to the others: members, settings, targets, silent holders.
+//! Peer messages: gossip, membership, settings distribution, target state and sealing of grants.
 
 use damaskstile_budgets::holder::Peers;
 use damaskstile_core::peer::{Gossip, PullSettings, SettingsUpdate, TargetNote};
@@ -9,7 +9,7 @@
 use super::timers::Timer;
 use super::{Call, Effects, Instance};
 
-/// Wait before settings are read again while none are known.
+/// Delay before the settings are read again while there are none.
 const SETTINGS_RETRY: Duration = Duration::from_secs(1);
 
 impl Instance {
@@ -57,7 +57,8 @@
             self.keeper.forget_below(&life, state.settled_runs_below);
         }
         for life in &heard.replaced {
-            // The same name at the same address: the earlier process is gone for certain.
+            // A name belongs to one address, so a later incarnation under it proves that the earlier
+            // process has ended.
             self.seal(life, effects);
         }
         for instance in &heard.joined {
@@ -98,9 +99,11 @@
         self.probe_targets(effects);
     }
 
-    /// Tells witnesses, and those that this instance is a witness of, that it lives.
+    /// Sends a heartbeat to this instance's witnesses and to the peers that it is a witness of,
+    /// unless this round's gossip goes to them anyway.
     ///
-    /// Their grants hang on hearing from each other directly; no one else's word will do.
+    /// Grants are sealed by the time since a peer was last heard from directly; gossip that others
+    /// pass on does not count.
     fn greet_partners(&self, told: &BTreeSet<InstanceId>, effects: &mut Effects) {
         let mut partners = self.witnesses_in_use();
         partners.extend(self.keeper.lives().map(|(instance, _)| instance.clone()));
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Tells some peers at once, for news that should not wait for the next round.
+    /// Sends gossip to some peers at once, for updates that should not wait for the next round.
     fn gossip_now(&mut self, effects: &mut Effects) {
         let version = self.settings.version();
         let own = self.membership.own_mut();
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Takes the consequences of a change of who lives.
+    /// Applies a change of the live members to budgets, records and the settings watch.
     pub(super) fn members_changed(&mut self, effects: &mut Effects) {
         let peers = self.peers_for_budgets();
         let mut wakes = Vec::new();
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Closes the grants of holders that have been silent for long.
+    /// Seals the grants of peers that have not sent anything directly for `seal_after_ms`.
     fn seal_silent(&mut self, effects: &mut Effects) {
         let seal_after = Duration::from_millis(self.settings.settings().system.seal_after_ms);
         let silent: Vec<_> = self
@@ -220,7 +223,7 @@
         }
     }
 
-    /// Asks peers too: they answer when the store is down.
+    /// Requests the settings from peers, which can answer while the store is down.
     pub(super) fn ask_peers_for_settings(&mut self, effects: &mut Effects) {
         let (peers, _) = self.membership.round();
         for to in peers {
@@ -337,7 +340,7 @@
         let changed = self.registry.on_status(self.now, target, status);
         Self::target_changed(target, changed, effects);
         if changed.is_some() {
-            // Peers that cannot see the target should not have to wait for the next round.
+            // Sent at once, for peers that cannot reach the target themselves.
             let notes: Vec<TargetNote> = self.registry.notes(self.now);
             let (peers, _) = self.membership.round();
             for to in peers {
--- a/crates/damaskstile/src/instance/gifts.rs
+++ b/crates/damaskstile/src/instance/gifts.rs
@@ -1,4 +1,4 @@
-//! `gifts` hands tokens to peers and takes theirs.
+//! Transfers of tokens to and from peers.
 
 use damaskstile_budgets::DrawPlan;
 use damaskstile_core::peer::{AskTokens, ForgetRuns, GiveTokens, RecordAck, RunRecord};
@@ -7,7 +7,7 @@
 use super::timers::Timer;
 use super::{Effects, Instance};
 
-/// `PendingGive` is a gift whose record is not kept yet.
+/// Outgoing transfer whose record no witness has accepted yet.
 #[derive(Debug)]
 pub(super) struct PendingGive {
     budget: BudgetId,
@@ -28,8 +28,8 @@
             });
             return;
         }
-        // The witness must know of the gift first; else it would give the tokens back to the
-        // budget when this instance is lost, while the taker spends them.
+        // A witness must have a record of the transfer first. Otherwise it would return the tokens
+        // to the budget when this instance is lost, while the receiver spends them.
         let record = RunRecord {
             run: transfer.clone(),
             budget: budget.clone(),
--- a/crates/damaskstile/src/instance/money.rs
+++ b/crates/damaskstile/src/instance/money.rs
@@ -1,4 +1,4 @@
-//! `money` joins budgets and requests: reservations, records, gifts and bills.
+//! Connects budget holders to requests: reservations, refusals, bills and settled runs.
 
 use damaskstile_budgets::holder::Reserve;
 use damaskstile_budgets::{Holder, HolderEffect};
@@ -11,7 +11,7 @@
 use crate::keys;
 
 impl Instance {
-    /// Runs a step of a budget's holder and carries out what it asks for.
+    /// Runs an action on a budget's holder, which is created if needed, and executes its effects.
     pub(super) fn with_holder(
         &mut self,
         budget: &BudgetId,
@@ -138,7 +138,8 @@
         self.refuse(number, code, retry_after, effects);
     }
 
-    /// Gives up a request's current run, which was not sent: its tokens, target and records.
+    /// Abandons a request's current run, which did not begin: releases its tokens, target and
+    /// records.
     pub(super) fn drop_run(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Gives a request a new run.
+    /// Assigns a new run to a request.
     pub(super) fn renew_run(&mut self, number: u64) {
         let run = self.new_run();
         if let Some(request) = self.requests.get_mut(&number) {
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Lets witnesses go of records whose entries are stored.
+    /// Lets witnesses discard the records of runs that are accounted for in the store or abandoned.
     fn on_flushed(&mut self, runs: &[RunId], effects: &mut Effects) {
         for run in runs {
             self.settled(run);
--- a/crates/damaskstile/src/instance/record.rs
+++ b/crates/damaskstile/src/instance/record.rs
@@ -1,4 +1,4 @@
-//! `record` has runs put on record at witnesses, and keeps the records of others.
+//! Run records: those of this instance at its witnesses, and those that it keeps for peers.
 
 use damaskstile_budgets::DrawPlan;
 use damaskstile_core::peer::{RecordAck, RunEnd, RunRecord};
@@ -9,7 +9,7 @@
 use super::{Effects, Instance};
 
 impl Instance {
-    /// Tells a grant's witnesses of it, so that they can close it when this instance is lost.
+    /// Announces a grant to its witnesses, so that they can seal it when this instance is lost.
     pub(super) fn send_watch(
         budget: &BudgetId,
         grant: GrantId,
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Has a run's record kept before it is sent; without witnesses it can be sent at once.
+    /// Sends the record of a run to witnesses. The run is dispatched once a witness of each of its
+    /// grants has accepted, or at once if its grants have no witnesses.
     pub(super) fn record(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -57,8 +58,8 @@
         self.records.insert(record.run.clone(), record.clone());
         let is_awaited = !request.awaited.is_empty();
         let timer = Timer::Record(number, request.run.clone());
-        // A run on open tokens is recorded too, so that its bill survives this instance; but
-        // nothing waits for that.
+        // A run on open tokens is recorded too, so that its bill survives the loss of this instance,
+        // but it does not wait for the record.
         let witnesses: BTreeSet<InstanceId> = if is_awaited {
             request.step = Step::Recording;
             request
@@ -92,7 +93,8 @@
         let run = record.run.clone();
         let life = (from.clone(), incarnation);
         if let Some(end) = record.ended.clone() {
-            // A run that was already being looked into is over, by its own holder's word.
+            // The run's own holder reports its end. That settles the run if it counts as orphaned
+            // here.
             let state = RunState::Ended {
                 prompt_tokens: end.prompt_tokens,
                 output_tokens: end.output_tokens,
@@ -126,8 +128,8 @@
         if request.step != Step::Recording {
             return;
         }
-        // Only the incarnation that the grant names may accept. One that came after it does not
-        // know whether the grant was closed, and would accept what must be refused.
+        // Only the incarnation of the witness that the grant names may accept. A later one does not
+        // know whether the grant was sealed, and would accept a record that must be refused.
         let is_named = |witnesses: &BTreeMap<InstanceId, Incarnation>| {
             witnesses.get(from) == Some(&incarnation)
         };
@@ -156,15 +158,16 @@
         }
     }
 
-    /// Goes on with tokens that need no record, because no witness of a grant accepts any.
+    /// Starts a new run on open tokens, which need no record, because no witness of one of its
+    /// grants has accepted the record.
     ///
-    /// The run gets a new name: a witness may have kept the record of the old one, and would
-    /// account for it too.
+    /// The run gets a new id: a witness may have kept the record of the old one and would account
+    /// for it as well.
     pub(super) fn draw_open(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.note("no witness kept the record; open tokens are drawn".to_owned());
+        request.note("no witness accepted the record; drawing on open tokens".to_owned());
         let budget = request.budget.clone();
         let lost: BTreeSet<GrantId> = request.awaited.keys().cloned().collect();
         self.drop_run(number, effects);
@@ -176,7 +179,8 @@
         self.reserve(number, true, effects);
     }
 
-    /// Tells witnesses what a run has used, so that its bill survives this instance and the target.
+    /// Reports the usage of a finished run to its witnesses, so that its bill survives the loss of
+    /// this instance and of the target.
     pub(super) fn record_end(&mut self, run: &RunId, end: RunEnd, effects: &mut Effects) {
         let Some(record) = self.records.get_mut(run) else {
             return;
@@ -191,7 +195,8 @@
         }
     }
 
-    /// Returns the witnesses that have a record: those of its grants, or the usual ones.
+    /// Returns the witnesses of a record: those of its grants, or the current ones of this instance
+    /// if its grants have none.
     fn witnesses_of(&self, record: &RunRecord) -> BTreeSet<InstanceId> {
         let of_grants: BTreeSet<InstanceId> = self
             .holders
@@ -204,10 +209,10 @@
         of_grants
     }
 
-    /// Hands the records of own runs to witnesses that were not told of them.
+    /// Sends the records of this instance's runs to witnesses that do not have them yet.
     ///
-    /// Bills wait in memory while the store is down, and the witnesses that have their records
-    /// may be lost one after the other in that time.
+    /// Bills wait in memory while the store is down, and the witnesses that have their records may
+    /// be lost one after the other in that time.
     pub(super) fn hand_records_on(&mut self, effects: &mut Effects) {
         let witnesses = self.membership.witnesses();
         for (witness, incarnation) in &witnesses {
@@ -225,7 +230,7 @@
     }
 }
 
-/// Returns the grants of a reservation that need a record, with their witnesses.
+/// Returns the grants of a reservation that need a record, each with its witnesses.
 fn awaited(plans: &[DrawPlan]) -> BTreeMap<GrantId, BTreeMap<InstanceId, Incarnation>> {
     plans
         .iter()
--- a/crates/damaskstile/src/instance/request.rs
+++ b/crates/damaskstile/src/instance/request.rs
@@ -1,22 +1,22 @@
-//! `request` holds the state of one request.
+//! State of one request.
 
 use damaskstile_core::prelude::*;
 use damaskstile_requests::Assembly;
 
-/// `Step` is how far a request has come.
+/// Processing step of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Step {
-    /// The right to send is being stored.
+    /// The claim of a non-idempotent request is being stored.
     Claiming,
     /// Tokens are being reserved.
     Reserving,
-    /// It waits for a target.
+    /// Waiting for a free target.
     Queued,
-    /// A witness is being told of the run.
+    /// Waiting for a witness to accept the record of the run.
     Recording,
-    /// It was sent.
+    /// Sent to a target.
     Running,
-    /// It has its final word.
+    /// Has its outcome.
     Done,
 }
 
@@ -33,14 +33,14 @@
     }
 }
 
-/// `Caller` is one call that waits for the request's answer.
+/// Call that waits for the request's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Caller {
     pub request: RequestHandle,
     pub is_streamed: bool,
 }
 
-/// `Request` is the state of one request.
+/// State of one request, which several calls with the same key may share.
 #[derive(Debug)]
 pub(super) struct Request {
     pub account: AccountId,
@@ -59,14 +59,14 @@
     pub until: Duration,
     pub step: Step,
     pub run: RunId,
-    /// Run under which the request is claimed.
+    /// Run whose claim is stored or being stored for this request.
     pub claim_run: Option<RunId>,
     pub tried: BTreeSet<TargetId>,
     pub target: Option<(TargetId, String)>,
     pub sent_at: Duration,
-    /// Grants whose witnesses have not accepted the record, with those that still may.
+    /// Grants whose witnesses have not accepted the record yet, with the witnesses that still may.
     pub awaited: BTreeMap<GrantId, BTreeMap<InstanceId, Incarnation>>,
-    /// Whether a run of it has begun, so that it can no longer be refused as not run.
+    /// Whether a run may have begun, so that the outcome can no longer be "not run".
     pub has_begun: bool,
     pub answer: Assembly,
     pub resumes: u32,
@@ -81,12 +81,13 @@
         self.step == Step::Done
     }
 
-    /// Returns the most that one run can cost.
+    /// Returns the maximum cost of one run, in tokens; at least 1.
     pub(super) fn worst_tokens(&self) -> u64 {
         self.prompt_tokens.saturating_add(self.cap_tokens).max(1)
     }
 
-    /// Tells whether a caller has seen a piece of the answer, so that no other can replace it.
+    /// Returns whether a streaming caller may have received part of the answer, so that the answer
+    /// of another run cannot replace it.
     pub(super) fn is_partly_relayed(&self) -> bool {
         !self.answer.is_empty() && self.callers.iter().any(|caller| caller.is_streamed)
     }
@@ -95,7 +96,8 @@
         (self.account.clone(), self.key.clone())
     }
 
-    /// Makes the order to send the request to its target, from the first piece that is missing.
+    /// Returns the dispatch of the request to its target, which starts at the first chunk of the
+    /// answer that is missing. `None` if no target is assigned.
     pub(super) fn dispatch(&self, expires_at: Duration) -> Option<Dispatch> {
         let (target, address) = self.target.clone()?;
         Some(Dispatch {
--- a/crates/damaskstile/src/instance/run.rs
+++ b/crates/damaskstile/src/instance/run.rs
@@ -1,4 +1,4 @@
-//! `run` follows what targets say of runs, to a whole answer, a retry or a cut.
+//! Handling of run reports from targets: chunks, completion, retry and resumption.
 
 use damaskstile_budgets::Entry;
 use damaskstile_core::peer::RunEnd;
@@ -10,7 +10,7 @@
 use super::request::{Request, Step};
 use super::{Effects, Instance};
 
-/// Times that a cut stream is resumed at its target.
+/// Maximum number of times that a broken stream is resumed at its target.
 const RESUMES_MAX: u32 = 2;
 
 impl Instance {
@@ -24,7 +24,8 @@
                 .get(number)
                 .is_some_and(|request| request.step == Step::Running)
         });
-        // A report is for the run that it names and for no other, however late it comes.
+        // A report applies only to the run that it names. Late reports of a run that the request
+        // has given up are dropped.
         let Some(number) = running else {
             let run = run.as_str();
             Self::log(effects, EventCode::RunReportDropped, &[("run", run)]);
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Cancels a run whose target does not keep to the cap that it was given.
+    /// Cancels a run whose target exceeds the output cap that it was given.
     fn on_cap_passed(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get(&number) else {
             return;
@@ -111,7 +112,7 @@
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        // The end of a stream is no proof that the answer is whole; its pieces are counted.
+        // The end of a stream does not prove that the answer is complete, so the chunks are counted.
         if !request.answer.is_whole(chunks) {
             self.on_broken(number, effects);
             return;
@@ -126,7 +127,7 @@
             output_tokens,
         };
         let took = self.now.saturating_sub(request.sent_at);
-        // Callers that want the answer in one piece get it now that it is whole.
+        // Callers without streaming get the answer once it is complete.
         for caller in request.callers.iter().filter(|caller| !caller.is_streamed) {
             for data in request.answer.chunks() {
                 effects.push(Effect::Relay {
@@ -145,7 +146,7 @@
         self.finish(number, &Outcome::Answered(receipt), effects);
     }
 
-    /// Turns the reservation of a request's run into its bill.
+    /// Settles the reservation of a request's run with its bill.
     fn settle(
         &mut self,
         number: u64,
@@ -189,7 +190,8 @@
         }
     }
 
-    /// Goes on after a target refused a run, or could not be reached at all.
+    /// Handles a target that refused a run or could not be reached: retries at another target while
+    /// the retry budget allows it.
     fn on_not_run(&mut self, number: u64, is_failure: bool, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -198,11 +200,11 @@
             return;
         };
         let service = request.service.clone();
-        request.note(format!("{target} did not take it"));
+        request.note(format!("{target} refused it or was unreachable"));
         let is_resumed = request.resumes > 0;
         self.registry.failed(self.now, &target);
         if is_resumed {
-            // Only the resumption was not taken. The run itself had begun.
+            // Only the resumption was refused. The run itself had begun.
             self.on_broken(number, effects);
             return;
         }
@@ -224,7 +226,8 @@
         self.refuse(number, code, retry_after, effects);
     }
 
-    /// Goes on after a stream was cut: it is resumed, or rerun where that is allowed.
+    /// Handles a stream that broke off or has a gap: resumes it at its target, else runs the request
+    /// again where that is allowed.
     fn on_broken(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
@@ -232,7 +235,7 @@
         let Some((target, _)) = request.target.clone() else {
             return;
         };
-        request.note(format!("the stream from {target} was cut"));
+        request.note(format!("the stream from {target} broke off"));
         let may_resume = request.can_resume && request.resumes < RESUMES_MAX;
         let may_rerun = !request.is_non_idempotent && !request.is_partly_relayed();
         if may_resume && self.retries.try_retry(self.now) {
--- a/crates/damaskstile/src/instance/stop.rs
+++ b/crates/damaskstile/src/instance/stop.rs
@@ -1,4 +1,4 @@
-//! `stop` ends an instance without harm: nothing is cut off, nothing kept.
+//! Planned stop of an instance: requests are finished, tokens handed back and bills stored.
 
 use damaskstile_budgets::Holder;
 use damaskstile_core::prelude::*;
@@ -8,8 +8,8 @@
 use super::{Effects, Instance};
 
 impl Instance {
-    /// Begins a planned stop: the balancer is told first, and work is still taken for a while,
-    /// since the balancer goes on sending until it has noticed.
+    /// Begins a planned stop. The instance reports itself as not ready at once and still accepts
+    /// requests for the grace period, since the load balancer keeps sending until it notices.
     pub(super) fn on_stop(&mut self, effects: &mut Effects) {
         if self.stop_at.is_some() {
             return;
@@ -34,10 +34,10 @@
         }
     }
 
-    /// Tells whether a stop has waited long enough for a store that is down.
+    /// Returns whether a stop has waited for an unavailable store until its limit.
     ///
-    /// What is held is then not handed back, but its witnesses give it back later. Bills that are
-    /// not stored are written by the witnesses too, from their records.
+    /// Past the limit the holdings are not handed back by this instance: the witnesses return them
+    /// later. They also write the bills that are not stored yet, from their records.
     fn is_past_stop_limit(&self) -> bool {
         let limit = self.options.stop_limit;
         self.stop_at.is_some_and(|at| self.now >= at + limit)
--- a/crates/damaskstile/src/instance/stray.rs
+++ b/crates/damaskstile/src/instance/stray.rs
@@ -1,7 +1,8 @@
-//! `stray` finds out what became of runs that nobody follows any more.
+//! Orphaned runs: runs that have no open stream and whose usage is not known.
 //!
-//! Two kinds come here: runs of this instance whose stream was cut, and runs of a silent peer
-//! that this instance has on record. Each is accounted for once its target says what was run.
+//! There are two kinds: runs of this instance whose stream broke off or that were cancelled, and
+//! runs of a silent peer that this instance has a record of. Each is settled when its target
+//! reports what was run, or at its worst case after a time limit.
 
 use damaskstile_budgets::Entry;
 use damaskstile_core::peer::{Adoption, RunRecord};
@@ -11,10 +12,10 @@
 use super::timers::Timer;
 use super::{Effects, Instance};
 
-/// Time between two questions about the same run.
+/// Interval between two inquiries about the same run.
 const ASK_AGAIN_AFTER: Duration = Duration::from_secs(1);
 
-/// `Stray` is a run whose end is not known.
+/// Run whose end is not known.
 #[derive(Debug)]
 pub(super) struct Stray {
     entry: Entry,
@@ -23,16 +24,16 @@
     prompt_tokens: u64,
     worst_tokens: u64,
     until: Duration,
-    /// Whether a silent peer's run draws on open grants alone.
+    /// Whether the run is a silent peer's and draws on open grants only.
     is_open: bool,
-    /// Grants of a silent peer's run; `None` for a run of this instance.
+    /// Draws of a silent peer's run; `None` for a run of this instance.
     draws: Option<Vec<Draw>>,
-    /// Transfers that a silent peer's tokens came by.
+    /// Transfers by which the silent peer received the tokens.
     origins: Vec<Adoption>,
 }
 
 impl Instance {
-    /// Turns a request's run into a stray one. Its tokens stay reserved until its end is known.
+    /// Turns a request's run into an orphaned run. Its tokens stay reserved until it is settled.
     pub(super) fn lose_run(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get(&number) else {
             return;
@@ -61,7 +62,8 @@
         self.inquire(&run, effects);
     }
 
-    /// Looks into the runs of a silent peer whose grants are sealed.
+    /// Takes over the recorded runs of a silent peer whose grants have been sealed: settles those
+    /// with a reported end and inquires about the others.
     pub(super) fn on_sealed(
         &mut self,
         budget: &BudgetId,
@@ -109,20 +111,21 @@
         }
     }
 
-    /// Asks a stray run's target how it went; past the time for that, its worst case counts.
+    /// Asks the target of an orphaned run for its state; past the time limit the run is settled at
+    /// its worst case.
     pub(super) fn inquire(&mut self, run: &RunId, effects: &mut Effects) {
         let Some(stray) = self.strays.get(run) else {
             return;
         };
         if self.now >= stray.until {
             if stray.is_open {
-                // Its tokens stay with the lost holder's grant, where they count as spent.
+                // Its tokens stay in the grant of the lost holder, where they count as spent.
                 self.strays.remove(run);
                 self.keeper.unfollow(run);
                 return;
             }
-            // Nobody can say what was run. It counts as spent, and the caller is not billed for
-            // an answer that nobody has seen.
+            // The usage stays unknown. The reserved tokens count as spent, but the caller is not
+            // billed for an answer that nobody received.
             let (prompt_tokens, worst_tokens) = (stray.prompt_tokens, stray.worst_tokens);
             let prompt_tokens = prompt_tokens.min(worst_tokens);
             self.settle_stray(
--- a/crates/damaskstile/src/instance/timers.rs
+++ b/crates/damaskstile/src/instance/timers.rs
@@ -1,37 +1,37 @@
-//! `timers` wakes the parts of an instance when something of theirs is due.
+//! Timers of an instance.
 
 use damaskstile_budgets::Holder;
 use damaskstile_core::prelude::*;
 
 use super::{Effects, Instance};
 
-/// Time between two clean-ups of what is kept for a while.
+/// Interval between clean-ups of expired answers, idle holders and settled claim tables.
 const CLEAN_UP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// `Timer` names what is due.
+/// Action that is due when a timer fires. `Call` must stay the first variant: see `run_timers`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A store call has taken too long.
+    /// Time-out of a store call.
     Call(CallId),
-    /// A request's deadline.
+    /// Deadline of a request.
     Deadline(u64),
-    /// The wait for a witness of a run.
+    /// Time-out of the wait for a witness to accept the record of a run.
     Record(u64, RunId),
-    /// The wait for a witness of a gift.
+    /// Time-out of the wait for a witness to accept the record of a transfer.
     Give(GrantId),
-    /// A budget's holder wants to be woken.
+    /// Wake-up of a budget's holder.
     Holder(BudgetId),
-    /// A shard of claims wants to be woken.
+    /// Wake-up of a claim table.
     Claims(AccountId, u64),
-    /// A run's fate is to be asked for again.
+    /// Next inquiry about an orphaned run.
     Stray(RunId),
-    /// Requests wait for targets.
+    /// Next check of the queue.
     Queue,
-    /// Settings are to be read again.
+    /// Next read of the settings while there are none.
     Settings,
-    /// Old things are to be let go.
+    /// Next clean-up.
     CleanUp,
-    /// The time of grace of a stop is over.
+    /// End of the grace period of a stop; only wakes the instance.
     Stop,
 }
 
@@ -48,7 +48,8 @@
 
     pub(super) fn run_timers(&mut self, effects: &mut Effects) {
         self.gossip_if_due(effects);
-        // Timers that are set meanwhile wait for the next event, so that this always ends.
+        // Timers that are set by these timers wait for the next event, so that the loop ends. The
+        // set is split at the smallest possible timer just after `now`.
         let just_after = self.now + Duration::from_nanos(1);
         let later = self.timers.split_off(&(just_after, Timer::Call(0)));
         let due = std::mem::replace(&mut self.timers, later);
--- a/crates/damaskstile/src/lib.rs
+++ b/crates/damaskstile/src/lib.rs
@@ -1,7 +1,8 @@
-//! `damaskstile` is a router fleet for prepaid token budgets, as a library.
+//! Decision logic of a fleet of routers that enforce prepaid token budgets.
 //!
-//! [`Instance`] holds all decisions of one instance. It does no input or output: a host hands it
-//! events and carries its effects out. The daemon is one host, tests and replays are others.
+//! [`Instance`] makes all decisions of one router instance as a deterministic state machine. It
+//! does no I/O: a host passes events in and executes the effects that come out. The daemon is one
+//! host; the simulation in the tests and the trace replay are others.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/damaskstile/src/options.rs
+++ b/crates/damaskstile/src/options.rs
@@ -1,4 +1,4 @@
-//! `options` holds what an instance is told at its start.
+//! Start-up options of an instance.
 
 use damaskstile_budgets::BudgetOptions;
 use damaskstile_core::peer::MemberState;
@@ -6,39 +6,42 @@
 use damaskstile_fleet::MembershipOptions;
 use damaskstile_targets::RegistryOptions;
 
-/// `InstanceOptions` holds what an instance is told at its start.
+/// Start-up options of an [`Instance`](crate::Instance).
 #[derive(Debug, Clone)]
 pub struct InstanceOptions {
-    /// Who the instance is.
+    /// Name, incarnation and data centre of the instance.
     pub identity: Identity,
-    /// Its address for peers, as IP and port.
+    /// Address that peers reach the instance at, as IP and port.
     pub address: String,
-    /// Peers to begin with. Others are heard of through them.
+    /// Initial peers; the other members are discovered through them by gossip.
     pub seeds: Vec<MemberState>,
-    /// Seed of all random choices.
+    /// Seed of the random number generator behind all random choices.
     pub seed: u64,
-    /// How news of members spreads.
+    /// Gossip and failure detection.
     pub membership: MembershipOptions,
-    /// How budgets are held. The settings in force change some of it.
+    /// Budget handling. The number of instances, the open share and the policy are replaced by
+    /// those of the settings in force.
     pub budgets: BudgetOptions,
-    /// How targets are chosen.
+    /// Target selection.
     pub registry: RegistryOptions,
-    /// Time that a run waits for a witness before it draws on open tokens.
+    /// Time that a run or a transfer waits for a witness to accept its record. After it the run
+    /// draws on open tokens, and the transfer is cancelled.
     pub record_patience: Duration,
-    /// Time that a call to the store may take.
+    /// Time after which a store call without an answer counts as lost.
     pub store_patience: Duration,
-    /// Time that an answer is kept for a caller that comes back with the same key.
+    /// Time that an answer is retained for callers that repeat the same key.
     pub replay_kept: Duration,
-    /// Size of all answers that are kept, in bytes.
+    /// Limit on the total size of the retained answers, in bytes.
     pub replay_bytes_max: usize,
-    /// Time after which an instance ends although the store does not take what it hands back.
+    /// Time after the grace period of a stop at which the instance ends even if the store has not
+    /// accepted what it hands back.
     pub stop_limit: Duration,
-    /// Time after which a run whose target does not answer is counted at its worst case.
+    /// Time after which a run whose target does not report its end is settled at its worst case.
     pub inquire_until: Duration,
 }
 
 impl InstanceOptions {
-    /// Makes the options of an instance with the usual values.
+    /// Returns the default options for an identity. The seed is the incarnation.
     #[must_use]
     pub fn new(identity: Identity) -> Self {
         Self {
--- a/crates/damaskstile/src/trace.rs
+++ b/crates/damaskstile/src/trace.rs
@@ -1,4 +1,7 @@
-//! `trace` records the events of an instance, and replays them against stated outcomes.
+//! Event traces of an instance: writing them, and replaying them against expected outcomes.
+//!
+//! A trace is a file of JSON lines. The first line is a [`TraceHead`], the others are
+//! [`TraceLine`]s: recorded events, and expectations that a replay checks at that point.
 
 mod error;
 mod line;
@@ -14,36 +17,38 @@
 use crate::instance::Instance;
 use crate::options::InstanceOptions;
 
-/// `Replayed` tells what a replay gave.
+/// Result of a replay.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replayed {
-    /// Events that were replayed.
+    /// Number of replayed events.
     pub events: u64,
-    /// Statements that held.
+    /// Number of expectations that were met.
     pub held: u64,
-    /// Statements that did not hold, with what was found.
+    /// Expectations that were not met, each with its line number and the actual value.
     pub broken: Vec<String>,
-    /// Final words by call.
+    /// Outcome of each answered call.
     pub outcomes: BTreeMap<RequestHandle, Outcome>,
 }
 
-/// Writes one line of a trace.
+/// Writes one line of a trace as JSON.
 ///
 /// # Errors
 ///
-/// Returns an error where the line cannot be written.
+/// Returns [`Error::Io`] if writing fails and [`Error::Malformed`], with line 0, if the line cannot
+/// be serialised.
 pub fn write_line<T: Serialize>(out: &mut dyn Write, line: &T) -> Result<(), Error> {
     let text = serde_json::to_string(line).map_err(|error| Error::Malformed { line: 0, error })?;
     writeln!(out, "{text}")?;
     Ok(())
 }
 
-/// Replays a trace and compares what the instance does with what the trace states.
+/// Replays a trace on a new instance with default options and checks its expectations.
 ///
 /// # Errors
 ///
-/// Returns an error where the trace cannot be read; broken statements are in the result.
+/// Returns an error if the trace is empty, unreadable or malformed. Expectations that are not met
+/// are part of the result.
 pub fn replay(trace: &mut dyn BufRead) -> Result<Replayed, Error> {
     let mut lines = trace.lines().enumerate();
     let Some((_, head)) = lines.next() else {
--- a/crates/damaskstile/src/trace/error.rs
+++ b/crates/damaskstile/src/trace/error.rs
@@ -1,27 +1,27 @@
-//! `error` tells why a trace cannot be read or written.
+//! Errors of reading and writing a trace.
 
-/// `Error` tells why a trace cannot be read or written.
+/// Reason why a trace cannot be read or written.
 #[derive(Debug)]
 pub enum Error {
-    /// Reading or writing failed.
+    /// An I/O operation failed.
     Io(std::io::Error),
-    /// A line is no line of a trace.
+    /// A line is not valid JSON for its place in a trace, or cannot be serialised.
     Malformed {
-        /// Number of the line, from 1.
+        /// Line number, from 1; 0 for a line that is being written.
         line: usize,
-        /// What is wrong.
+        /// Cause.
         error: serde_json::Error,
     },
-    /// The trace has no head.
+    /// The trace is empty, so that even its head is missing.
     Empty,
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::Io(error) => write!(f, "trace: {error}"),
-            Self::Malformed { line, error } => write!(f, "trace, line {line}: {error}"),
-            Self::Empty => write!(f, "trace without head"),
+            Self::Io(error) => write!(f, "trace I/O: {error}"),
+            Self::Malformed { line, error } => write!(f, "trace line {line} is malformed: {error}"),
+            Self::Empty => write!(f, "trace is empty: no head line"),
         }
     }
 }
--- a/crates/damaskstile/src/trace/line.rs
+++ b/crates/damaskstile/src/trace/line.rs
@@ -1,48 +1,48 @@
-//! `line` holds the lines of a trace.
+//! Line types of a trace.
 
 use damaskstile_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// `TraceHead` is the first line of a trace: who the instance was.
+/// First line of a trace: the instance that was recorded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceHead {
-    /// The instance.
+    /// Identity of the instance.
     pub identity: Identity,
-    /// Seed of its choices.
+    /// Seed of its random number generator.
     pub seed: u64,
-    /// Time of its start.
+    /// Start time, as time since the Unix epoch.
     pub started_at: Duration,
 }
 
-/// `TraceLine` is one line of a trace after its head.
+/// Line of a trace after its head.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TraceLine {
-    /// An event at a time.
+    /// A recorded event.
     Event {
         /// Time of the event.
         now: Duration,
         /// The event.
         event: Event,
     },
-    /// An outcome that the call must have by now.
+    /// Expects that the call has this outcome at this point.
     Expect {
         /// The call.
         request: RequestHandle,
-        /// Its final word.
+        /// Expected outcome.
         outcome: Outcome,
     },
-    /// Says that the call must have no final word by now.
+    /// Expects that the call has no outcome yet at this point.
     ExpectOpen {
         /// The call.
         request: RequestHandle,
     },
-    /// Says that a target must have been sent the call's request this many times by now.
+    /// Expects that the call's request has been dispatched to targets this many times so far.
     ExpectDispatches {
         /// The call.
         request: RequestHandle,
-        /// How often.
+        /// Expected number of dispatches.
         dispatches: u64,
     },
 }
