--- a/crates/damaskstile/src/instance.rs
+++ b/crates/damaskstile/src/instance.rs
@@ -1,19 +1,19 @@
 //! State machine of one router instance: requests, budgets, targets, membership and settings.
 
 mod admit;
+mod budgets;
 mod claims;
 mod dispatch;
 mod explain;
 mod finish;
 mod fleet;
-mod gifts;
-mod money;
+mod orphan;
 mod record;
 mod request;
 mod run;
 mod stop;
-mod stray;
 mod timers;
+mod transfers;
 
 use damaskstile_budgets::{BudgetOptions, Holder, PolicyKind, RecordKeeper};
 use damaskstile_core::peer::{MemberState, RunRecord};
@@ -24,17 +24,17 @@
 
 use crate::options::InstanceOptions;
 use explain::PendingExplain;
-use gifts::PendingGive;
+use orphan::OrphanedRun;
 use request::Request;
-use stray::Stray;
 use timers::Timer;
+use transfers::PendingTransfer;
 
 /// Effects of one event, in the order in which the host executes them.
 pub type Effects = Vec<Effect>;
 
 /// Purpose of a store call, which decides what receives its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Call {
+enum StorePurpose {
     Ledger(BudgetId),
     Page(BudgetId),
     Claims(AccountId, u64),
@@ -63,20 +63,20 @@
     claims: BTreeMap<(AccountId, u64), ClaimShard>,
     retries: RetryBudget,
     requests: BTreeMap<u64, Request>,
-    by_name: BTreeMap<(AccountId, RequestKey), u64>,
+    by_key: BTreeMap<(AccountId, RequestKey), u64>,
     by_run: BTreeMap<RunId, u64>,
-    by_caller: BTreeMap<RequestHandle, u64>,
+    by_call: BTreeMap<RequestHandle, u64>,
     open_of_account: BTreeMap<AccountId, u64>,
     /// Numbers of this instance's runs that are not yet accounted for in the store.
     unsettled: BTreeSet<u64>,
     /// Records of this instance's runs that are not yet accounted for in the store.
     records: BTreeMap<RunId, RunRecord>,
     /// Witnesses that have been sent those records.
-    record_keepers: BTreeMap<InstanceId, Incarnation>,
-    strays: BTreeMap<RunId, Stray>,
-    gives: BTreeMap<GrantId, PendingGive>,
-    explains: BTreeMap<u64, PendingExplain>,
-    calls: BTreeMap<CallId, Call>,
+    record_witnesses: BTreeMap<InstanceId, Incarnation>,
+    orphans: BTreeMap<RunId, OrphanedRun>,
+    pending_transfers: BTreeMap<GrantId, PendingTransfer>,
+    pending_explains: BTreeMap<u64, PendingExplain>,
+    store_calls: BTreeMap<CallId, StorePurpose>,
     timers: BTreeSet<(Duration, Timer)>,
     next_number: u64,
     replay_bytes: usize,
@@ -125,17 +125,17 @@
             claims: BTreeMap::new(),
             retries,
             requests: BTreeMap::new(),
-            by_name: BTreeMap::new(),
+            by_key: BTreeMap::new(),
             by_run: BTreeMap::new(),
-            by_caller: BTreeMap::new(),
+            by_call: BTreeMap::new(),
             open_of_account: BTreeMap::new(),
             unsettled: BTreeSet::new(),
             records: BTreeMap::new(),
-            record_keepers: BTreeMap::new(),
-            strays: BTreeMap::new(),
-            gives: BTreeMap::new(),
-            explains: BTreeMap::new(),
-            calls: BTreeMap::new(),
+            record_witnesses: BTreeMap::new(),
+            orphans: BTreeMap::new(),
+            pending_transfers: BTreeMap::new(),
+            pending_explains: BTreeMap::new(),
+            store_calls: BTreeMap::new(),
             timers: BTreeSet::new(),
             next_number: 0,
             replay_bytes: 0,
@@ -261,7 +261,7 @@
         self.membership.hear(self.now, &gossip);
         self.members_changed(effects);
         self.read_settings(effects);
-        self.ask_peers_for_settings(effects);
+        self.request_settings_from_peers(effects);
     }
 
     fn next_number(&mut self) -> u64 {
@@ -275,32 +275,34 @@
         self.options.identity.unique("run", number)
     }
 
-    fn call_store(&mut self, call: Call, request: StoreCall, effects: &mut Effects) {
+    fn call_store(&mut self, purpose: StorePurpose, request: StoreCall, effects: &mut Effects) {
         let id = self.next_number();
-        self.calls.insert(id, call);
-        self.set_timer(self.options.store_patience, Timer::Call(id));
+        self.store_calls.insert(id, purpose);
+        self.set_timer(self.options.store_timeout, Timer::StoreTimeout(id));
         effects.push(Effect::Store { call: id, request });
     }
 
     fn on_store(&mut self, id: CallId, answer: StoreAnswer, effects: &mut Effects) {
         // Answers after the time-out and repeated answers are ignored.
-        let Some(call) = self.calls.remove(&id) else {
+        let Some(purpose) = self.store_calls.remove(&id) else {
             return;
         };
-        match call {
-            Call::Ledger(budget) => self.with_holder(&budget, effects, |holder, now, fx| {
-                holder.on_store(now, answer, fx);
-            }),
-            Call::Page(budget) => self.with_holder(&budget, effects, |holder, now, _| {
+        match purpose {
+            StorePurpose::Ledger(budget) => {
+                self.with_holder(&budget, effects, |holder, now, fx| {
+                    holder.on_store(now, answer, fx);
+                });
+            }
+            StorePurpose::Page(budget) => self.with_holder(&budget, effects, |holder, now, _| {
                 holder.on_page_stored(now, &answer);
             }),
-            Call::Claims(account, shard) => {
-                self.with_claims(&account, shard, effects, |claims, now, fx| {
+            StorePurpose::Claims(account, table) => {
+                self.with_claims(&account, table, effects, |claims, now, fx| {
                     claims.on_store(now, answer, fx);
                 });
             }
-            Call::Settings => self.on_settings_read(answer, effects),
-            Call::Explain(number) => self.on_explain_read(number, answer, effects),
+            StorePurpose::Settings => self.on_settings_read(answer, effects),
+            StorePurpose::Explain(number) => self.on_explain_read(number, answer, effects),
         }
     }
 
--- a/crates/damaskstile/src/instance/admit.rs
+++ b/crates/damaskstile/src/instance/admit.rs
@@ -11,11 +11,11 @@
 use crate::keys;
 
 /// Tolerance for the clock of a caller that is ahead of ours.
-const CLOCK_MARGIN: Duration = Duration::from_mins(5);
+const CLOCK_SKEW_MAX: Duration = Duration::from_mins(5);
 /// Maximum length of a request key, in bytes.
 const KEY_BYTES_MAX: usize = 128;
 /// Advised retry delay where the cause is likely to pass by itself.
-pub(super) const RETRY_SHORT: Duration = Duration::from_secs(1);
+pub(super) const RETRY_AFTER_SHORT: Duration = Duration::from_secs(1);
 /// Number of unstored bills from which new requests are refused.
 const PENDING_ENTRIES_MAX: usize = 10_000;
 
@@ -45,23 +45,23 @@
             key: key.clone(),
             account: terms.account.clone(),
         });
-        let name = (terms.account.clone(), key.clone());
-        if let Some(number) = self.by_name.get(&name).copied() {
-            self.on_repeat(number, request, effects);
+        let account_key = (terms.account.clone(), key.clone());
+        if let Some(number) = self.by_key.get(&account_key).copied() {
+            self.on_repeated_call(number, request, effects);
             return;
         }
-        if let Err((code, retry_after)) = self.may_admit(request, &terms, &key) {
+        if let Err((code, retry_after)) = self.check_admission(request, &terms, &key) {
             refuse_call(request.request, code, retry_after, effects);
             return;
         }
         self.retries.add_request();
-        let number = self.open(request, terms, key);
-        self.go(number, effects);
+        let number = self.open_request(request, terms, key);
+        self.claim_or_reserve(number, effects);
     }
 
     fn terms(&self, request: &NewRequest) -> Result<Terms, (RefusalCode, Option<Duration>)> {
         if self.settings.is_empty() {
-            return Err((RefusalCode::Starting, Some(RETRY_SHORT)));
+            return Err((RefusalCode::Starting, Some(RETRY_AFTER_SHORT)));
         }
         let settings = self.settings.settings();
         let (account, of_account) = settings
@@ -85,20 +85,20 @@
         keys::new_request_key(self.now, high, low)
     }
 
-    fn may_admit(
+    fn check_admission(
         &self,
         request: &NewRequest,
         terms: &Terms,
         key: &str,
     ) -> Result<(), (RefusalCode, Option<Duration>)> {
         if self.stop_at.is_some_and(|at| self.now >= at) {
-            return Err((RefusalCode::Stopping, Some(RETRY_SHORT)));
+            return Err((RefusalCode::Stopping, Some(RETRY_AFTER_SHORT)));
         }
         if key.is_empty() || key.len() > KEY_BYTES_MAX {
             return Err((RefusalCode::BadKey, None));
         }
         let is_claimed = terms.service.is_non_idempotent || request.non_idempotent;
-        if is_claimed && !self.is_key_in_time(key) {
+        if is_claimed && !self.is_claim_retained(key) {
             return Err((RefusalCode::BadKey, None));
         }
         let asked = request.max_output_tokens.unwrap_or(1);
@@ -108,7 +108,7 @@
         if self.pending_entries >= PENDING_ENTRIES_MAX {
             // Bills that cannot be stored are kept in memory, up to a limit. Beyond it requests are
             // refused, so that no bill is lost.
-            return Err((RefusalCode::BillsBacklog, Some(RETRY_SHORT * 5)));
+            return Err((RefusalCode::BillsBacklog, Some(RETRY_AFTER_SHORT * 5)));
         }
         let open = self.open_of_account.get(&terms.account).copied();
         if open.unwrap_or(0) >= terms.effective.max_in_flight_requests {
@@ -120,20 +120,20 @@
 
     /// Returns whether a claim of the key would still be retained, so that a repeat is detected.
     ///
-    /// The time in the key may be ahead of ours by `CLOCK_MARGIN`.
-    fn is_key_in_time(&self, key: &str) -> bool {
-        let kept = self.claims_kept();
+    /// The time in the key may be ahead of ours by `CLOCK_SKEW_MAX`.
+    fn is_claim_retained(&self, key: &str) -> bool {
+        let kept = self.claim_retention();
         key_unix_ms(key).is_some_and(|time| {
             let time = Duration::from_millis(time);
-            time <= self.now + CLOCK_MARGIN && time + kept >= self.now
+            time <= self.now + CLOCK_SKEW_MAX && time + kept >= self.now
         })
     }
 
-    pub(super) fn claims_kept(&self) -> Duration {
+    pub(super) fn claim_retention(&self) -> Duration {
         Duration::from_secs(self.settings.settings().system.claims_kept_s)
     }
 
-    fn open(&mut self, request: &NewRequest, terms: Terms, key: RequestKey) -> u64 {
+    fn open_request(&mut self, request: &NewRequest, terms: Terms, key: RequestKey) -> u64 {
         let number = self.next_number();
         let run = self.new_run();
         let effective = &terms.effective;
@@ -151,7 +151,7 @@
             .time_limit
             .unwrap_or(effective.time_limit)
             .min(effective.time_limit);
-        let until = self.now + time_limit;
+        let deadline = self.now + time_limit;
         let opened = Request {
             account: terms.account.clone(),
             budget: terms.budget,
@@ -170,7 +170,7 @@
             prompt_tokens,
             cap_tokens,
             priority: request.priority.unwrap_or(effective.priority),
-            until,
+            deadline,
             step: Step::Reserving,
             run: run.clone(),
             claim_run: None,
@@ -183,21 +183,21 @@
             resumes: 0,
             runs: 0,
             outcome: None,
-            kept_until: Duration::ZERO,
-            why: Vec::new(),
+            replay_until: Duration::ZERO,
+            notes: Vec::new(),
         };
-        self.by_name.insert(opened.name(), number);
-        self.by_caller.insert(request.request, number);
+        self.by_key.insert(opened.account_key(), number);
+        self.by_call.insert(request.request, number);
         self.by_run.insert(run, number);
         *self.open_of_account.entry(terms.account).or_default() += 1;
         self.requests.insert(number, opened);
-        self.timers.insert((until, Timer::Deadline(number)));
+        self.timers.insert((deadline, Timer::Deadline(number)));
         number
     }
 
     /// Starts an admitted request: with its claim if it is non-idempotent, else with the
     /// reservation of its tokens.
-    fn go(&mut self, number: u64, effects: &mut Effects) {
+    fn claim_or_reserve(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -212,14 +212,14 @@
             request.key.clone(),
             request.run.clone(),
         );
-        let shard = keys::claim_table(&account, &key);
-        self.with_claims(&account, shard, effects, |claims, now, fx| {
+        let table = keys::claim_table(&account, &key);
+        self.with_claims(&account, table, effects, |claims, now, fx| {
             claims.claim(now, &key, &run, fx);
         });
     }
 
     /// Handles a call whose key is known here: it joins the open request or gets its answer again.
-    fn on_repeat(&mut self, number: u64, call: &NewRequest, effects: &mut Effects) {
+    fn on_repeated_call(&mut self, number: u64, call: &NewRequest, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -227,7 +227,7 @@
             refuse_call(call.request, RefusalCode::KeyReused, None, effects);
             return;
         }
-        request.note("joined by a repeated call with the same key".to_owned());
+        request.add_note("joined by a repeated call with the same key".to_owned());
         effects.push(Effect::BodyDone {
             request: call.request,
         });
@@ -251,13 +251,13 @@
             request: call.request,
             is_streamed: call.is_streamed,
         });
-        self.by_caller.insert(call.request, number);
+        self.by_call.insert(call.request, number);
     }
 
     /// Removes a call whose caller has disconnected. Its request continues: the caller may come
     /// back with the same key, and what the target runs is billed in any case.
     pub(super) fn on_caller_gone(&mut self, call: RequestHandle) {
-        let Some(number) = self.by_caller.remove(&call) else {
+        let Some(number) = self.by_call.remove(&call) else {
             return;
         };
         if let Some(request) = self.requests.get_mut(&number) {
@@ -276,13 +276,13 @@
                 if let Some((target, _)) = request.target.clone() {
                     effects.push(Effect::Cancel { run, target });
                 }
-                self.lose_run(number, effects);
-                self.end_unknown(number, RefusalCode::DeadlineExceeded, effects);
+                self.orphan_run(number, effects);
+                self.finish_unknown(number, RefusalCode::DeadlineExceeded, effects);
             }
             _ => self.refuse(
                 number,
                 RefusalCode::DeadlineExceeded,
-                Some(RETRY_SHORT),
+                Some(RETRY_AFTER_SHORT),
                 effects,
             ),
         }
--- a/crates/damaskstile/src/instance/money.rs
+++ b/crates/damaskstile/src/instance/budgets.rs
@@ -7,7 +7,7 @@
 
 use super::request::Step;
 use super::timers::Timer;
-use super::{Call, Effects, Instance};
+use super::{Effects, Instance, StorePurpose};
 use crate::keys;
 
 impl Instance {
@@ -52,7 +52,7 @@
             holder.stop(self.now);
         }
         self.holders.insert(budget.clone(), holder);
-        self.clean_up_later();
+        self.schedule_clean_up();
     }
 
     pub(super) fn reserve(&mut self, number: u64, is_open_only: bool, effects: &mut Effects) {
@@ -63,7 +63,7 @@
         let (budget, run, tokens) = (
             request.budget.clone(),
             request.run.clone(),
-            request.worst_tokens(),
+            request.worst_case_tokens(),
         );
         let mut reserved = Reserve::Waiting;
         self.with_holder(&budget, effects, |holder, now, fx| {
@@ -72,7 +72,7 @@
         match reserved {
             Reserve::Ready(_) => self.find_target(number, effects),
             Reserve::Waiting => {}
-            Reserve::Refused(code) => self.refuse_for_money(&run, code, effects),
+            Reserve::Refused(code) => self.refuse_for_budget(&run, code, effects),
         }
     }
 
@@ -80,8 +80,8 @@
         match effect {
             HolderEffect::Read => {
                 let key = keys::ledger_key(budget);
-                let call = Call::Ledger(budget.clone());
-                self.call_store(call, StoreCall::Read { key }, effects);
+                let purpose = StorePurpose::Ledger(budget.clone());
+                self.call_store(purpose, StoreCall::Read { key }, effects);
             }
             HolderEffect::Write {
                 expected_version,
@@ -92,7 +92,7 @@
                     expected_version,
                     value,
                 };
-                self.call_store(Call::Ledger(budget.clone()), write, effects);
+                self.call_store(StorePurpose::Ledger(budget.clone()), write, effects);
             }
             HolderEffect::WritePage { page, value } => {
                 let write = StoreCall::Write {
@@ -100,7 +100,7 @@
                     expected_version: 0,
                     value,
                 };
-                self.call_store(Call::Page(budget.clone()), write, effects);
+                self.call_store(StorePurpose::Page(budget.clone()), write, effects);
             }
             HolderEffect::Send { to, message } => effects.push(Effect::Send { to, message }),
             HolderEffect::Ready { run, .. } => {
@@ -108,12 +108,12 @@
                     self.find_target(number, effects);
                 }
             }
-            HolderEffect::Refused { run, code } => self.refuse_for_money(&run, code, effects),
+            HolderEffect::Refused { run, code } => self.refuse_for_budget(&run, code, effects),
             HolderEffect::Give { transfer, plan } => {
-                self.on_give_wanted(budget, transfer, &plan, effects);
+                self.on_transfer_planned(budget, transfer, &plan, effects);
             }
             HolderEffect::Watch { grant, witnesses } => {
-                Self::send_watch(budget, grant, &witnesses, effects);
+                Self::announce_grant(budget, grant, &witnesses, effects);
             }
             HolderEffect::Flushed { runs } => self.on_flushed(&runs, effects),
             HolderEffect::Sealed {
@@ -125,7 +125,7 @@
         }
     }
 
-    fn refuse_for_money(&mut self, run: &RunId, code: RefusalCode, effects: &mut Effects) {
+    fn refuse_for_budget(&mut self, run: &RunId, code: RefusalCode, effects: &mut Effects) {
         let Some(number) = self.by_run.get(run).copied() else {
             return;
         };
@@ -140,7 +140,7 @@
 
     /// Abandons a request's current run, which did not begin: releases its tokens, target and
     /// records.
-    pub(super) fn drop_run(&mut self, number: u64, effects: &mut Effects) {
+    pub(super) fn abandon_run(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -163,7 +163,7 @@
         if had_record {
             self.on_flushed(&[run], effects);
         } else {
-            self.settled(&run);
+            self.mark_settled(&run);
         }
     }
 
@@ -176,7 +176,7 @@
         }
     }
 
-    fn settled(&mut self, run: &RunId) {
+    fn mark_settled(&mut self, run: &RunId) {
         self.records.remove(run);
         if let Some(number) = damaskstile_budgets::records::run_number(run) {
             self.unsettled.remove(&number);
@@ -186,7 +186,7 @@
     /// Lets witnesses discard the records of runs that are accounted for in the store or abandoned.
     fn on_flushed(&mut self, runs: &[RunId], effects: &mut Effects) {
         for run in runs {
-            self.settled(run);
+            self.mark_settled(run);
             self.keeper.unfollow(run);
         }
         let witnesses = self.witnesses_in_use();
--- a/crates/damaskstile/src/instance/claims.rs
+++ b/crates/damaskstile/src/instance/claims.rs
@@ -5,9 +5,9 @@
 use damaskstile_requests::claims::ClaimEffect;
 use damaskstile_requests::{Claim, ClaimShard};
 
-use super::admit::RETRY_SHORT;
+use super::admit::RETRY_AFTER_SHORT;
 use super::timers::Timer;
-use super::{Call, Effects, Instance};
+use super::{Effects, Instance, StorePurpose};
 use crate::keys;
 
 impl Instance {
@@ -27,9 +27,9 @@
         let Some(run) = request.claim_run.take() else {
             return;
         };
-        let (account, key) = request.name();
-        let shard = keys::claim_table(&account, &key);
-        self.with_claims(&account, shard, effects, |claims, now, fx| match state {
+        let (account, key) = request.account_key();
+        let table = keys::claim_table(&account, &key);
+        self.with_claims(&account, table, effects, |claims, now, fx| match state {
             Some(state) => claims.finish(now, &key, &run, state, fx),
             None => claims.release(now, &key, &run, fx),
         });
@@ -38,36 +38,36 @@
     pub(super) fn with_claims(
         &mut self,
         account: &AccountId,
-        shard: u64,
+        table: u64,
         effects: &mut Effects,
         act: impl FnOnce(&mut ClaimShard, Duration, &mut Vec<ClaimEffect>),
     ) {
-        let kept = self.claims_kept();
+        let kept = self.claim_retention();
         let instance = &self.options.identity.instance;
         let claims = self
             .claims
-            .entry((account.clone(), shard))
+            .entry((account.clone(), table))
             .or_insert_with(|| ClaimShard::new(instance, kept));
         let mut fx = Vec::new();
         act(claims, self.now, &mut fx);
         let wake = claims.next_wake();
-        self.set_timer_at(wake, Timer::Claims(account.clone(), shard));
+        self.set_timer_at(wake, Timer::Claims(account.clone(), table));
         for effect in fx {
-            self.on_claim_effect(account, shard, effect, effects);
+            self.on_claim_effect(account, table, effect, effects);
         }
     }
 
     fn on_claim_effect(
         &mut self,
         account: &AccountId,
-        shard: u64,
+        table: u64,
         effect: ClaimEffect,
         effects: &mut Effects,
     ) {
-        let key = keys::claims_key(account, shard);
+        let key = keys::claims_key(account, table);
         match effect {
             ClaimEffect::Read => self.call_store(
-                Call::Claims(account.clone(), shard),
+                StorePurpose::Claims(account.clone(), table),
                 StoreCall::Read { key },
                 effects,
             ),
@@ -75,7 +75,7 @@
                 expected_version,
                 value,
             } => self.call_store(
-                Call::Claims(account.clone(), shard),
+                StorePurpose::Claims(account.clone(), table),
                 StoreCall::Write {
                     key,
                     expected_version,
@@ -89,7 +89,7 @@
                 if let Some(number) = self.by_run.get(&run).copied() {
                     self.clear_claim(number);
                     let code = RefusalCode::ClaimUnavailable;
-                    self.refuse(number, code, Some(RETRY_SHORT), effects);
+                    self.refuse(number, code, Some(RETRY_AFTER_SHORT), effects);
                 }
             }
             ClaimEffect::Log(event) => effects.push(Effect::Log(event)),
@@ -103,7 +103,7 @@
             // The run gets a new number: the ledger treats every run below the lowest one that is
             // reserved or waits for tokens as accounted for, and this run did neither while its
             // claim was being stored.
-            self.drop_run(number, effects);
+            self.abandon_run(number, effects);
             self.renew_run(number);
             self.reserve(number, false, effects);
         }
@@ -114,11 +114,11 @@
             return;
         };
         self.clear_claim(number);
-        self.drop_run(number, effects);
+        self.abandon_run(number, effects);
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.note(format!("already claimed by {}", claim.instance));
+        request.add_note(format!("already claimed by {}", claim.instance));
         let key = request.key.clone();
         Self::log(
             effects,
@@ -127,7 +127,7 @@
         );
         let (code, retry_after) = match claim.state {
             ClaimState::Answered { .. } => (RefusalCode::AlreadyRan, None),
-            ClaimState::Claimed => (RefusalCode::InProgress, Some(RETRY_SHORT)),
+            ClaimState::Claimed => (RefusalCode::InProgress, Some(RETRY_AFTER_SHORT)),
             ClaimState::Unknown => (RefusalCode::TargetLost, None),
         };
         let outcome = Outcome::Unknown {
--- a/crates/damaskstile/src/instance/dispatch.rs
+++ b/crates/damaskstile/src/instance/dispatch.rs
@@ -9,7 +9,7 @@
 use super::{Effects, Instance};
 
 /// Time within which the host must send a dispatched request.
-const SEND_WITHIN: Duration = Duration::from_secs(1);
+const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum interval between two checks of a queue that is not empty.
 const QUEUE_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -43,13 +43,13 @@
         if let Some(request) = self.requests.get_mut(&number) {
             request.target = Some((target, address));
         }
-        self.record(number, effects);
+        self.record_run(number, effects);
     }
 
     fn enqueue(&mut self, number: u64, effects: &mut Effects) {
         let system = &self.settings.settings().system;
-        let places = usize::try_from(system.queue_requests).unwrap_or(usize::MAX);
-        let longest = Duration::from_millis(system.queue_wait_ms);
+        let capacity = usize::try_from(system.queue_requests).unwrap_or(usize::MAX);
+        let max_wait = Duration::from_millis(system.queue_wait_ms);
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -59,9 +59,9 @@
             account: request.account.clone(),
             service: request.service.clone(),
             priority: request.priority,
-            until: request.until.min(self.now + longest),
+            until: request.deadline.min(self.now + max_wait),
         };
-        let refused = match self.queue.push(queued, places) {
+        let refused = match self.queue.push(queued, capacity) {
             Ok(displaced) => displaced,
             Err(queued) => Some(queued),
         };
@@ -81,7 +81,7 @@
     }
 
     /// Schedules a check of the queue for the next run of the timers.
-    pub(super) fn queue_soon(&mut self) {
+    pub(super) fn schedule_queue_check(&mut self) {
         if !self.queue.is_empty() {
             self.set_timer(Duration::ZERO, Timer::Queue);
         }
@@ -149,8 +149,8 @@
         request.step = Step::Running;
         request.sent_at = self.now;
         request.runs += 1;
-        request.note(format!("sent to {target}"));
-        let dispatch = request.dispatch(self.now + SEND_WITHIN);
+        request.add_note(format!("sent to {target}"));
+        let dispatch = request.dispatch(self.now + SEND_TIMEOUT);
         effects.extend(dispatch.map(Effect::Dispatch));
     }
 
@@ -161,7 +161,7 @@
         target: &TargetId,
         effects: &mut Effects,
     ) {
-        self.drop_run(number, effects);
+        self.abandon_run(number, effects);
         if let Some(request) = self.requests.get_mut(&number) {
             request.tried.insert(target.clone());
         }
--- a/crates/damaskstile/src/instance/explain.rs
+++ b/crates/damaskstile/src/instance/explain.rs
@@ -3,7 +3,7 @@
 use damaskstile_budgets::Ledger;
 use damaskstile_core::prelude::*;
 
-use super::{Call, Effects, Instance};
+use super::{Effects, Instance, StorePurpose};
 use crate::keys;
 
 /// Explain call that waits for a read of the ledger.
@@ -31,8 +31,8 @@
             return;
         };
         let (account, budget) = (account.clone(), of_account.budget.clone());
-        let name = (account.clone(), key.clone());
-        if let Some(number) = self.by_name.get(&name) {
+        let account_key = (account.clone(), key.clone());
+        if let Some(number) = self.by_key.get(&account_key) {
             effects.push(Effect::Explained {
                 request: call,
                 explanation: self.explain_open(*number),
@@ -45,11 +45,11 @@
             account,
             key: key.clone(),
         };
-        self.explains.insert(number, pending);
+        self.pending_explains.insert(number, pending);
         let read = StoreCall::Read {
             key: keys::ledger_key(&budget),
         };
-        self.call_store(Call::Explain(number), read, effects);
+        self.call_store(StorePurpose::Explain(number), read, effects);
     }
 
     fn explain_open(&self, number: u64) -> Option<Explanation> {
@@ -66,7 +66,7 @@
             billed_tokens,
             runs: request.runs,
             instance: self.options.identity.instance.clone(),
-            why: request.why.clone(),
+            why: request.notes.clone(),
         })
     }
 
@@ -76,7 +76,7 @@
         answer: StoreAnswer,
         effects: &mut Effects,
     ) {
-        let Some(pending) = self.explains.remove(&number) else {
+        let Some(pending) = self.pending_explains.remove(&number) else {
             return;
         };
         let ledger = match answer {
--- a/crates/damaskstile/src/instance/finish.rs
+++ b/crates/damaskstile/src/instance/finish.rs
@@ -3,12 +3,12 @@
 use damaskstile_core::prelude::*;
 use damaskstile_requests::claim::ClaimState;
 
-use super::admit::RETRY_SHORT;
+use super::admit::RETRY_AFTER_SHORT;
 use super::request::{Request, Step};
 use super::{Effects, Instance};
 
 /// Advised retry delay where only an operator can remove the cause.
-const RETRY_LONG: Duration = Duration::from_secs(30);
+const RETRY_AFTER_LONG: Duration = Duration::from_secs(30);
 
 impl Instance {
     /// Ends a request whose current run was not sent or provably did not begin.
@@ -19,14 +19,14 @@
         retry_after: Option<Duration>,
         effects: &mut Effects,
     ) {
-        self.drop_run(number, effects);
+        self.abandon_run(number, effects);
         let has_begun = self
             .requests
             .get(&number)
             .is_some_and(|request| request.has_begun);
         if has_begun {
             // This run did not begin, but an earlier one broke off, so something may have run.
-            self.end_unknown(number, code, effects);
+            self.finish_unknown(number, code, effects);
             return;
         }
         self.release_claim(number, effects);
@@ -34,7 +34,7 @@
     }
 
     /// Ends a request that may have run, with an unknown outcome.
-    pub(super) fn end_unknown(&mut self, number: u64, code: RefusalCode, effects: &mut Effects) {
+    pub(super) fn finish_unknown(&mut self, number: u64, code: RefusalCode, effects: &mut Effects) {
         self.finish_claim(number, ClaimState::Unknown, effects);
         let Some(request) = self.requests.get(&number) else {
             return;
@@ -42,7 +42,7 @@
         let outcome = Outcome::Unknown {
             code,
             key: request.key.clone(),
-            retry_after: Some(RETRY_SHORT),
+            retry_after: Some(RETRY_AFTER_SHORT),
         };
         self.finish(number, &outcome, effects);
     }
@@ -57,7 +57,7 @@
         }
         request.step = Step::Done;
         request.outcome = Some(outcome.clone());
-        request.kept_until = self.now + self.options.replay_kept;
+        request.replay_until = self.now + self.options.replay_retention;
         let account = request.account.clone();
         let callers = std::mem::take(&mut request.callers);
         effects.push(Effect::BodyDone {
@@ -65,7 +65,7 @@
         });
         log_outcome(request, outcome, effects);
         for caller in callers {
-            self.by_caller.remove(&caller.request);
+            self.by_call.remove(&caller.request);
             effects.push(Effect::Answer {
                 request: caller.request,
                 outcome: outcome.clone(),
@@ -74,11 +74,11 @@
         if let Some(open) = self.open_of_account.get_mut(&account) {
             *open = open.saturating_sub(1);
         }
-        self.keep_for_repeat(number, outcome);
-        self.queue_soon();
+        self.retain_for_replay(number, outcome);
+        self.schedule_queue_check();
     }
 
-    fn keep_for_repeat(&mut self, number: u64, outcome: &Outcome) {
+    fn retain_for_replay(&mut self, number: u64, outcome: &Outcome) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
@@ -93,7 +93,7 @@
         };
         if is_kept {
             self.replay_bytes += request.answer.bytes();
-            self.clean_up_later();
+            self.schedule_clean_up();
         } else {
             self.forget_request(number);
         }
@@ -101,19 +101,19 @@
 
     pub(super) fn forget_request(&mut self, number: u64) {
         if let Some(request) = self.requests.remove(&number) {
-            self.by_name.remove(&request.name());
+            self.by_key.remove(&request.account_key());
         }
     }
 
     pub(super) fn clean_up(&mut self) {
         let now = self.now;
-        let old: Vec<u64> = self
+        let expired: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, request)| request.is_done() && request.kept_until <= now)
+            .filter(|(_, request)| request.is_done() && request.replay_until <= now)
             .map(|(number, _)| *number)
             .collect();
-        for number in old {
+        for number in expired {
             if let Some(request) = self.requests.get(&number) {
                 self.replay_bytes = self.replay_bytes.saturating_sub(request.answer.bytes());
             }
@@ -121,26 +121,26 @@
         }
         self.open_of_account.retain(|_, open| *open > 0);
         self.claims.retain(|_, claims| !claims.is_settled());
-        let idle_for = self.options.replay_kept;
+        let idle_for = self.options.replay_retention;
         self.holders
             .retain(|_, holder| !holder.is_idle(now, idle_for));
-        let has_kept = self.requests.values().any(Request::is_done);
-        if has_kept || !self.holders.is_empty() {
-            self.clean_up_later();
+        let has_retained = self.requests.values().any(Request::is_done);
+        if has_retained || !self.holders.is_empty() {
+            self.schedule_clean_up();
         }
     }
 
     /// Returns the advised retry delay for a refusal.
     pub(super) fn retry_after(&self, code: RefusalCode, service: &str) -> Duration {
         match code {
-            RefusalCode::BudgetExhausted => RETRY_LONG,
+            RefusalCode::BudgetExhausted => RETRY_AFTER_LONG,
             RefusalCode::Overloaded => {
                 let waiting = u32::try_from(self.queue.len(service)).unwrap_or(u32::MAX);
                 let time = self.registry.answer_time(service);
                 let wait = time.saturating_mul(waiting.clamp(1, 32)) / 4;
-                wait.max(RETRY_SHORT)
+                wait.max(RETRY_AFTER_SHORT)
             }
-            _ => RETRY_SHORT,
+            _ => RETRY_AFTER_SHORT,
         }
     }
 }
--- a/crates/damaskstile/src/instance/fleet.rs
+++ b/crates/damaskstile/src/instance/fleet.rs
@@ -7,10 +7,10 @@
 use damaskstile_fleet::spread::Applied;
 
 use super::timers::Timer;
-use super::{Call, Effects, Instance};
+use super::{Effects, Instance, StorePurpose};
 
 /// Delay before the settings are read again while there are none.
-const SETTINGS_RETRY: Duration = Duration::from_secs(1);
+const SETTINGS_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl Instance {
     pub(super) fn on_peer(
@@ -34,9 +34,9 @@
                     .forget(&(from.clone(), incarnation), &forget.runs);
             }
             PeerMessage::Ask(ask) => {
-                self.on_ask(from, &ask, effects);
+                self.on_token_request(from, &ask, effects);
             }
-            PeerMessage::Give(give) => self.on_give(from, &give, effects),
+            PeerMessage::Give(give) => self.on_transfer_received(from, &give, effects),
             PeerMessage::Take(take) => {
                 if let Some(holder) = self.holders.get_mut(&take.budget) {
                     holder.on_take(&take.transfer);
@@ -51,25 +51,25 @@
     }
 
     fn on_gossip(&mut self, from: &InstanceId, gossip: &Gossip, effects: &mut Effects) {
-        let heard = self.membership.hear(self.now, gossip);
+        let merged = self.membership.hear(self.now, gossip);
         for state in &gossip.members {
-            let life = (state.instance.clone(), state.incarnation);
-            self.keeper.forget_below(&life, state.settled_runs_below);
+            let peer = (state.instance.clone(), state.incarnation);
+            self.keeper.forget_below(&peer, state.settled_runs_below);
         }
-        for life in &heard.replaced {
-            // A name belongs to one address, so a later incarnation under it proves that the earlier
-            // process has ended.
-            self.seal(life, effects);
+        for peer in &merged.replaced {
+            // A name belongs to one address, so a later incarnation under it proves that the
+            // earlier process has ended.
+            self.seal(peer, effects);
         }
-        for instance in &heard.joined {
+        for instance in &merged.joined {
             Self::log(effects, EventCode::MemberJoined, &[("instance", instance)]);
         }
-        if !heard.joined.is_empty() {
+        if !merged.joined.is_empty() {
             self.members_changed(effects);
         }
         for note in &gossip.targets {
             let changed = self.registry.on_note(self.now, note);
-            Self::target_changed(&note.target, changed, effects);
+            Self::log_target_change(&note.target, changed, effects);
         }
         self.pull_newer_settings(from, effects);
     }
@@ -93,7 +93,7 @@
         }
         self.seal_silent(effects);
         if let Some((peers, members)) = self.membership.next_round(self.now) {
-            self.greet_partners(&peers, effects);
+            self.send_heartbeats(&peers, effects);
             self.send_gossip(&peers, members, effects);
         }
         self.probe_targets(effects);
@@ -102,19 +102,19 @@
     /// Sends a heartbeat to this instance's witnesses and to the peers that it is a witness of,
     /// unless this round's gossip goes to them anyway.
     ///
-    /// Grants are sealed by the time since a peer was last heard from directly; gossip that others
+    /// Grants are sealed by the time since a peer last sent something directly; gossip that others
     /// pass on does not count.
-    fn greet_partners(&self, told: &BTreeSet<InstanceId>, effects: &mut Effects) {
+    fn send_heartbeats(&self, already_sent: &BTreeSet<InstanceId>, effects: &mut Effects) {
         let mut partners = self.witnesses_in_use();
         partners.extend(self.keeper.lives().map(|(instance, _)| instance.clone()));
-        let greeting = Gossip {
+        let heartbeat = Gossip {
             members: vec![self.membership.own().clone()],
             targets: Vec::new(),
         };
-        for to in partners.difference(told) {
+        for to in partners.difference(already_sent) {
             effects.push(Effect::Send {
                 to: to.clone(),
-                message: PeerMessage::Gossip(greeting.clone()),
+                message: PeerMessage::Gossip(heartbeat.clone()),
             });
         }
     }
@@ -158,7 +158,7 @@
         for (budget, wake) in wakes {
             self.set_timer_at(wake, Timer::Holder(budget));
         }
-        self.hand_records_on(effects);
+        self.send_records_to_new_witnesses(effects);
         let is_watching = self.membership.is_watcher() && self.stop_at.is_none();
         if is_watching != self.is_watching {
             self.is_watching = is_watching;
@@ -197,15 +197,15 @@
             })
             .cloned()
             .collect();
-        for life in silent {
-            self.seal(&life, effects);
+        for peer in silent {
+            self.seal(&peer, effects);
         }
     }
 
-    fn seal(&mut self, life: &(InstanceId, Incarnation), effects: &mut Effects) {
-        for (budget, kept) in self.keeper.seal(life) {
+    fn seal(&mut self, peer: &(InstanceId, Incarnation), effects: &mut Effects) {
+        for (budget, kept) in self.keeper.seal(peer) {
             self.with_holder(&budget, effects, |holder, now, fx| {
-                holder.seal(now, &life.0, life.1, kept);
+                holder.seal(now, &peer.0, peer.1, kept);
                 holder.tick(now, fx);
             });
         }
@@ -213,18 +213,18 @@
 
     pub(super) fn read_settings(&mut self, effects: &mut Effects) {
         let key = SETTINGS_KEY.to_owned();
-        self.call_store(Call::Settings, StoreCall::Read { key }, effects);
+        self.call_store(StorePurpose::Settings, StoreCall::Read { key }, effects);
     }
 
     pub(super) fn read_settings_if_none(&mut self, effects: &mut Effects) {
         if self.settings.is_empty() {
             self.read_settings(effects);
-            self.ask_peers_for_settings(effects);
+            self.request_settings_from_peers(effects);
         }
     }
 
     /// Requests the settings from peers, which can answer while the store is down.
-    pub(super) fn ask_peers_for_settings(&mut self, effects: &mut Effects) {
+    pub(super) fn request_settings_from_peers(&mut self, effects: &mut Effects) {
         let (peers, _) = self.membership.round();
         for to in peers {
             let message = PeerMessage::PullSettings(PullSettings { have_version: 0 });
@@ -237,7 +237,7 @@
             StoreAnswer::Found(Some(object)) => {
                 self.on_changed(SETTINGS_KEY, &object, effects);
             }
-            _ => self.set_timer(SETTINGS_RETRY, Timer::Settings),
+            _ => self.set_timer(SETTINGS_RETRY_DELAY, Timer::Settings),
         }
     }
 
@@ -270,13 +270,13 @@
             ),
             Applied::InForce => {
                 Self::log(effects, EventCode::SettingsApplied, &[("version", &number)]);
-                self.use_settings(effects);
+                self.on_settings_changed(effects);
                 self.gossip_now(effects);
             }
         }
     }
 
-    fn use_settings(&mut self, effects: &mut Effects) {
+    fn on_settings_changed(&mut self, effects: &mut Effects) {
         let settings = self.settings.settings();
         let system = &settings.system;
         self.retries.set_percent(system.retry_percent);
@@ -326,7 +326,7 @@
 
     pub(super) fn on_targets(&mut self, targets: Vec<TargetInfo>, effects: &mut Effects) {
         for (target, is_leaving) in self.registry.set_targets(targets) {
-            Self::target_changed(&target, Some(is_leaving), effects);
+            Self::log_target_change(&target, Some(is_leaving), effects);
         }
         self.probe_targets(effects);
     }
@@ -338,7 +338,7 @@
         effects: &mut Effects,
     ) {
         let changed = self.registry.on_status(self.now, target, status);
-        Self::target_changed(target, changed, effects);
+        Self::log_target_change(target, changed, effects);
         if changed.is_some() {
             // Sent at once, for peers that cannot reach the target themselves.
             let notes: Vec<TargetNote> = self.registry.notes(self.now);
@@ -354,10 +354,10 @@
                 });
             }
         }
-        self.queue_soon();
+        self.schedule_queue_check();
     }
 
-    fn target_changed(target: &str, changed: Option<bool>, effects: &mut Effects) {
+    fn log_target_change(target: &str, changed: Option<bool>, effects: &mut Effects) {
         match changed {
             Some(true) => Self::log(effects, EventCode::TargetLeaving, &[("target", target)]),
             Some(false) => Self::log(effects, EventCode::TargetReturned, &[("target", target)]),
--- a/crates/damaskstile/src/instance/stray.rs
+++ b/crates/damaskstile/src/instance/orphan.rs
@@ -13,17 +13,17 @@
 use super::{Effects, Instance};
 
 /// Interval between two inquiries about the same run.
-const ASK_AGAIN_AFTER: Duration = Duration::from_secs(1);
+const INQUIRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Run whose end is not known.
 #[derive(Debug)]
-pub(super) struct Stray {
+pub(super) struct OrphanedRun {
     entry: Entry,
     budget: BudgetId,
     address: String,
     prompt_tokens: u64,
-    worst_tokens: u64,
-    until: Duration,
+    worst_case_tokens: u64,
+    deadline: Duration,
     /// Whether the run is a silent peer's and draws on open grants only.
     is_open: bool,
     /// Draws of a silent peer's run; `None` for a run of this instance.
@@ -34,7 +34,7 @@
 
 impl Instance {
     /// Turns a request's run into an orphaned run. Its tokens stay reserved until it is settled.
-    pub(super) fn lose_run(&mut self, number: u64, effects: &mut Effects) {
+    pub(super) fn orphan_run(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
@@ -43,13 +43,13 @@
             return;
         }
         let (target, address) = request.target.clone().unwrap_or_default();
-        let stray = Stray {
+        let orphan = OrphanedRun {
             entry: self.entry(request, 0, 0),
             budget: request.budget.clone(),
             address,
             prompt_tokens: request.prompt_tokens,
-            worst_tokens: request.worst_tokens(),
-            until: self.now + self.options.inquire_until,
+            worst_case_tokens: request.worst_case_tokens(),
+            deadline: self.now + self.options.inquiry_limit,
             is_open: false,
             draws: None,
             origins: Vec::new(),
@@ -58,7 +58,7 @@
         if let Some(request) = self.requests.get_mut(&number) {
             request.has_begun = true;
         }
-        self.strays.insert(run.clone(), stray);
+        self.orphans.insert(run.clone(), orphan);
         self.inquire(&run, effects);
     }
 
@@ -67,28 +67,28 @@
     pub(super) fn on_sealed(
         &mut self,
         budget: &BudgetId,
-        life: &(InstanceId, Incarnation),
+        peer: &(InstanceId, Incarnation),
         grants: &BTreeSet<GrantId>,
         effects: &mut Effects,
     ) {
-        for record in self.keeper.sealed(life, budget, grants) {
+        for record in self.keeper.sealed(peer, budget, grants) {
             let run = record.run.clone();
             let is_open = !record.draws.iter().any(|draw| grants.contains(&draw.grant));
             let end = record.ended.clone();
-            let stray = self.stray_of_record(record, is_open);
-            self.strays.insert(run.clone(), stray);
+            let orphan = self.orphan_of_record(record, is_open);
+            self.orphans.insert(run.clone(), orphan);
             match end {
                 Some(end) => {
-                    self.settle_stray(&run, end.prompt_tokens, end.output_tokens, true, effects);
+                    self.settle_orphan(&run, end.prompt_tokens, end.output_tokens, true, effects);
                 }
                 None => self.inquire(&run, effects),
             }
         }
     }
 
-    fn stray_of_record(&self, record: RunRecord, is_open: bool) -> Stray {
-        let worst_tokens = record.draws.iter().map(|draw| draw.tokens).sum();
-        Stray {
+    fn orphan_of_record(&self, record: RunRecord, is_open: bool) -> OrphanedRun {
+        let worst_case_tokens = record.draws.iter().map(|draw| draw.tokens).sum();
+        OrphanedRun {
             entry: Entry {
                 run: record.run,
                 key: record.key,
@@ -103,8 +103,8 @@
             budget: record.budget,
             address: record.address,
             prompt_tokens: record.prompt_tokens,
-            worst_tokens,
-            until: self.now + self.options.inquire_until,
+            worst_case_tokens,
+            deadline: self.now + self.options.inquiry_limit,
             is_open,
             draws: Some(record.draws),
             origins: record.origins,
@@ -114,24 +114,25 @@
     /// Asks the target of an orphaned run for its state; past the time limit the run is settled at
     /// its worst case.
     pub(super) fn inquire(&mut self, run: &RunId, effects: &mut Effects) {
-        let Some(stray) = self.strays.get(run) else {
+        let Some(orphan) = self.orphans.get(run) else {
             return;
         };
-        if self.now >= stray.until {
-            if stray.is_open {
+        if self.now >= orphan.deadline {
+            if orphan.is_open {
                 // Its tokens stay in the grant of the lost holder, where they count as spent.
-                self.strays.remove(run);
+                self.orphans.remove(run);
                 self.keeper.unfollow(run);
                 return;
             }
             // The usage stays unknown. The reserved tokens count as spent, but the caller is not
             // billed for an answer that nobody received.
-            let (prompt_tokens, worst_tokens) = (stray.prompt_tokens, stray.worst_tokens);
-            let prompt_tokens = prompt_tokens.min(worst_tokens);
-            self.settle_stray(
+            let (prompt_tokens, worst_case_tokens) =
+                (orphan.prompt_tokens, orphan.worst_case_tokens);
+            let prompt_tokens = prompt_tokens.min(worst_case_tokens);
+            self.settle_orphan(
                 run,
                 prompt_tokens,
-                worst_tokens - prompt_tokens,
+                worst_case_tokens - prompt_tokens,
                 false,
                 effects,
             );
@@ -139,32 +140,32 @@
         }
         effects.push(Effect::Inquire {
             run: run.clone(),
-            target: stray.entry.target.clone(),
-            address: stray.address.clone(),
+            target: orphan.entry.target.clone(),
+            address: orphan.address.clone(),
         });
-        self.set_timer(ASK_AGAIN_AFTER, Timer::Stray(run.clone()));
+        self.set_timer(INQUIRY_INTERVAL, Timer::Inquiry(run.clone()));
     }
 
     pub(super) fn on_run_state(&mut self, run: &RunId, state: &RunState, effects: &mut Effects) {
-        let Some(stray) = self.strays.get(run) else {
+        let Some(orphan) = self.orphans.get(run) else {
             return;
         };
         match state {
             RunState::Running | RunState::Unreachable => {}
-            RunState::NeverStarted => self.settle_stray(run, 0, 0, false, effects),
+            RunState::NeverStarted => self.settle_orphan(run, 0, 0, false, effects),
             RunState::Ended {
                 prompt_tokens,
                 output_tokens,
             } => {
-                let prompt_tokens = (*prompt_tokens).min(stray.prompt_tokens);
-                let left_tokens = stray.worst_tokens.saturating_sub(prompt_tokens);
+                let prompt_tokens = (*prompt_tokens).min(orphan.prompt_tokens);
+                let left_tokens = orphan.worst_case_tokens.saturating_sub(prompt_tokens);
                 let output_tokens = (*output_tokens).min(left_tokens);
-                self.settle_stray(run, prompt_tokens, output_tokens, true, effects);
+                self.settle_orphan(run, prompt_tokens, output_tokens, true, effects);
             }
         }
     }
 
-    fn settle_stray(
+    fn settle_orphan(
         &mut self,
         run: &RunId,
         prompt_tokens: u64,
@@ -172,17 +173,17 @@
         is_billed: bool,
         effects: &mut Effects,
     ) {
-        let Some(stray) = self.strays.remove(run) else {
+        let Some(orphan) = self.orphans.remove(run) else {
             return;
         };
-        let mut entry = stray.entry;
+        let mut entry = orphan.entry;
         entry.prompt_tokens = prompt_tokens;
         entry.output_tokens = output_tokens;
         entry.is_billed = is_billed;
         entry.at_unix_ms = unix_ms(self.now);
-        self.with_holder(&stray.budget, effects, |holder, now, fx| {
-            match stray.draws {
-                Some(draws) => holder.settle_for_other(now, entry, draws, stray.origins),
+        self.with_holder(&orphan.budget, effects, |holder, now, fx| {
+            match orphan.draws {
+                Some(draws) => holder.settle_for_other(now, entry, draws, orphan.origins),
                 None => holder.settle(now, entry),
             }
             holder.tick(now, fx);
--- a/crates/damaskstile/src/instance/record.rs
+++ b/crates/damaskstile/src/instance/record.rs
@@ -10,7 +10,7 @@
 
 impl Instance {
     /// Announces a grant to its witnesses, so that they can seal it when this instance is lost.
-    pub(super) fn send_watch(
+    pub(super) fn announce_grant(
         budget: &BudgetId,
         grant: GrantId,
         witnesses: &BTreeSet<InstanceId>,
@@ -32,7 +32,7 @@
 
     /// Sends the record of a run to witnesses. The run is dispatched once a witness of each of its
     /// grants has accepted, or at once if its grants have no witnesses.
-    pub(super) fn record(&mut self, number: u64, effects: &mut Effects) {
+    pub(super) fn record_run(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -41,7 +41,7 @@
             .get(&request.budget)
             .map(|holder| holder.plans(&request.run))
             .unwrap_or_default();
-        request.awaited = awaited(&plans);
+        request.awaited = awaited_witnesses(&plans);
         let (target, address) = request.target.clone().unwrap_or_default();
         let record = RunRecord {
             run: request.run.clone(),
@@ -57,9 +57,9 @@
         };
         self.records.insert(record.run.clone(), record.clone());
         let is_awaited = !request.awaited.is_empty();
-        let timer = Timer::Record(number, request.run.clone());
-        // A run on open tokens is recorded too, so that its bill survives the loss of this instance,
-        // but it does not wait for the record.
+        let timer = Timer::RecordTimeout(number, request.run.clone());
+        // A run on open tokens is recorded too, so that its bill survives the loss of this
+        // instance, but it does not wait for the record.
         let witnesses: BTreeSet<InstanceId> = if is_awaited {
             request.step = Step::Recording;
             request
@@ -77,7 +77,7 @@
             });
         }
         if is_awaited {
-            self.set_timer(self.options.record_patience, timer);
+            self.set_timer(self.options.record_timeout, timer);
         } else {
             self.send_request(number, effects);
         }
@@ -91,7 +91,7 @@
         effects: &mut Effects,
     ) {
         let run = record.run.clone();
-        let life = (from.clone(), incarnation);
+        let peer = (from.clone(), incarnation);
         if let Some(end) = record.ended.clone() {
             // The run's own holder reports its end. That settles the run if it counts as orphaned
             // here.
@@ -101,7 +101,7 @@
             };
             self.on_run_state(&run, &state, effects);
         }
-        let is_accepted = self.keeper.keep(&life, record);
+        let is_accepted = self.keeper.keep(&peer, record);
         effects.push(Effect::Send {
             to: from.clone(),
             message: PeerMessage::RecordAck(RecordAck { run, is_accepted }),
@@ -115,8 +115,8 @@
         ack: &RecordAck,
         effects: &mut Effects,
     ) {
-        if self.gives.contains_key(&ack.run) {
-            self.on_give_recorded(from, incarnation, ack, effects);
+        if self.pending_transfers.contains_key(&ack.run) {
+            self.on_transfer_recorded(from, incarnation, ack, effects);
             return;
         }
         let Some(number) = self.by_run.get(&ack.run).copied() else {
@@ -144,17 +144,17 @@
         if request.awaited.is_empty() {
             self.send_request(number, effects);
         } else if is_refused {
-            self.draw_open(number, effects);
+            self.retry_with_open_tokens(number, effects);
         }
     }
 
-    pub(super) fn on_record_late(&mut self, number: u64, run: &RunId, effects: &mut Effects) {
+    pub(super) fn on_record_timeout(&mut self, number: u64, run: &RunId, effects: &mut Effects) {
         let is_waiting = self
             .requests
             .get(&number)
             .is_some_and(|request| request.step == Step::Recording && &request.run == run);
         if is_waiting {
-            self.draw_open(number, effects);
+            self.retry_with_open_tokens(number, effects);
         }
     }
 
@@ -163,14 +163,14 @@
     ///
     /// The run gets a new id: a witness may have kept the record of the old one and would account
     /// for it as well.
-    pub(super) fn draw_open(&mut self, number: u64, effects: &mut Effects) {
+    pub(super) fn retry_with_open_tokens(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        request.note("no witness accepted the record; drawing on open tokens".to_owned());
+        request.add_note("no witness accepted the record; drawing on open tokens".to_owned());
         let budget = request.budget.clone();
         let lost: BTreeSet<GrantId> = request.awaited.keys().cloned().collect();
-        self.drop_run(number, effects);
+        self.abandon_run(number, effects);
         self.with_holder(&budget, effects, |holder, now, fx| {
             holder.witnesses_lost(now, &lost);
             holder.tick(now, fx);
@@ -213,10 +213,10 @@
     ///
     /// Bills wait in memory while the store is down, and the witnesses that have their records may
     /// be lost one after the other in that time.
-    pub(super) fn hand_records_on(&mut self, effects: &mut Effects) {
+    pub(super) fn send_records_to_new_witnesses(&mut self, effects: &mut Effects) {
         let witnesses = self.membership.witnesses();
         for (witness, incarnation) in &witnesses {
-            if self.record_keepers.get(witness) == Some(incarnation) {
+            if self.record_witnesses.get(witness) == Some(incarnation) {
                 continue;
             }
             for record in self.records.values() {
@@ -226,12 +226,12 @@
                 });
             }
         }
-        self.record_keepers = witnesses;
+        self.record_witnesses = witnesses;
     }
 }
 
 /// Returns the grants of a reservation that need a record, each with its witnesses.
-fn awaited(plans: &[DrawPlan]) -> BTreeMap<GrantId, BTreeMap<InstanceId, Incarnation>> {
+fn awaited_witnesses(plans: &[DrawPlan]) -> BTreeMap<GrantId, BTreeMap<InstanceId, Incarnation>> {
     plans
         .iter()
         .filter(|plan| !plan.witnesses.is_empty())
--- a/crates/damaskstile/src/instance/request.rs
+++ b/crates/damaskstile/src/instance/request.rs
@@ -56,7 +56,7 @@
     pub prompt_tokens: u64,
     pub cap_tokens: u64,
     pub priority: Priority,
-    pub until: Duration,
+    pub deadline: Duration,
     pub step: Step,
     pub run: RunId,
     /// Run whose claim is stored or being stored for this request.
@@ -72,8 +72,8 @@
     pub resumes: u32,
     pub runs: u64,
     pub outcome: Option<Outcome>,
-    pub kept_until: Duration,
-    pub why: Vec<String>,
+    pub replay_until: Duration,
+    pub notes: Vec<String>,
 }
 
 impl Request {
@@ -82,7 +82,7 @@
     }
 
     /// Returns the maximum cost of one run, in tokens; at least 1.
-    pub(super) fn worst_tokens(&self) -> u64 {
+    pub(super) fn worst_case_tokens(&self) -> u64 {
         self.prompt_tokens.saturating_add(self.cap_tokens).max(1)
     }
 
@@ -92,7 +92,7 @@
         !self.answer.is_empty() && self.callers.iter().any(|caller| caller.is_streamed)
     }
 
-    pub(super) fn name(&self) -> (AccountId, RequestKey) {
+    pub(super) fn account_key(&self) -> (AccountId, RequestKey) {
         (self.account.clone(), self.key.clone())
     }
 
@@ -115,7 +115,7 @@
         })
     }
 
-    pub(super) fn note(&mut self, why: String) {
-        self.why.push(why);
+    pub(super) fn add_note(&mut self, note: String) {
+        self.notes.push(note);
     }
 }
--- a/crates/damaskstile/src/instance/run.rs
+++ b/crates/damaskstile/src/instance/run.rs
@@ -43,13 +43,13 @@
                 output_tokens,
             } => self.on_finished(number, chunks, prompt_tokens, output_tokens, effects),
             RunReport::Refused | RunReport::Unreachable => {
-                let is_failure = report == RunReport::Unreachable;
-                self.on_not_run(number, is_failure, effects);
+                let is_unreachable = report == RunReport::Unreachable;
+                self.on_run_not_started(number, is_unreachable, effects);
             }
             RunReport::Rejected => {
                 self.refuse(number, RefusalCode::BadRequest, None, effects);
             }
-            RunReport::Broken => self.on_broken(number, effects),
+            RunReport::Broken => self.on_stream_broken(number, effects),
             RunReport::State(_) => {}
         }
     }
@@ -67,7 +67,7 @@
         };
         match request.answer.add(index, tokens, data) {
             Assembled::Repeated => {}
-            Assembled::Gap => self.on_broken(number, effects),
+            Assembled::Gap => self.on_stream_broken(number, effects),
             Assembled::Next => {
                 for caller in request.callers.iter().filter(|caller| caller.is_streamed) {
                     effects.push(Effect::Relay {
@@ -76,14 +76,14 @@
                     });
                 }
                 if request.answer.tokens() > request.cap_tokens && request.cap_tokens > 0 {
-                    self.on_cap_passed(number, effects);
+                    self.on_cap_exceeded(number, effects);
                 }
             }
         }
     }
 
     /// Cancels a run whose target exceeds the output cap that it was given.
-    fn on_cap_passed(&mut self, number: u64, effects: &mut Effects) {
+    fn on_cap_exceeded(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
@@ -98,7 +98,7 @@
         }
         let prompt_tokens = request.prompt_tokens;
         self.settle(number, prompt_tokens, cap_tokens, None, effects);
-        self.end_unknown(number, RefusalCode::TargetLost, effects);
+        self.finish_unknown(number, RefusalCode::TargetLost, effects);
     }
 
     fn on_finished(
@@ -112,9 +112,10 @@
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        // The end of a stream does not prove that the answer is complete, so the chunks are counted.
+        // The end of a stream does not prove that the answer is complete, so the chunks are
+        // counted.
         if !request.answer.is_whole(chunks) {
-            self.on_broken(number, effects);
+            self.on_stream_broken(number, effects);
             return;
         }
         let prompt_tokens = prompt_tokens.min(request.prompt_tokens);
@@ -192,7 +193,7 @@
 
     /// Handles a target that refused a run or could not be reached: retries at another target while
     /// the retry budget allows it.
-    fn on_not_run(&mut self, number: u64, is_failure: bool, effects: &mut Effects) {
+    fn on_run_not_started(&mut self, number: u64, is_unreachable: bool, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -200,12 +201,12 @@
             return;
         };
         let service = request.service.clone();
-        request.note(format!("{target} refused it or was unreachable"));
+        request.add_note(format!("{target} refused it or was unreachable"));
         let is_resumed = request.resumes > 0;
         self.registry.failed(self.now, &target);
         if is_resumed {
             // Only the resumption was refused. The run itself had begun.
-            self.on_broken(number, effects);
+            self.on_stream_broken(number, effects);
             return;
         }
         if self.retries.try_retry(self.now) {
@@ -217,7 +218,7 @@
             self.try_other_target(number, &target, effects);
             return;
         }
-        let code = if is_failure {
+        let code = if is_unreachable {
             RefusalCode::RetriesExhausted
         } else {
             RefusalCode::Overloaded
@@ -226,16 +227,16 @@
         self.refuse(number, code, retry_after, effects);
     }
 
-    /// Handles a stream that broke off or has a gap: resumes it at its target, else runs the request
-    /// again where that is allowed.
-    fn on_broken(&mut self, number: u64, effects: &mut Effects) {
+    /// Handles a stream that broke off or has a gap: resumes it at its target, else runs the
+    /// request again where that is allowed.
+    fn on_stream_broken(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
         let Some((target, _)) = request.target.clone() else {
             return;
         };
-        request.note(format!("the stream from {target} broke off"));
+        request.add_note(format!("the stream from {target} broke off"));
         let may_resume = request.can_resume && request.resumes < RESUMES_MAX;
         let may_rerun = !request.is_non_idempotent && !request.is_partly_relayed();
         if may_resume && self.retries.try_retry(self.now) {
@@ -243,12 +244,12 @@
             return;
         }
         self.registry.failed(self.now, &target);
-        self.lose_run(number, effects);
+        self.orphan_run(number, effects);
         if may_rerun && self.retries.try_retry(self.now) {
             self.rerun(number, &target, effects);
             return;
         }
-        self.end_unknown(number, RefusalCode::TargetLost, effects);
+        self.finish_unknown(number, RefusalCode::TargetLost, effects);
     }
 
     fn resume(&mut self, number: u64, effects: &mut Effects) {
@@ -256,8 +257,8 @@
             return;
         };
         request.resumes += 1;
-        request.note("resumed".to_owned());
-        let Some(dispatch) = request.dispatch(request.until) else {
+        request.add_note("resumed".to_owned());
+        let Some(dispatch) = request.dispatch(request.deadline) else {
             return;
         };
         Self::log(
--- a/crates/damaskstile/src/instance/stop.rs
+++ b/crates/damaskstile/src/instance/stop.rs
@@ -49,7 +49,7 @@
             return;
         }
         let is_past_limit = self.is_past_stop_limit();
-        if self.open_requests() > 0 || (!self.strays.is_empty() && !is_past_limit) {
+        if self.open_requests() > 0 || (!self.orphans.is_empty() && !is_past_limit) {
             return;
         }
         let budgets: Vec<BudgetId> = self.holders.keys().cloned().collect();
--- a/crates/damaskstile/src/instance/gifts.rs
+++ b/crates/damaskstile/src/instance/transfers.rs
@@ -9,13 +9,13 @@
 
 /// Outgoing transfer whose record no witness has accepted yet.
 #[derive(Debug)]
-pub(super) struct PendingGive {
+pub(super) struct PendingTransfer {
     budget: BudgetId,
     witnesses: BTreeMap<InstanceId, Incarnation>,
 }
 
 impl Instance {
-    pub(super) fn on_give_wanted(
+    pub(super) fn on_transfer_planned(
         &mut self,
         budget: &BudgetId,
         transfer: GrantId,
@@ -42,51 +42,54 @@
                 message: PeerMessage::Record(record.clone()),
             });
         }
-        let give = PendingGive {
+        let pending = PendingTransfer {
             budget: budget.clone(),
             witnesses: plan.witnesses.clone(),
         };
-        self.gives.insert(transfer.clone(), give);
-        self.set_timer(self.options.record_patience, Timer::Give(transfer));
+        self.pending_transfers.insert(transfer.clone(), pending);
+        self.set_timer(
+            self.options.record_timeout,
+            Timer::TransferTimeout(transfer),
+        );
     }
 
-    pub(super) fn on_give_recorded(
+    pub(super) fn on_transfer_recorded(
         &mut self,
         from: &InstanceId,
         incarnation: Incarnation,
         ack: &RecordAck,
         effects: &mut Effects,
     ) {
-        let Some(give) = self.gives.get_mut(&ack.run) else {
+        let Some(pending) = self.pending_transfers.get_mut(&ack.run) else {
             return;
         };
         if !ack.is_accepted {
-            give.witnesses.remove(from);
-            if give.witnesses.is_empty() {
-                self.on_give_late(&ack.run, effects);
+            pending.witnesses.remove(from);
+            if pending.witnesses.is_empty() {
+                self.cancel_transfer(&ack.run, effects);
             }
             return;
         }
-        if give.witnesses.get(from) != Some(&incarnation) {
+        if pending.witnesses.get(from) != Some(&incarnation) {
             return;
         }
-        if let Some(give) = self.gives.remove(&ack.run) {
+        if let Some(pending) = self.pending_transfers.remove(&ack.run) {
             let transfer = ack.run.clone();
-            self.with_holder(&give.budget, effects, |holder, now, fx| {
+            self.with_holder(&pending.budget, effects, |holder, now, fx| {
                 holder.send_give(now, &transfer, fx);
             });
         }
     }
 
-    pub(super) fn on_give_late(&mut self, transfer: &GrantId, effects: &mut Effects) {
-        let Some(give) = self.gives.remove(transfer) else {
+    pub(super) fn cancel_transfer(&mut self, transfer: &GrantId, effects: &mut Effects) {
+        let Some(pending) = self.pending_transfers.remove(transfer) else {
             return;
         };
-        self.with_holder(&give.budget, effects, |holder, now, fx| {
+        self.with_holder(&pending.budget, effects, |holder, now, fx| {
             holder.cancel_give(transfer, fx);
             holder.tick(now, fx);
         });
-        for witness in give.witnesses.into_keys() {
+        for witness in pending.witnesses.into_keys() {
             effects.push(Effect::Send {
                 to: witness,
                 message: PeerMessage::Forget(ForgetRuns {
@@ -96,7 +99,12 @@
         }
     }
 
-    pub(super) fn on_ask(&mut self, from: &InstanceId, ask: &AskTokens, effects: &mut Effects) {
+    pub(super) fn on_token_request(
+        &mut self,
+        from: &InstanceId,
+        ask: &AskTokens,
+        effects: &mut Effects,
+    ) {
         if self.holders.contains_key(&ask.budget) {
             self.with_holder(&ask.budget, effects, |holder, now, fx| {
                 holder.on_ask(now, from, ask, fx);
@@ -114,7 +122,12 @@
         });
     }
 
-    pub(super) fn on_give(&mut self, from: &InstanceId, give: &GiveTokens, effects: &mut Effects) {
+    pub(super) fn on_transfer_received(
+        &mut self,
+        from: &InstanceId,
+        give: &GiveTokens,
+        effects: &mut Effects,
+    ) {
         let budget = give.budget.clone();
         if self.holders.contains_key(&budget) {
             self.with_holder(&budget, effects, |holder, now, fx| {
--- a/crates/damaskstile/src/options.rs
+++ b/crates/damaskstile/src/options.rs
@@ -26,18 +26,18 @@
     pub registry: RegistryOptions,
     /// Time that a run or a transfer waits for a witness to accept its record. After it the run
     /// draws on open tokens, and the transfer is cancelled.
-    pub record_patience: Duration,
+    pub record_timeout: Duration,
     /// Time after which a store call without an answer counts as lost.
-    pub store_patience: Duration,
+    pub store_timeout: Duration,
     /// Time that an answer is retained for callers that repeat the same key.
-    pub replay_kept: Duration,
+    pub replay_retention: Duration,
     /// Limit on the total size of the retained answers, in bytes.
     pub replay_bytes_max: usize,
     /// Time after the grace period of a stop at which the instance ends even if the store has not
     /// accepted what it hands back.
     pub stop_limit: Duration,
     /// Time after which a run whose target does not report its end is settled at its worst case.
-    pub inquire_until: Duration,
+    pub inquiry_limit: Duration,
 }
 
 impl InstanceOptions {
@@ -52,12 +52,12 @@
             membership: MembershipOptions::default(),
             budgets: BudgetOptions::default(),
             registry: RegistryOptions::default(),
-            record_patience: Duration::from_millis(20),
-            store_patience: Duration::from_secs(2),
-            replay_kept: Duration::from_mins(1),
+            record_timeout: Duration::from_millis(20),
+            store_timeout: Duration::from_secs(2),
+            replay_retention: Duration::from_mins(1),
             replay_bytes_max: 8 * 1024 * 1024,
             stop_limit: Duration::from_secs(30),
-            inquire_until: Duration::from_mins(2),
+            inquiry_limit: Duration::from_mins(2),
         }
     }
 }
--- a/crates/damaskstile/src/trace.rs
+++ b/crates/damaskstile/src/trace.rs
@@ -20,7 +20,7 @@
 /// Result of a replay.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Replayed {
+pub struct ReplayReport {
     /// Number of replayed events.
     pub events: u64,
     /// Number of expectations that were met.
@@ -49,7 +49,7 @@
 ///
 /// Returns an error if the trace is empty, unreadable or malformed. Expectations that are not met
 /// are part of the result.
-pub fn replay(trace: &mut dyn BufRead) -> Result<Replayed, Error> {
+pub fn replay(trace: &mut dyn BufRead) -> Result<ReplayReport, Error> {
     let mut lines = trace.lines().enumerate();
     let Some((_, head)) = lines.next() else {
         return Err(Error::Empty);
@@ -59,7 +59,7 @@
     options.seed = head.seed;
     let mut instance = Instance::new(options, head.started_at);
 
-    let mut replayed = Replayed::default();
+    let mut replayed = ReplayReport::default();
     let mut dispatches: BTreeMap<RequestHandle, u64> = BTreeMap::new();
     for (index, line) in lines {
         let line = line?;
@@ -71,9 +71,9 @@
                 let mut effects = Vec::new();
                 instance.handle(now, event, &mut effects);
                 replayed.events += 1;
-                note_effects(&effects, &mut replayed.outcomes, &mut dispatches);
+                collect_effects(&effects, &mut replayed.outcomes, &mut dispatches);
             }
-            statement => check(index + 1, &statement, &mut replayed, &dispatches),
+            expectation => check_expectation(index + 1, &expectation, &mut replayed, &dispatches),
         }
     }
     Ok(replayed)
@@ -83,7 +83,7 @@
     serde_json::from_str(text).map_err(|error| Error::Malformed { line, error })
 }
 
-fn note_effects(
+fn collect_effects(
     effects: &[Effect],
     outcomes: &mut BTreeMap<RequestHandle, Outcome>,
     dispatches: &mut BTreeMap<RequestHandle, u64>,
@@ -101,13 +101,13 @@
     }
 }
 
-fn check(
+fn check_expectation(
     line: usize,
-    statement: &TraceLine,
-    replayed: &mut Replayed,
+    expectation: &TraceLine,
+    replayed: &mut ReplayReport,
     dispatches: &BTreeMap<RequestHandle, u64>,
 ) {
-    let (is_held, found) = match statement {
+    let (is_met, found) = match expectation {
         TraceLine::Event { .. } => return,
         TraceLine::Expect { request, outcome } => {
             let found = replayed.outcomes.get(request);
@@ -125,11 +125,11 @@
             (found == *expected, format!("{found} dispatches"))
         }
     };
-    if is_held {
+    if is_met {
         replayed.held += 1;
     } else {
         replayed.broken.push(format!(
-            "line {line}: expected {statement:?}, found {found}"
+            "line {line}: expected {expectation:?}, found {found}"
         ));
     }
 }
--- a/crates/damaskstile/tests/replay.rs
+++ b/crates/damaskstile/tests/replay.rs
@@ -41,8 +41,8 @@
     })
 }
 
-/// An instance that has settings and no word from its store or any peer.
-fn beginning() -> Vec<TraceLine> {
+/// Events after which an instance has settings, but no answer from its store and no peers.
+fn startup_lines() -> Vec<TraceLine> {
     let text = "[fleet]\nbudget_policy = \"transfers\"\n".to_owned() + &settings("instances = 1");
     let stored = serde_json::json!({"author": "", "note": "", "at_unix_ms": 0, "text": text});
     let object = Object {
@@ -61,7 +61,7 @@
     ]
 }
 
-fn replayed(lines: &[TraceLine]) -> trace::Replayed {
+fn replayed(lines: &[TraceLine]) -> trace::ReplayReport {
     let head = TraceHead {
         identity: Identity::new("one", 9, "dc"),
         seed: 9,
@@ -77,8 +77,8 @@
 
 #[test]
 fn without_store_and_peers_a_request_is_refused_at_once() {
-    // Arrange: the store's answer to the ledger's read is lost.
-    let mut lines = beginning();
+    // Arrange: the store's answers, among them the one to the read of the ledger, are lost.
+    let mut lines = startup_lines();
     lines.push(event(10, chat(1, "k")));
     lines.push(TraceLine::ExpectOpen { request: 1 });
     for call in 1..12 {
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn a_statement_that_does_not_hold_is_named() {
-    let mut lines = beginning();
+fn an_unmet_expectation_is_reported_with_what_was_found() {
+    let mut lines = startup_lines();
     lines.push(TraceLine::ExpectDispatches {
         request: 1,
         dispatches: 1,
@@ -116,8 +116,8 @@
 }
 
 #[test]
-fn a_replay_gives_the_same_on_every_run() {
-    let mut lines = beginning();
+fn a_replay_is_deterministic() {
+    let mut lines = startup_lines();
     for number in 0..50 {
         lines.push(event(10 + number, chat(number, &format!("k{number}"))));
     }
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_line_that_is_none_is_named() {
+fn a_malformed_line_is_reported_with_its_number() {
     let text = "{\"identity\":{\"instance\":\"a\",\"incarnation\":1,\"data_centre\":\"\"},\
                 \"seed\":1,\"started_at\":{\"secs\":1,\"nanos\":0}}\nnonsense\n";
 
