--- a/crates/damaskstile/tests/chaos.rs
+++ b/crates/damaskstile/tests/chaos.rs
@@ -1,4 +1,5 @@
-//! Property-based tests: whatever happens in whatever order, the promises hold.
+//! Property-based tests: the invariants of a simulated fleet hold under random sequences of
+//! requests and faults.
 
 use std::time::Duration;
 
@@ -7,9 +8,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// One thing that happens to the fleet.
+/// One step of a random sequence: a request, a fault, or a repair.
 #[derive(Debug, Clone)]
-enum Happening {
+enum Action {
     Chat {
         instance: usize,
         prompt: u64,
@@ -29,28 +30,28 @@
     Start(usize),
     Pause(usize, u64),
     Stop(usize),
-    Island {
+    Partition {
         members: u8,
         has_store: bool,
     },
-    Heal,
-    Outage(bool),
-    LoseAnswers(u64),
-    Mess {
-        loss: u64,
-        twice: u64,
+    HealPartition,
+    StoreOutage(bool),
+    LoseStoreAnswers(u64),
+    DegradeNetwork {
+        loss_percent: u64,
+        duplicate_percent: u64,
         jitter_ms: u64,
     },
     TopUp(u64),
     CutRuns(usize, u64),
-    Refuse(usize, bool),
-    Down(usize, bool),
-    Leave(usize),
+    RefuseRuns(usize, bool),
+    TargetDown(usize, bool),
+    ToggleLeaving(usize),
     Wait(u64),
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
-    use Happening::*;
+fn action() -> impl Strategy<Value = Action> {
+    use Action::*;
     prop_oneof![
         8 => (0..4_usize, 1..200_u64, 1..400_u64, 0..500_u64, any::<bool>()).prop_map(
             |(instance, prompt, cap, output, is_streamed)| Chat {
@@ -63,18 +64,22 @@
         2 => (0..4_usize).prop_map(Start),
         1 => (0..4_usize, 10..30_000_u64).prop_map(|(one, ms)| Pause(one, ms)),
         1 => (0..4_usize).prop_map(Stop),
-        1 => (1..15_u8, any::<bool>()).prop_map(|(members, has_store)| Island { members, has_store }),
-        1 => Just(Heal),
-        1 => any::<bool>().prop_map(Outage),
-        1 => (1..4_u64).prop_map(LoseAnswers),
-        1 => (0..30_u64, 0..30_u64, 0..20_u64).prop_map(|(loss, twice, jitter_ms)| Mess {
-            loss, twice, jitter_ms
+        1 => (1..15_u8, any::<bool>()).prop_map(|(members, has_store)| Partition {
+            members, has_store
         }),
+        1 => Just(HealPartition),
+        1 => any::<bool>().prop_map(StoreOutage),
+        1 => (1..4_u64).prop_map(LoseStoreAnswers),
+        1 => (0..30_u64, 0..30_u64, 0..20_u64).prop_map(
+            |(loss_percent, duplicate_percent, jitter_ms)| DegradeNetwork {
+                loss_percent, duplicate_percent, jitter_ms
+            }
+        ),
         1 => (1..2_000_u64).prop_map(TopUp),
         1 => (0..3_usize, 1..3_u64).prop_map(|(one, runs)| CutRuns(one, runs)),
-        1 => (0..3_usize, any::<bool>()).prop_map(|(one, on)| Refuse(one, on)),
-        1 => (0..3_usize, any::<bool>()).prop_map(|(one, on)| Down(one, on)),
-        1 => (0..3_usize).prop_map(Leave),
+        1 => (0..3_usize, any::<bool>()).prop_map(|(one, on)| RefuseRuns(one, on)),
+        1 => (0..3_usize, any::<bool>()).prop_map(|(one, on)| TargetDown(one, on)),
+        1 => (0..3_usize).prop_map(ToggleLeaving),
         8 => (1..4_000_u64).prop_map(Wait),
     ]
 }
@@ -83,14 +88,15 @@
     format!("i{number:03}")
 }
 
-/// Keys that a caller uses again, some of them while the first call is open.
+/// Returns a request key out of a small set, so that callers repeat keys, some of them while the
+/// first call is still open.
 fn repeated_key(number: u64) -> String {
     damaskstile::keys::new_request_key(damaskstile_fakes::world::STARTED_AT, number << 48, number)
 }
 
-fn apply(world: &mut World, happening: &Happening) {
-    match happening {
-        Happening::Chat {
+fn apply(simulation: &mut World, action: &Action) {
+    match action {
+        Action::Chat {
             instance,
             prompt,
             cap,
@@ -101,72 +107,75 @@
                 is_streamed: *is_streamed,
                 ..Work::chat(*prompt, *cap, *output)
             };
-            world.request(&name(*instance), &work);
+            simulation.request(&name(*instance), &work);
         }
-        Happening::Publish { instance, key } => {
+        Action::Publish { instance, key } => {
             let work = Work::publish(&repeated_key(*key));
-            world.request(&name(*instance), &work);
+            simulation.request(&name(*instance), &work);
         }
-        Happening::RepeatChat { instance, key } => {
+        Action::RepeatChat { instance, key } => {
             let work = Work {
                 key: repeated_key(100 + *key),
                 ..Work::chat(20, 50, 40)
             };
-            world.request(&name(*instance), &work);
+            simulation.request(&name(*instance), &work);
         }
-        Happening::Kill(one) => world.kill(&name(*one)),
-        Happening::Start(one) => {
-            if world.instance(&name(*one)).is_none() {
-                world.start(&name(*one));
+        Action::Kill(one) => simulation.kill(&name(*one)),
+        Action::Start(one) => {
+            if simulation.instance(&name(*one)).is_none() {
+                simulation.start(&name(*one));
             }
         }
-        Happening::Pause(one, ms) => world.pause(&name(*one), Duration::from_millis(*ms)),
-        Happening::Stop(one) => world.stop(&name(*one)),
-        Happening::Island { members, has_store } => {
-            world.network.island = (0..4)
+        Action::Pause(one, ms) => simulation.pause(&name(*one), Duration::from_millis(*ms)),
+        Action::Stop(one) => simulation.stop(&name(*one)),
+        Action::Partition { members, has_store } => {
+            simulation.network.island = (0..4)
                 .filter(|number| members & (1 << number) != 0)
                 .map(name)
                 .collect();
-            world.network.is_store_on_island = *has_store;
+            simulation.network.is_store_on_island = *has_store;
         }
-        Happening::Heal => world.network.island.clear(),
-        Happening::Outage(is_out) => world.store.is_out = *is_out,
-        Happening::LoseAnswers(count) => world.store.lose_answers = *count,
-        Happening::Mess {
-            loss,
-            twice,
+        Action::HealPartition => simulation.network.island.clear(),
+        Action::StoreOutage(is_out) => simulation.store.is_out = *is_out,
+        Action::LoseStoreAnswers(count) => simulation.store.lose_answers = *count,
+        Action::DegradeNetwork {
+            loss_percent,
+            duplicate_percent,
             jitter_ms,
         } => {
-            world.network.loss_percent = *loss;
-            world.network.twice_percent = *twice;
-            world.network.jitter = Duration::from_millis(*jitter_ms);
+            simulation.network.loss_percent = *loss_percent;
+            simulation.network.twice_percent = *duplicate_percent;
+            simulation.network.jitter = Duration::from_millis(*jitter_ms);
         }
-        Happening::TopUp(tokens) => {
-            let id = format!("top-up-{}", world.now.as_nanos());
-            world.store.top_up("office", &id, *tokens);
+        Action::TopUp(tokens) => {
+            let id = format!("top-up-{}", simulation.now.as_nanos());
+            simulation.store.top_up("office", &id, *tokens);
         }
-        other => apply_to_target(world, other),
+        other => apply_to_target(simulation, other),
     }
 }
 
-fn apply_to_target(world: &mut World, happening: &Happening) {
-    let now = world.now;
-    let number = match happening {
-        Happening::CutRuns(one, _)
-        | Happening::Refuse(one, _)
-        | Happening::Down(one, _)
-        | Happening::Leave(one) => *one,
-        Happening::Wait(ms) => return world.run_for(Duration::from_millis(*ms)),
+fn apply_to_target(simulation: &mut World, action: &Action) {
+    let now = simulation.now;
+    let number = match action {
+        Action::CutRuns(one, _)
+        | Action::RefuseRuns(one, _)
+        | Action::TargetDown(one, _)
+        | Action::ToggleLeaving(one) => *one,
+        Action::Wait(ms) => return simulation.run_for(Duration::from_millis(*ms)),
         _ => return,
     };
-    let target = world.targets.targets.get_mut(&format!("chat-{number}"));
+    let target = simulation
+        .targets
+        .targets
+        .get_mut(&format!("chat-{number}"));
     let Some(target) = target else {
         return;
     };
-    match happening {
-        Happening::CutRuns(_, runs) => target.cut_runs = *runs,
-        Happening::Refuse(_, on) => target.is_refusing = *on,
-        Happening::Down(_, on) => target.is_down = *on,
+    match action {
+        Action::CutRuns(_, runs) => target.cut_runs = *runs,
+        Action::RefuseRuns(_, on) => target.is_refusing = *on,
+        Action::TargetDown(_, on) => target.is_down = *on,
         _ => {
             let is_leaving = target.leaving_since.is_some();
             target.leaving_since = (!is_leaving).then_some(now);
@@ -174,11 +183,11 @@
     }
 }
 
-fn heal(world: &mut World) {
-    world.network = damaskstile_fakes::Network::default();
-    world.store.is_out = false;
-    world.store.lose_answers = 0;
-    for target in world.targets.targets.values_mut() {
+fn repair_all(simulation: &mut World) {
+    simulation.network = damaskstile_fakes::Network::default();
+    simulation.store.is_out = false;
+    simulation.store.lose_answers = 0;
+    for target in simulation.targets.targets.values_mut() {
         target.is_down = false;
         target.is_refusing = false;
         target.cut_runs = 0;
@@ -186,7 +195,8 @@
     }
 }
 
-/// Each seed has its own policy, and its own part of tokens that are spent without records.
+/// Starts a fleet whose seed also selects the budget policy and the share of open tokens, which are
+/// spent without records.
 fn fleet(seed: u64) -> World {
     let open_percent = [0, 5, 50][usize::try_from(seed % 3).unwrap_or(0)];
     let policy =
@@ -199,9 +209,9 @@
         data_centres: 2,
         ..WorldOptions::default()
     };
-    let mut world = World::new(options, 5_000);
-    world.run_for(Duration::from_secs(2));
-    world
+    let mut simulation = World::new(options, 5_000);
+    simulation.run_for(Duration::from_secs(2));
+    simulation
 }
 
 fn config(cases: u32) -> Config {
@@ -214,43 +224,43 @@
     }
 }
 
-/// Leaves out what a bill is not promised to survive.
+/// Removes the actions that a bill is not guaranteed to survive.
 ///
-/// Records are kept by two witnesses. While the store is down they cannot write them up, so of
-/// the instances only one may die in each outage.
-fn survivable(happenings: &[Happening]) -> Vec<Happening> {
-    let mut left = Vec::new();
+/// Each record is kept by two witnesses. During a store outage they cannot write the bill, so only
+/// one instance may be killed per outage.
+fn without_unsurvivable_actions(actions: &[Action]) -> Vec<Action> {
+    let mut kept = Vec::new();
     let mut is_out = false;
     let mut has_died = false;
-    for happening in happenings {
-        match happening {
-            Happening::Kill(_) if is_out && has_died => {}
-            Happening::Kill(one) => {
+    for action in actions {
+        match action {
+            Action::Kill(_) if is_out && has_died => {}
+            Action::Kill(one) => {
                 has_died = true;
-                left.extend([
-                    Happening::Kill(*one),
-                    Happening::Wait(40_000),
-                    Happening::Start(*one),
-                    Happening::Wait(5_000),
+                kept.extend([
+                    Action::Kill(*one),
+                    Action::Wait(40_000),
+                    Action::Start(*one),
+                    Action::Wait(5_000),
                 ]);
             }
-            Happening::Outage(on) => {
+            Action::StoreOutage(on) => {
                 is_out = *on;
                 has_died = false;
-                left.push(happening.clone());
-                // Whatever the last outage left over is written up before the next begins.
+                kept.push(action.clone());
+                // The bills that the last outage left are written before the next one begins.
                 if !on {
-                    left.push(Happening::Wait(30_000));
+                    kept.push(Action::Wait(30_000));
                 }
             }
-            Happening::Island { .. }
-            | Happening::Mess { .. }
-            | Happening::Pause(..)
-            | Happening::Stop(_) => {}
-            other => left.push(other.clone()),
+            Action::Partition { .. }
+            | Action::DegradeNetwork { .. }
+            | Action::Pause(..)
+            | Action::Stop(_) => {}
+            other => kept.push(other.clone()),
         }
     }
-    left
+    kept
 }
 
 proptest! {
@@ -259,40 +269,40 @@
     #[test]
     fn promises_hold_whatever_happens(
         seed in any::<u64>(),
-        happenings in prop::collection::vec(happening(), 10..80),
+        actions in prop::collection::vec(action(), 10..80),
     ) {
         // Arrange
-        let mut world = fleet(seed);
+        let mut simulation = fleet(seed);
 
         // Act and assert
-        for happening in &happenings {
-            apply(&mut world, happening);
-            world.run_for(Duration::from_millis(5));
-            prop_assert_eq!(check::always(&world), Ok(()));
+        for action in &actions {
+            apply(&mut simulation, action);
+            simulation.run_for(Duration::from_millis(5));
+            prop_assert_eq!(check::always(&simulation), Ok(()));
         }
-        heal(&mut world);
-        world.run_for(Duration::from_secs(150));
-        prop_assert_eq!(check::at_the_end(&world), Ok(()));
+        repair_all(&mut simulation);
+        simulation.run_for(Duration::from_secs(150));
+        prop_assert_eq!(check::at_the_end(&simulation), Ok(()));
     }
 
     #[test]
     fn answered_requests_are_billed_although_instances_die(
         seed in any::<u64>(),
-        happenings in prop::collection::vec(happening(), 10..60),
+        actions in prop::collection::vec(action(), 10..60),
     ) {
         // Arrange
-        let mut world = fleet(seed);
+        let mut simulation = fleet(seed);
 
         // Act
-        for happening in survivable(&happenings) {
-            apply(&mut world, &happening);
-            world.run_for(Duration::from_millis(5));
+        for action in without_unsurvivable_actions(&actions) {
+            apply(&mut simulation, &action);
+            simulation.run_for(Duration::from_millis(5));
         }
-        heal(&mut world);
-        world.run_for(Duration::from_secs(150));
+        repair_all(&mut simulation);
+        simulation.run_for(Duration::from_secs(150));
 
         // Assert
-        prop_assert_eq!(check::at_the_end(&world), Ok(()));
-        prop_assert_eq!(check::answered_is_billed(&world), Ok(()));
+        prop_assert_eq!(check::at_the_end(&simulation), Ok(()));
+        prop_assert_eq!(check::answered_is_billed(&simulation), Ok(()));
     }
 }
--- a/crates/damaskstile/tests/witness.rs
+++ b/crates/damaskstile/tests/witness.rs
@@ -1,4 +1,4 @@
-//! Tests of witnesses: what a silent holder may still spend, and what comes back of it.
+//! Tests of witnesses: recovery of a silent holder's grants, and records of runs and transfers.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use damaskstile_fakes::world::{STARTED_AT, Work};
 use damaskstile_fakes::{World, WorldOptions, check};
 
-/// A fleet whose grants are all on record with witnesses.
+/// Starts a fleet without open tokens, so that all spending needs records at witnesses.
 fn recorded_fleet(instances: usize) -> World {
     let values = "[fleet]\nopen_percent = 0\n";
     let options = WorldOptions {
@@ -17,65 +17,63 @@
         settings: values.to_owned() + &settings(&format!("instances = {instances}")),
         ..WorldOptions::default()
     };
-    let mut world = World::new(options, 10_000);
-    world.run_for(Duration::from_secs(5));
-    world
+    let mut simulation = World::new(options, 10_000);
+    simulation.run_for(Duration::from_secs(5));
+    simulation
 }
 
 #[test]
-fn the_rest_of_a_dead_holders_grant_comes_back() {
+fn unspent_tokens_of_a_killed_holder_return_to_the_budget() {
     // Arrange
-    let mut world = recorded_fleet(3);
-    world.request("i000", &Work::chat(10, 50, 40));
-    world.run_for(Duration::from_secs(2));
+    let mut simulation = recorded_fleet(3);
+    simulation.request("i000", &Work::chat(10, 50, 40));
+    simulation.run_for(Duration::from_secs(2));
 
     // Act
-    world.kill("i000");
-    world.run_for(Duration::from_secs(30));
+    simulation.kill("i000");
+    simulation.run_for(Duration::from_secs(30));
 
-    // Assert: nothing is left in the name of the dead.
-    assert_eq!(world.store.ledger("office").held_tokens("i000"), 0);
-    assert_eq!(check::answered_is_billed(&world), Ok(()));
+    // Assert: the ledger has no tokens left with the killed instance.
+    assert_eq!(simulation.store.ledger("office").held_tokens("i000"), 0);
+    assert_eq!(check::answered_is_billed(&simulation), Ok(()));
 }
 
 #[test]
 fn a_holder_that_was_paused_past_its_seal_spends_nothing_of_it() {
-    // Symptom: more is run than is committed.
-    // Sequence: a holder is paused; its witnesses seal its grants and others spend the tokens; it
-    // wakes up with its old holdings. The host does not check any time limit either.
-    // Cause looked for: a right to spend that ends by time alone.
+    // Guards against overspending by a holder that is paused while its witnesses seal its grants
+    // and others spend the tokens, and that wakes up with its old holdings. The hosts check no time
+    // limits here, so a right to spend that ended by time alone would let the test fail.
 
     // Arrange
-    let mut world = recorded_fleet(3);
-    world.has_careful_hosts = false;
+    let mut simulation = recorded_fleet(3);
+    simulation.has_careful_hosts = false;
     for _ in 0..5 {
-        world.request("i000", &Work::chat(10, 50, 40));
+        simulation.request("i000", &Work::chat(10, 50, 40));
     }
-    world.pause("i000", Duration::from_mins(2));
+    simulation.pause("i000", Duration::from_mins(2));
 
     // Act
-    world.run_for(Duration::from_secs(30));
+    simulation.run_for(Duration::from_secs(30));
     for _ in 0..400 {
-        world.request("i001", &Work::chat(10, 50, 40));
-        world.run_for(Duration::from_millis(20));
+        simulation.request("i001", &Work::chat(10, 50, 40));
+        simulation.run_for(Duration::from_millis(20));
     }
     for _ in 0..50 {
-        world.request("i000", &Work::chat(10, 50, 40));
+        simulation.request("i000", &Work::chat(10, 50, 40));
     }
-    world.run_for(Duration::from_mins(3));
+    simulation.run_for(Duration::from_mins(3));
 
     // Assert
-    assert_eq!(check::at_the_end(&world), Ok(()));
+    assert_eq!(check::at_the_end(&simulation), Ok(()));
 }
 
 #[test]
 fn a_restarted_witness_may_not_accept_for_the_one_before_it() {
-    // Symptom: a closed grant is spent.
-    // Sequence: a witness seals a paused holder's grant and is restarted; the holder wakes up and
-    // asks the new incarnation, which knows of no seal, to keep a record.
-    // Cause: the acceptance was taken from whoever bore the witness's name.
+    // Guards against spending of a sealed grant: a witness seals a paused holder's grant and is
+    // restarted, then the holder wakes up and sends a record to the new incarnation, which does not
+    // know of the seal. An acceptance counts only from the incarnation that the grant names.
 
-    // Arrange: a holder whose grant names the witness `two` of incarnation 5.
+    // Arrange: a holder whose grant names incarnation 5 of the witness `two`.
     let mut holder = holder_with_grant(5);
     let mut effects = Vec::new();
     holder.handle(later(1_000), request(1), &mut effects);
@@ -98,25 +96,25 @@
 }
 
 #[test]
-fn a_gift_that_comes_twice_counts_once() {
+fn a_transfer_that_is_delivered_twice_counts_once() {
     // Arrange
-    let mut world = recorded_fleet(3);
-    world.network.twice_percent = 100;
+    let mut simulation = recorded_fleet(3);
+    simulation.network.twice_percent = 100;
 
     // Act
     for number in 0..200 {
-        world.request(&format!("i00{}", number % 3), &Work::chat(50, 50, 50));
-        world.run_for(Duration::from_millis(5));
+        simulation.request(&format!("i00{}", number % 3), &Work::chat(50, 50, 50));
+        simulation.run_for(Duration::from_millis(5));
     }
-    world.run_for(Duration::from_secs(5));
+    simulation.run_for(Duration::from_secs(5));
 
     // Assert
-    assert!(world.logged.contains_key(&EventCode::TokensTaken));
-    assert_eq!(check::at_the_end(&world), Ok(()));
+    assert!(simulation.logged.contains_key(&EventCode::TokensTaken));
+    assert_eq!(check::at_the_end(&simulation), Ok(()));
 }
 
 #[test]
-fn a_gift_that_nobody_asked_for_is_not_taken() {
+fn a_transfer_that_was_not_requested_is_not_accepted() {
     // Arrange
     let mut holder = holder_with_grant(5);
     let free_tokens = holder.free_tokens("office");
@@ -164,7 +162,7 @@
     })
 }
 
-/// Makes an instance that holds a grant with the witness `two` of that incarnation.
+/// Returns an instance that holds a grant whose witness is this incarnation of `two`.
 fn holder_with_grant(incarnation: u64) -> Instance {
     let identity = Identity::new("one", 3, "dc");
     let mut options = InstanceOptions::new(identity);
