--- a/crates/damaskstile/src/instance/run.rs
+++ b/crates/damaskstile/src/instance/run.rs
@@ -1,4 +1,4 @@
-//! `run` follows what targets say of runs, to a whole answer, a retry or a cut.
+//! Handling of run reports from targets: chunks, completion, retry and resumption.
 
 use damaskstile_budgets::Entry;
 use damaskstile_core::peer::RunEnd;
@@ -10,7 +10,7 @@
 use super::request::{Request, Step};
 use super::{Effects, Instance};
 
-/// Times that a cut stream is resumed at its target.
+/// Maximum number of times that a broken stream is resumed at its target.
 const RESUMES_MAX: u32 = 2;
 
 impl Instance {
@@ -24,7 +24,8 @@
                 .get(number)
                 .is_some_and(|request| request.step == Step::Running)
         });
-        // A report is for the run that it names and for no other, however late it comes.
+        // A report applies only to the run that it names. Late reports of a run that the request
+        // has given up are dropped.
         let Some(number) = running else {
             let run = run.as_str();
             Self::log(effects, EventCode::RunReportDropped, &[("run", run)]);
@@ -42,13 +43,13 @@
                 output_tokens,
             } => self.on_finished(number, chunks, prompt_tokens, output_tokens, effects),
             RunReport::Refused | RunReport::Unreachable => {
-                let is_failure = report == RunReport::Unreachable;
-                self.on_not_run(number, is_failure, effects);
+                let is_unreachable = report == RunReport::Unreachable;
+                self.on_run_not_started(number, is_unreachable, effects);
             }
             RunReport::Rejected => {
                 self.refuse(number, RefusalCode::BadRequest, None, effects);
             }
-            RunReport::Broken => self.on_broken(number, effects),
+            RunReport::Broken => self.on_stream_broken(number, effects),
             RunReport::State(_) => {}
         }
     }
@@ -66,7 +67,7 @@
         };
         match request.answer.add(index, tokens, data) {
             Assembled::Repeated => {}
-            Assembled::Gap => self.on_broken(number, effects),
+            Assembled::Gap => self.on_stream_broken(number, effects),
             Assembled::Next => {
                 for caller in request.callers.iter().filter(|caller| caller.is_streamed) {
                     effects.push(Effect::Relay {
@@ -75,14 +76,14 @@
                     });
                 }
                 if request.answer.tokens() > request.cap_tokens && request.cap_tokens > 0 {
-                    self.on_cap_passed(number, effects);
+                    self.on_cap_exceeded(number, effects);
                 }
             }
         }
     }
 
-    /// Cancels a run whose target does not keep to the cap that it was given.
-    fn on_cap_passed(&mut self, number: u64, effects: &mut Effects) {
+    /// Cancels a run whose target exceeds the output cap that it was given.
+    fn on_cap_exceeded(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get(&number) else {
             return;
         };
@@ -97,7 +98,7 @@
         }
         let prompt_tokens = request.prompt_tokens;
         self.settle(number, prompt_tokens, cap_tokens, None, effects);
-        self.end_unknown(number, RefusalCode::TargetLost, effects);
+        self.finish_unknown(number, RefusalCode::TargetLost, effects);
     }
 
     fn on_finished(
@@ -111,9 +112,10 @@
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        // The end of a stream is no proof that the answer is whole; its pieces are counted.
+        // The end of a stream does not prove that the answer is complete, so the chunks are
+        // counted.
         if !request.answer.is_whole(chunks) {
-            self.on_broken(number, effects);
+            self.on_stream_broken(number, effects);
             return;
         }
         let prompt_tokens = prompt_tokens.min(request.prompt_tokens);
@@ -126,7 +128,7 @@
             output_tokens,
         };
         let took = self.now.saturating_sub(request.sent_at);
-        // Callers that want the answer in one piece get it now that it is whole.
+        // Callers without streaming get the answer once it is complete.
         for caller in request.callers.iter().filter(|caller| !caller.is_streamed) {
             for data in request.answer.chunks() {
                 effects.push(Effect::Relay {
@@ -145,7 +147,7 @@
         self.finish(number, &Outcome::Answered(receipt), effects);
     }
 
-    /// Turns the reservation of a request's run into its bill.
+    /// Settles the reservation of a request's run with its bill.
     fn settle(
         &mut self,
         number: u64,
@@ -189,8 +191,9 @@
         }
     }
 
-    /// Goes on after a target refused a run, or could not be reached at all.
-    fn on_not_run(&mut self, number: u64, is_failure: bool, effects: &mut Effects) {
+    /// Handles a target that refused a run or could not be reached: retries at another target while
+    /// the retry budget allows it.
+    fn on_run_not_started(&mut self, number: u64, is_unreachable: bool, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
@@ -198,12 +201,12 @@
             return;
         };
         let service = request.service.clone();
-        request.note(format!("{target} did not take it"));
+        request.add_note(format!("{target} refused it or was unreachable"));
         let is_resumed = request.resumes > 0;
         self.registry.failed(self.now, &target);
         if is_resumed {
-            // Only the resumption was not taken. The run itself had begun.
-            self.on_broken(number, effects);
+            // Only the resumption was refused. The run itself had begun.
+            self.on_stream_broken(number, effects);
             return;
         }
         if self.retries.try_retry(self.now) {
@@ -215,7 +218,7 @@
             self.try_other_target(number, &target, effects);
             return;
         }
-        let code = if is_failure {
+        let code = if is_unreachable {
             RefusalCode::RetriesExhausted
         } else {
             RefusalCode::Overloaded
@@ -224,15 +227,16 @@
         self.refuse(number, code, retry_after, effects);
     }
 
-    /// Goes on after a stream was cut: it is resumed, or rerun where that is allowed.
-    fn on_broken(&mut self, number: u64, effects: &mut Effects) {
+    /// Handles a stream that broke off or has a gap: resumes it at its target, else runs the
+    /// request again where that is allowed.
+    fn on_stream_broken(&mut self, number: u64, effects: &mut Effects) {
         let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
         let Some((target, _)) = request.target.clone() else {
             return;
         };
-        request.note(format!("the stream from {target} was cut"));
+        request.add_note(format!("the stream from {target} broke off"));
         let may_resume = request.can_resume && request.resumes < RESUMES_MAX;
         let may_rerun = !request.is_non_idempotent && !request.is_partly_relayed();
         if may_resume && self.retries.try_retry(self.now) {
@@ -240,12 +244,12 @@
             return;
         }
         self.registry.failed(self.now, &target);
-        self.lose_run(number, effects);
+        self.orphan_run(number, effects);
         if may_rerun && self.retries.try_retry(self.now) {
             self.rerun(number, &target, effects);
             return;
         }
-        self.end_unknown(number, RefusalCode::TargetLost, effects);
+        self.finish_unknown(number, RefusalCode::TargetLost, effects);
     }
 
     fn resume(&mut self, number: u64, effects: &mut Effects) {
@@ -253,8 +257,8 @@
             return;
         };
         request.resumes += 1;
-        request.note("resumed".to_owned());
-        let Some(dispatch) = request.dispatch(request.until) else {
+        request.add_note("resumed".to_owned());
+        let Some(dispatch) = request.dispatch(request.deadline) else {
             return;
         };
         Self::log(
--- a/crates/damaskstile/src/trace.rs
+++ b/crates/damaskstile/src/trace.rs
@@ -1,4 +1,7 @@
-//! `trace` records the events of an instance, and replays them against stated outcomes.
+//! Event traces of an instance: writing them, and replaying them against expected outcomes.
+//!
+//! A trace is a file of JSON lines. The first line is a [`TraceHead`], the others are
+//! [`TraceLine`]s: recorded events, and expectations that a replay checks at that point.
 
 mod error;
 mod line;
@@ -14,37 +17,39 @@
 use crate::instance::Instance;
 use crate::options::InstanceOptions;
 
-/// `Replayed` tells what a replay gave.
+/// Result of a replay.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Replayed {
-    /// Events that were replayed.
+pub struct ReplayReport {
+    /// Number of replayed events.
     pub events: u64,
-    /// Statements that held.
+    /// Number of expectations that were met.
     pub held: u64,
-    /// Statements that did not hold, with what was found.
+    /// Expectations that were not met, each with its line number and the actual value.
     pub broken: Vec<String>,
-    /// Final words by call.
+    /// Outcome of each answered call.
     pub outcomes: BTreeMap<RequestHandle, Outcome>,
 }
 
-/// Writes one line of a trace.
+/// Writes one line of a trace as JSON.
 ///
 /// # Errors
 ///
-/// Returns an error where the line cannot be written.
+/// Returns [`Error::Io`] if writing fails and [`Error::Malformed`], with line 0, if the line cannot
+/// be serialised.
 pub fn write_line<T: Serialize>(out: &mut dyn Write, line: &T) -> Result<(), Error> {
     let text = serde_json::to_string(line).map_err(|error| Error::Malformed { line: 0, error })?;
     writeln!(out, "{text}")?;
     Ok(())
 }
 
-/// Replays a trace and compares what the instance does with what the trace states.
+/// Replays a trace on a new instance with default options and checks its expectations.
 ///
 /// # Errors
 ///
-/// Returns an error where the trace cannot be read; broken statements are in the result.
-pub fn replay(trace: &mut dyn BufRead) -> Result<Replayed, Error> {
+/// Returns an error if the trace is empty, unreadable or malformed. Expectations that are not met
+/// are part of the result.
+pub fn replay(trace: &mut dyn BufRead) -> Result<ReplayReport, Error> {
     let mut lines = trace.lines().enumerate();
     let Some((_, head)) = lines.next() else {
         return Err(Error::Empty);
@@ -54,7 +59,7 @@
     options.seed = head.seed;
     let mut instance = Instance::new(options, head.started_at);
 
-    let mut replayed = Replayed::default();
+    let mut replayed = ReplayReport::default();
     let mut dispatches: BTreeMap<RequestHandle, u64> = BTreeMap::new();
     for (index, line) in lines {
         let line = line?;
@@ -66,9 +71,9 @@
                 let mut effects = Vec::new();
                 instance.handle(now, event, &mut effects);
                 replayed.events += 1;
-                note_effects(&effects, &mut replayed.outcomes, &mut dispatches);
+                collect_effects(&effects, &mut replayed.outcomes, &mut dispatches);
             }
-            statement => check(index + 1, &statement, &mut replayed, &dispatches),
+            expectation => check_expectation(index + 1, &expectation, &mut replayed, &dispatches),
         }
     }
     Ok(replayed)
@@ -78,7 +83,7 @@
     serde_json::from_str(text).map_err(|error| Error::Malformed { line, error })
 }
 
-fn note_effects(
+fn collect_effects(
     effects: &[Effect],
     outcomes: &mut BTreeMap<RequestHandle, Outcome>,
     dispatches: &mut BTreeMap<RequestHandle, u64>,
@@ -96,13 +101,13 @@
     }
 }
 
-fn check(
+fn check_expectation(
     line: usize,
-    statement: &TraceLine,
-    replayed: &mut Replayed,
+    expectation: &TraceLine,
+    replayed: &mut ReplayReport,
     dispatches: &BTreeMap<RequestHandle, u64>,
 ) {
-    let (is_held, found) = match statement {
+    let (is_met, found) = match expectation {
         TraceLine::Event { .. } => return,
         TraceLine::Expect { request, outcome } => {
             let found = replayed.outcomes.get(request);
@@ -120,11 +125,11 @@
             (found == *expected, format!("{found} dispatches"))
         }
     };
-    if is_held {
+    if is_met {
         replayed.held += 1;
     } else {
         replayed.broken.push(format!(
-            "line {line}: expected {statement:?}, found {found}"
+            "line {line}: expected {expectation:?}, found {found}"
         ));
     }
 }
