--- a/crates/damaskstiled/src/callers.rs
+++ b/crates/damaskstiled/src/callers.rs
@@ -1,4 +1,4 @@
-//! `callers` is the thread that takes callers' requests over HTTP.
+//! HTTP server for callers: chat completions, plain services and request look-ups.
 
 mod relay;
 
@@ -26,7 +26,7 @@
 use crate::front::{Front, Kept, ToCaller};
 use crate::problem::{Answer, Problem, json_answer};
 
-/// Largest body that a caller may send, in bytes.
+/// Maximum size of a request body, in bytes.
 const BODY_BYTES_MAX: usize = 4 * 1024 * 1024;
 
 type Context = RequestContext<Arc<Front>>;
@@ -42,7 +42,11 @@
     key: String,
 }
 
-/// Starts the server on threads of its own.
+/// Starts the server on a dedicated runtime with two worker threads.
+///
+/// # Errors
+///
+/// Returns an error if the address cannot be bound or a thread cannot be started.
 pub fn start(config: &Config, front: Arc<Front>) -> anyhow::Result<()> {
     let api = api()?;
     let server_config = ConfigDropshot {
@@ -51,7 +55,7 @@
         default_handler_task_mode: HandlerTaskMode::Detached,
         ..ConfigDropshot::default()
     };
-    // The server's own lines tell of single calls; the numbered events do that already.
+    // The server would log each call; the numbered events already do.
     let quiet = Logger::root(slog::Discard, slog::o!());
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -60,7 +64,7 @@
         .build()?;
     let server = runtime.block_on(async {
         HttpServerStarter::new(&server_config, api, front, &quiet)
-            .map_err(|error| anyhow::anyhow!("cannot take callers: {error}"))
+            .map_err(|error| anyhow::anyhow!("cannot start the callers' server: {error}"))
             .map(HttpServerStarter::start)
     })?;
     duty::start("callers", move || {
@@ -80,7 +84,7 @@
     Ok(api)
 }
 
-/// Answers a chat completion.
+/// Handles a chat completion, streamed or buffered as the body asks.
 #[endpoint { method = POST, path = "/v1/chat/completions", unpublished = true }]
 async fn complete(rqctx: Context, body: UntypedBody) -> Answer {
     let body = Bytes::copy_from_slice(body.as_bytes());
@@ -132,31 +136,31 @@
     }
 }
 
-/// Calls a plain service.
+/// Handles a GET call of a plain service.
 #[endpoint { method = GET, path = "/v1/services/{service}/{path:.*}", unpublished = true }]
 async fn service_get(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> Answer {
     call_service(rqctx, path.into_inner(), body).await
 }
 
-/// Calls a plain service.
+/// Handles a POST call of a plain service.
 #[endpoint { method = POST, path = "/v1/services/{service}/{path:.*}", unpublished = true }]
 async fn service_post(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> Answer {
     call_service(rqctx, path.into_inner(), body).await
 }
 
-/// Calls a plain service.
+/// Handles a PUT call of a plain service.
 #[endpoint { method = PUT, path = "/v1/services/{service}/{path:.*}", unpublished = true }]
 async fn service_put(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> Answer {
     call_service(rqctx, path.into_inner(), body).await
 }
 
-/// Calls a plain service.
+/// Handles a DELETE call of a plain service.
 #[endpoint { method = DELETE, path = "/v1/services/{service}/{path:.*}", unpublished = true }]
 async fn service_delete(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> Answer {
     call_service(rqctx, path.into_inner(), body).await
 }
 
-/// Tells what became of a request of the caller's account.
+/// Returns what is known of an earlier request of the caller's client account.
 #[endpoint { method = GET, path = "/v1/requests/{key}", unpublished = true }]
 async fn explain(rqctx: Context, path: Path<KeyPath>) -> Answer {
     let Some(token_sha256) = token_sha256(rqctx.request.headers()) else {
@@ -189,7 +193,9 @@
     Some(to_hex(&Sha256::digest(token.trim().as_bytes())))
 }
 
-/// Reads what the headers say of a request.
+/// Builds a request from its headers and body.
+///
+/// The handle, the prompt size and the options of the body are left at their defaults.
 fn new_request(headers: &HeaderMap, service: &str, body: &Bytes) -> Result<NewRequest, Problem> {
     let Some(token_sha256) = token_sha256(headers) else {
         return Err(Problem::not_run(
--- a/crates/damaskstiled/src/callers/relay.rs
+++ b/crates/damaskstiled/src/callers/relay.rs
@@ -1,4 +1,4 @@
-//! `relay` passes answers on to callers, streamed or whole.
+//! Builds the HTTP responses of calls: streamed, buffered, or from a plain service.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,7 +17,9 @@
 use crate::plain_answer::PlainAnswer;
 use crate::problem::{Answer, Problem, finish, json_answer};
 
-/// `OpenCall` is a call on its way. When it is dropped the caller has its answer, or has gone.
+/// A call in progress.
+///
+/// It is dropped once the caller has the response or has disconnected; this closes the call.
 #[derive(Debug)]
 pub struct OpenCall {
     front: Arc<Front>,
@@ -27,7 +29,7 @@
 }
 
 impl OpenCall {
-    /// Makes the call.
+    /// Wraps an opened call and counts it as an open response.
     pub fn new(
         front: &Arc<Front>,
         handle: RequestHandle,
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Returns the next piece or the final word.
+    /// Returns the next chunk or the outcome, or `None` if the decision thread has ended.
     async fn next(&mut self) -> Option<ToCaller> {
         loop {
             match self.messages.recv().await? {
@@ -60,7 +62,7 @@
     }
 }
 
-/// Reads all pieces of an answer, up to the final word.
+/// Collects all chunks of an answer, up to and with the outcome.
 async fn collect(call: &mut OpenCall) -> (Vec<String>, Option<Outcome>) {
     let mut pieces = Vec::new();
     loop {
@@ -73,12 +75,12 @@
 }
 
 fn lost() -> Answer {
-    // The deciding thread has ended; whether the request ran is not known here.
+    // The decision thread has ended without an outcome, so the request may or may not have run.
     let response = Response::builder().status(StatusCode::BAD_GATEWAY);
     finish(response, "{\"outcome\":\"outcome_unknown\"}")
 }
 
-/// Answers a completion in one piece.
+/// Returns a completion as a single JSON response.
 pub async fn whole(mut call: OpenCall, asked: &Asked) -> Answer {
     let (pieces, outcome) = collect(&mut call).await;
     match outcome {
@@ -96,7 +98,7 @@
     }
 }
 
-/// Answers a call of a plain service.
+/// Returns the response of a plain service.
 pub async fn plain(mut call: OpenCall) -> Answer {
     let (pieces, outcome) = collect(&mut call).await;
     let answer = pieces
@@ -122,7 +124,9 @@
     }
 }
 
-/// Answers a completion as a stream. A request that was refused gets no stream.
+/// Returns a completion as a stream of server-sent events.
+///
+/// A request that fails before its first chunk gets an ordinary error response instead.
 pub async fn stream(mut call: OpenCall, asked: &Asked) -> Answer {
     let first = match call.next().await {
         Some(ToCaller::Answer(outcome)) if !outcome.is_answered() => {
@@ -172,13 +176,13 @@
             pieces.is_ended = true;
             last_events(&outcome, &pieces)
         }
-        // Without the last event the caller sees that the stream was cut.
+        // The stream ends without its last event, which shows the caller that it is incomplete.
         _ => return None,
     };
     Some((Ok(Frame::data(Bytes::from(text))), pieces))
 }
 
-/// Ends a stream: with the customary mark if the answer is whole, with a problem if it is not.
+/// Returns the last events of a stream: `[DONE]` after a complete answer, otherwise an error event.
 fn last_events(outcome: &Outcome, pieces: &Pieces) -> String {
     let key = &pieces.call.key;
     match outcome {
--- a/crates/damaskstiled/src/completion.rs
+++ b/crates/damaskstiled/src/completion.rs
@@ -1,24 +1,24 @@
-//! `completion` reads and makes bodies of the customary chat-completion form.
+//! Parses and builds JSON bodies of the chat-completions API.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
 
-/// Tokens that the form of one message may add to its text.
+/// Allowance for the tokens that the chat template adds, in bytes, for each field of a message.
 const MESSAGE_EXTRA_BYTES: u64 = 8;
 
-/// `Asked` is what a caller's body says of the work.
+/// The parts of a caller's body that the router needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Asked {
-    /// Service that is addressed.
+    /// Name of the model, which is the service to call.
     pub model: String,
-    /// Size of all texts, in bytes.
+    /// Size of all message fields, in bytes, with an allowance for the chat template.
     pub prompt_bytes: u64,
-    /// Cap of the output that the caller asks for.
+    /// Output limit set by the caller, in tokens.
     pub max_output_tokens: Option<u64>,
-    /// Whether the caller wants a stream.
+    /// Whether the caller asks for a streamed response.
     pub is_streamed: bool,
-    /// Whether the caller wants the counts at the end of the stream.
+    /// Whether the caller asks for a usage chunk at the end of the stream.
     pub wants_usage: bool,
 }
 
@@ -40,10 +40,10 @@
     include_usage: bool,
 }
 
-/// `Tokens` counts what was used, in the customary form.
+/// Token usage, serialised as the chat-completions API has it.
 #[allow(
     clippy::struct_field_names,
-    reason = "the names are those of the customary form"
+    reason = "the names are those of the chat-completions API"
 )]
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Tokens {
@@ -51,12 +51,12 @@
     pub prompt_tokens: u64,
     /// Tokens of the answer.
     pub completion_tokens: u64,
-    /// Both.
+    /// Sum of both.
     pub total_tokens: u64,
 }
 
 impl Tokens {
-    /// Makes the counts.
+    /// Computes the total of both counts.
     pub fn new(prompt_tokens: u64, completion_tokens: u64) -> Self {
         Self {
             prompt_tokens,
@@ -66,7 +66,11 @@
     }
 }
 
-/// Reads a caller's body.
+/// Parses a caller's body.
+///
+/// # Errors
+///
+/// Returns a message for the caller if the body is not valid or has no messages.
 pub fn read(body: &Bytes) -> Result<Asked, String> {
     let parsed: Body = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     if parsed.messages.is_empty() {
@@ -96,7 +100,7 @@
     u64::try_from(len).unwrap_or(u64::MAX)
 }
 
-/// Makes the body that goes to the target: streamed, with the cap and with counts.
+/// Builds the body for the target: always streamed, with the output cap and a usage chunk.
 pub fn for_target(body: &Bytes, cap_tokens: u64) -> serde_json::Result<Vec<u8>> {
     let mut parsed: Map<String, Value> = serde_json::from_slice(body)?;
     parsed.remove("max_completion_tokens");
@@ -106,7 +110,7 @@
     serde_json::to_vec(&parsed)
 }
 
-/// Puts the pieces of a stream together to one answer.
+/// Assembles the chunks of a stream into a single `chat.completion` object.
 pub fn whole(key: &str, model: &str, pieces: &[String], tokens: Tokens) -> Value {
     let mut content = String::new();
     let mut finish_reason = "stop".to_owned();
@@ -135,7 +139,7 @@
     })
 }
 
-/// Makes the last chunk of a stream, with the counts.
+/// Builds the usage chunk that ends a stream.
 pub fn usage_chunk(key: &str, model: &str, tokens: Tokens) -> Value {
     json!({
         "id": key,
--- a/crates/damaskstiled/src/config.rs
+++ b/crates/damaskstiled/src/config.rs
@@ -1,4 +1,4 @@
-//! `config` holds an instance's own settings: who it is, where it listens, whom it knows.
+//! Configuration file of an instance: its identity, its addresses and its initial peers.
 
 use std::net::SocketAddr;
 
@@ -6,52 +6,56 @@
 use damaskstile_gateway::logs::LogFormat;
 use serde::Deserialize;
 
-/// `Config` holds an instance's own settings. All else comes from the platform's store.
+/// Configuration of one instance. All other settings come from the platform's store.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Name of the instance.
+    /// Name of the instance, unique in the fleet.
     pub instance: String,
-    /// Data centre that it stands in.
+    /// Data centre in which the instance runs.
     pub data_centre: String,
-    /// Address for callers.
+    /// Address to listen on for callers.
     pub callers_address: SocketAddr,
-    /// Address for operators and metrics.
+    /// Address to listen on for operators and metrics.
     pub operators_address: SocketAddr,
-    /// Address for peers.
+    /// Address to listen on for peers.
     pub peers_address: SocketAddr,
-    /// Address at which peers reach this instance, where it differs from the one listened on.
+    /// Address at which peers reach this instance, if it differs from `peers_address`.
     #[serde(default)]
     pub advertised_address: Option<SocketAddr>,
     /// Address of the platform.
     pub platform_address: SocketAddr,
-    /// Form of the logs.
+    /// Format of the logs.
     #[serde(default)]
     pub log_format: LogFormat,
-    /// File to record all events to, for a replay.
+    /// Trace file to record all events to, for a later replay.
     #[serde(default)]
     pub trace_file: Option<std::path::PathBuf>,
-    /// Peers to begin with.
+    /// Peers to contact at the start.
     #[serde(default)]
     pub peer: Vec<PeerConfig>,
 }
 
-/// `PeerConfig` names a peer to begin with.
+/// A peer to contact at the start.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerConfig {
     /// Name of the peer.
     pub instance: String,
-    /// Data centre that it stands in.
+    /// Data centre in which the peer runs.
     pub data_centre: String,
-    /// Its address for peers.
+    /// Address at which the peer listens for peers.
     pub address: SocketAddr,
 }
 
 impl Config {
-    /// Reads and checks the settings.
+    /// Parses and checks a configuration.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the TOML is not valid or a value is out of bounds.
     pub fn try_from_toml(text: &str) -> anyhow::Result<Self> {
-        let config: Self = toml::from_str(text).context("not valid")?;
+        let config: Self = toml::from_str(text).context("invalid configuration")?;
         config.check()?;
         Ok(config)
     }
@@ -69,7 +73,9 @@
             let is_fixed = address.port() != 0;
             let is_taken = own[..index].iter().any(|(_, other)| other == address);
             if is_fixed && is_taken {
-                bail!("key `{key}`: found {address} twice, expected an address of its own");
+                bail!(
+                    "key `{key}`: found {address}, which another key also has, expected a different address"
+                );
             }
         }
         for peer in &self.peer {
--- a/crates/damaskstiled/src/decide.rs
+++ b/crates/damaskstiled/src/decide.rs
@@ -1,4 +1,4 @@
-//! `decide` is the thread that decides: events in, effects out.
+//! The decision thread: passes events to the instance and carries out its effects.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -23,12 +23,12 @@
 use crate::targets::ToTargets;
 use crate::timings::Timings;
 
-/// Events that are decided on before time is looked at again.
+/// Queued events that are handled in one go before the status and the next wake-up are due again.
 const EVENTS_AT_A_TIME: usize = 64;
-/// Time between two snapshots for operators.
+/// Interval between two status snapshots.
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// `Outputs` are the rings to the threads that carry effects out.
+/// Channels to the threads that perform input and output.
 #[derive(Debug)]
 pub struct Outputs {
     /// Calls to the store.
@@ -39,29 +39,29 @@
     pub targets: Sender<ToTargets>,
 }
 
-/// `Hosted` is all that the deciding thread works with.
+/// Everything that the decision thread shares with the rest of the daemon.
 #[derive(Debug)]
 pub struct Hosted {
-    /// Time of the events.
+    /// Clock that timestamps the events.
     pub clock: Clock,
-    /// Open calls.
+    /// Open calls and their request bodies.
     pub front: Arc<Front>,
-    /// What operators see.
+    /// Latest status snapshot.
     pub status: Arc<Status>,
-    /// Rings to the other threads.
+    /// Channels to the other threads.
     pub outputs: Outputs,
-    /// Numbered events.
+    /// Logger for numbered events.
     pub log: Logger,
 }
 
-/// `Decider` hosts the instance.
+/// Owns the instance and runs its event loop.
 #[derive(Debug)]
 pub struct Decider {
     instance: Instance,
     hosted: Hosted,
     recorder: Option<Recorder>,
     timings: Timings,
-    /// Events that arose while effects were carried out.
+    /// Events still to be handled, with those that arose while effects were carried out.
     own_events: Vec<Event>,
     addresses: BTreeMap<InstanceId, String>,
     is_stopped: bool,
@@ -69,14 +69,18 @@
 }
 
 impl Decider {
-    /// Makes the instance and all that hosts it.
+    /// Creates the instance and delivers its first tick.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the trace file cannot be written.
     pub fn try_new(config: &Config, identity: Identity, hosted: Hosted) -> anyhow::Result<Self> {
         let options = options(config, identity);
         let now = hosted.clock.now();
         let recorder = match &config.trace_file {
             Some(path) => Some(
                 Recorder::try_new(path, &options, now)
-                    .with_context(|| format!("cannot record to {}", path.display()))?,
+                    .with_context(|| format!("cannot write the trace to {}", path.display()))?,
             ),
             None => None,
         };
@@ -95,7 +99,7 @@
         Ok(decider)
     }
 
-    /// Decides until the instance has stopped.
+    /// Runs the event loop until the instance has stopped.
     pub fn run(mut self, mut events: Receiver<Event>) {
         let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
             .enable_time()
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Hands a call to the store's thread. Where its ring is full the call counts as lost.
+    /// Passes a call to the store thread. If its queue is full, the call is reported as lost.
     fn call_store(&mut self, message: ToStore) {
         if let Err(error) = self.hosted.outputs.store.try_send(message)
             && let ToStore::Call { call, .. } = error.into_inner()
@@ -204,7 +208,7 @@
         }
     }
 
-    /// Hands a message to the peers' thread. Where its ring is full the message is lost.
+    /// Passes a message to the peers thread. If its queue is full, the message is dropped.
     fn send_peer(&mut self, to: &InstanceId, message: PeerMessage) {
         let known = self
             .instance
@@ -229,7 +233,8 @@
         let is_resumed = dispatch.resume_from > 0;
         let message = ToTargets::Dispatch(Box::new(dispatch));
         if self.hosted.outputs.targets.try_send(message).is_err() {
-            // Nothing was sent, so the run is proved not to have begun.
+            // Nothing was sent, so this attempt cannot have started. A resumed run was under way
+            // already and counts as broken.
             let report = if is_resumed {
                 RunReport::Broken
             } else {
@@ -240,7 +245,8 @@
     }
 
     fn ask_target(&mut self, message: ToTargets) {
-        // Questions are asked again and a cancelled run ends at its cap; either may be lost.
+        // Messages may be dropped: queries are repeated, and a run that is not cancelled ends at its
+        // cap.
         let _ = self.hosted.outputs.targets.try_send(message);
     }
 }
--- a/crates/damaskstiled/src/duty.rs
+++ b/crates/damaskstiled/src/duty.rs
@@ -1,19 +1,27 @@
-//! `duty` starts the threads of the daemon.
+//! Helpers that start the daemon's named threads.
 
 use std::future::Future;
 use std::thread::JoinHandle;
 
 use anyhow::Context;
 
-/// Starts a thread for a duty.
+/// Starts a named thread.
+///
+/// # Errors
+///
+/// Returns an error if the system cannot start the thread.
 pub fn start(name: &str, work: impl FnOnce() + Send + 'static) -> anyhow::Result<JoinHandle<()>> {
     std::thread::Builder::new()
         .name(name.to_owned())
         .spawn(work)
-        .with_context(|| format!("cannot start the thread {name}"))
+        .with_context(|| format!("cannot start thread `{name}`"))
 }
 
-/// Starts a thread for a duty that does input and output.
+/// Starts a named thread that runs a future on a single-threaded runtime of its own.
+///
+/// # Errors
+///
+/// Returns an error if the runtime or the thread cannot be started.
 pub fn start_async<F>(name: &str, work: F) -> anyhow::Result<JoinHandle<()>>
 where
     F: Future<Output = ()> + Send + 'static,
--- a/crates/damaskstiled/src/front.rs
+++ b/crates/damaskstiled/src/front.rs
@@ -1,4 +1,4 @@
-//! `front` joins the threads that take calls to the one that decides.
+//! State that the daemon's threads share: the event queue, open calls and their request bodies.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -11,34 +11,34 @@
 
 use crate::metrics::Metrics;
 
-/// Events that may wait to be decided on.
+/// Capacity of the event queue to the decision thread.
 const EVENT_RING: usize = 4096;
-/// Events kept free for answers of the store, peers and targets; callers cannot fill them.
+/// Part of the event queue that callers cannot fill, reserved for the store, peers and targets.
 const EVENTS_RESERVED: usize = 1024;
 
-/// `ToCaller` is one message to the handler of a call.
+/// A message to the HTTP handler of a call.
 #[derive(Debug)]
 pub enum ToCaller {
-    /// The key under which the request is known.
+    /// The request was accepted under this key.
     Accepted(RequestKey),
-    /// A piece of the answer.
+    /// A chunk of the answer.
     Piece(String),
-    /// The final word.
+    /// The outcome; nothing follows it.
     Answer(Outcome),
-    /// What became of the request that was asked about.
+    /// What is known of the request that was looked up.
     Explained(Option<Explanation>),
 }
 
-/// `Kept` is the request's content, which only the host sees.
+/// Content of a request. It stays in the host; the instance only sees its hash and size.
 #[derive(Debug, Clone)]
 pub struct Kept {
     /// Method of a plain call.
     pub method: http::Method,
-    /// Path of a plain call; empty for a model.
+    /// Path and query of a plain call; empty for a chat completion.
     pub path: String,
-    /// Type of the content.
+    /// Value of the `content-type` header.
     pub content_type: String,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
@@ -48,7 +48,7 @@
     bodies: BTreeMap<RequestHandle, Kept>,
 }
 
-/// `Front` joins the threads that take calls to the one that decides.
+/// State shared by the threads of the daemon.
 #[derive(Debug)]
 pub struct Front {
     events: mpsc::Sender<Event>,
@@ -60,7 +60,7 @@
 }
 
 impl Front {
-    /// Makes the front and the end of the ring that the deciding thread reads.
+    /// Creates the shared state and the receiver of the event queue.
     pub fn new(metrics: Arc<Metrics>) -> (Self, mpsc::Receiver<Event>) {
         let (events, receiver) = mpsc::channel(EVENT_RING);
         let front = Self {
@@ -77,7 +77,7 @@
         self.calls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens a call and returns its handle and the messages that will come for it.
+    /// Opens a call and returns its handle and the receiver of its messages.
     pub fn open(&self, kept: Option<Kept>) -> (RequestHandle, mpsc::UnboundedReceiver<ToCaller>) {
         let handle = self.next_handle.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = mpsc::unbounded_channel();
@@ -89,23 +89,25 @@
         (handle, receiver)
     }
 
-    /// Hands a caller's event over, unless the ring is nearly full. Then nothing was decided.
+    /// Queues a caller's event unless only the reserved part of the queue is free.
+    ///
+    /// Returns whether the event was queued. If not, the instance never sees it.
     pub fn try_submit(&self, event: Event) -> bool {
         self.events.capacity() > EVENTS_RESERVED && self.events.try_send(event).is_ok()
     }
 
-    /// Hands an event over, and waits for room.
+    /// Queues an event, waiting while the queue is full.
     pub async fn submit(&self, event: Event) {
-        // The receiver is gone only when the process is about to end.
+        // Sending fails only when the decision thread has ended and the process is about to exit.
         let _ = self.events.send(event).await;
     }
 
-    /// Hands an event over from a place that cannot wait.
+    /// Queues an event without waiting; it is dropped if the queue is full.
     pub fn submit_now(&self, event: Event) {
         let _ = self.events.try_send(event);
     }
 
-    /// Sends a message to a call's handler.
+    /// Sends a message to a call's handler. The outcome or explanation also removes the handler.
     pub fn tell(&self, handle: RequestHandle, message: ToCaller) {
         let is_last = matches!(message, ToCaller::Answer(_) | ToCaller::Explained(_));
         let mut calls = self.calls();
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Forgets a call whose caller has gone.
+    /// Closes a call. If it had no outcome yet, the instance learns that the caller has gone.
     pub fn close(&self, handle: RequestHandle) {
         let was_open = self.calls().callers.remove(&handle).is_some();
         if was_open {
@@ -130,28 +132,28 @@
         self.calls().bodies.get(&handle).cloned()
     }
 
-    /// Lets go of the content of a call's request.
+    /// Drops the content of a call's request.
     pub fn drop_body(&self, handle: RequestHandle) {
         self.calls().bodies.remove(&handle);
     }
 
-    /// Counts an answer that is being read by its caller.
+    /// Adds one to the responses that callers are reading.
     pub fn stream_opened(&self) {
         self.open_streams.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts an answer that was read, or whose caller has gone.
+    /// Takes one from the responses that callers are reading.
     pub fn stream_closed(&self) {
         self.open_streams.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Waits until all callers have read their answers, or the time is over.
+    /// Blocks until all callers have read their responses or the limit has passed.
     pub fn wait_for_callers(&self, limit: Duration) {
         let until = Instant::now() + limit;
         while self.open_streams.load(Ordering::Relaxed) > 0 && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(10));
         }
-        // The last bytes are with the server's sockets; give them a moment to leave.
+        // The last bytes may still be in the server's buffers; leave time to send them.
         std::thread::sleep(Duration::from_millis(100));
     }
 }
--- a/crates/damaskstiled/src/main.rs
+++ b/crates/damaskstiled/src/main.rs
@@ -1,6 +1,7 @@
-//! `damaskstiled` hosts one instance: threads for its inputs and outputs, and one that decides.
+//! Daemon that hosts one instance: threads for input and output, and one that makes decisions.
 //!
-//! No decision is taken here. Each duty has a thread of its own; bounded rings join them.
+//! The decision logic is in the library. Bounded queues carry work between the
+//! threads.
 
 mod callers;
 mod completion;
@@ -33,17 +34,17 @@
 
 use crate::config::Config;
 
-/// Time that callers have to read the last of their answers after all work is done.
+/// Time that callers have to read their last answers once the instance has stopped.
 const LAST_READS: Duration = Duration::from_secs(5);
 
 /// Runs one instance of the damaskstile router fleet.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
-    /// File with the instance's own settings, in TOML.
+    /// Configuration file of the instance, in TOML.
     #[arg(long)]
     config: PathBuf,
-    /// Checks the file and ends.
+    /// Checks the configuration file and exits.
     #[arg(long)]
     check: bool,
 }
@@ -66,7 +67,7 @@
     let front = Arc::new(front);
     let status = Arc::new(status::Status::default());
 
-    let incarnation = random_u64().context("no randomness for the incarnation")?;
+    let incarnation = random_u64().context("cannot read a random incarnation from /dev/urandom")?;
     let identity = Identity::new(&config.instance, incarnation, &config.data_centre);
     let store = store::start(config, Arc::clone(&front))?;
     let peers = peers::start(config, identity.clone(), Arc::clone(&front), &log)?;
@@ -89,13 +90,13 @@
     let decider = decide::Decider::try_new(config, identity, hosted)?;
     let thread = duty::start("decide", move || decider.run(events))?;
     if thread.join().is_err() {
-        anyhow::bail!("the deciding thread ended with a panic");
+        anyhow::bail!("the decision thread panicked");
     }
     front.wait_for_callers(LAST_READS);
     Ok(())
 }
 
-/// Reads a random number from the system, for the incarnation.
+/// Reads a random number from the system.
 fn random_u64() -> std::io::Result<u64> {
     let mut bytes = [0_u8; 8];
     std::fs::File::open("/dev/urandom")?.read_exact(&mut bytes)?;
--- a/crates/damaskstiled/src/member_status.rs
+++ b/crates/damaskstiled/src/member_status.rs
@@ -1,19 +1,19 @@
-//! `member_status` is what operators see of one peer.
+//! Status of one peer, as served to operators.
 
 use serde::{Deserialize, Serialize};
 
-/// `MemberStatus` is what the instance knows of one peer.
+/// What the instance knows of one peer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberStatus {
     /// Name of the peer.
     pub instance: String,
-    /// Data centre that it stands in.
+    /// Data centre in which the peer runs.
     pub data_centre: String,
-    /// Its address.
+    /// Address at which the peer listens for peers.
     pub address: String,
     /// `live`, `stopping` or `silent`.
     pub state: String,
-    /// Settings in force there, as far as is known.
+    /// Last known version of the settings in force on the peer.
     pub settings_version: u64,
 }
--- a/crates/damaskstiled/src/metrics.rs
+++ b/crates/damaskstiled/src/metrics.rs
@@ -1,4 +1,4 @@
-//! `metrics` measures requests for each client account and service.
+//! Latency histograms by client account, and counters of outcomes.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -10,14 +10,14 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// `AccountLabels` tell whose request was measured.
+/// Labels of a latency histogram.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct AccountLabels {
     /// Client account.
     pub account: String,
 }
 
-/// `CodeLabels` tell why requests were not answered.
+/// Labels of the counter of outcomes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CodeLabels {
     outcome: String,
@@ -26,7 +26,7 @@
 
 type Times = Family<AccountLabels, Histogram>;
 
-/// `Metrics` holds all histograms and counters.
+/// All histograms and counters of the daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
@@ -38,12 +38,12 @@
 }
 
 fn histogram() -> Histogram {
-    // From 50 microseconds to about 100 seconds.
+    // 21 buckets, doubling from 50 µs to about 52 s.
     Histogram::new(exponential_buckets(0.000_05, 2.0, 21))
 }
 
 impl Metrics {
-    /// Makes and registers all metrics.
+    /// Creates and registers all metrics.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("damaskstile");
         let times = || Times::new_with_constructor(histogram);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Writes all metrics in the customary text form.
+    /// Encodes all metrics in the `OpenMetrics` text format.
     pub fn encode(&self) -> String {
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         let mut text = String::new();
--- a/crates/damaskstiled/src/operators.rs
+++ b/crates/damaskstiled/src/operators.rs
@@ -1,4 +1,4 @@
-//! `operators` is the thread for operators and metrics.
+//! HTTP server for operators: metrics, health and status. Also handles stop signals.
 
 use std::sync::Arc;
 
@@ -21,7 +21,11 @@
     status: Arc<Status>,
 }
 
-/// Starts the server, and the handling of signals, on a thread of their own.
+/// Starts the server and the signal handler on one dedicated thread.
+///
+/// # Errors
+///
+/// Returns an error if the address cannot be bound or the thread cannot be started.
 pub fn start(config: &Config, front: Arc<Front>, status: Arc<Status>) -> anyhow::Result<()> {
     let mut api = ApiDescription::new();
     api.register(get_metrics)?;
@@ -38,7 +42,7 @@
         .build()?;
     let server = runtime.block_on(async {
         HttpServerStarter::new(&server_config, api, Operators { front, status }, &quiet)
-            .map_err(|error| anyhow::anyhow!("cannot take operators: {error}"))
+            .map_err(|error| anyhow::anyhow!("cannot start the operators' server: {error}"))
             .map(HttpServerStarter::start)
     })?;
     duty::start("operators", move || {
@@ -64,7 +68,7 @@
     front.submit(Event::Stop).await;
 }
 
-/// Gives the metrics in the customary text form.
+/// Returns the metrics in the `OpenMetrics` text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn get_metrics(rqctx: RequestContext<Operators>) -> Result<Response<Body>, HttpError> {
     let text = rqctx.context().front.metrics.encode();
@@ -75,7 +79,7 @@
     finish(response, text)
 }
 
-/// Tells the balancer whether to send work here.
+/// Health check of the load balancer: 200 while the instance accepts work, otherwise 503.
 #[endpoint { method = GET, path = "/healthz" }]
 async fn get_health(rqctx: RequestContext<Operators>) -> Answer {
     let is_ready = rqctx.context().status.latest().is_ready;
@@ -87,7 +91,7 @@
     finish(Response::builder().status(status), "{}")
 }
 
-/// Tells operators how the instance is.
+/// Returns the latest status snapshot as JSON.
 #[endpoint { method = GET, path = "/v1/status" }]
 async fn get_status(rqctx: RequestContext<Operators>) -> Answer {
     let snapshot = rqctx.context().status.latest();
--- a/crates/damaskstiled/src/peers.rs
+++ b/crates/damaskstiled/src/peers.rs
@@ -1,4 +1,4 @@
-//! `peers` is the thread that talks to peers: frames of protocol buffers over TCP.
+//! The peers thread: exchanges length-delimited protobuf frames with peers over TCP.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,25 +19,29 @@
 use crate::front::Front;
 use damaskstile_gateway::logs;
 
-/// Messages that may wait for the thread.
+/// Capacity of the queue to the peers thread.
 const PEERS_RING: usize = 4096;
-/// Messages that may wait for one peer.
+/// Capacity of the queue to one peer's connection.
 const PEER_RING: usize = 512;
-/// Time in which a connection must be made.
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time without a message after which a connection is given up.
+/// Time without a message to send after which a connection is closed.
 const IDLE_LIMIT: Duration = Duration::from_mins(1);
 
-/// `ToPeers` is one message with the address that it goes to.
+/// A message to a peer, with its destination.
 #[derive(Debug)]
 pub struct ToPeers {
-    /// Address as IP and port.
+    /// Address of the peer, as IP and port.
     pub address: String,
-    /// The message.
+    /// Message to send.
     pub message: PeerMessage,
 }
 
-/// Starts the thread.
+/// Starts the thread and returns the queue to it.
+///
+/// # Errors
+///
+/// Returns an error if the address cannot be bound or the thread cannot be started.
 pub fn start(
     config: &Config,
     own: Identity,
@@ -98,7 +102,7 @@
                 front.submit(event).await;
             }
             Err(error) => {
-                // The rest of the stream cannot be trusted; the peer connects anew.
+                // Frame boundaries are lost, so the connection is closed; the peer reconnects.
                 logs::write(
                     &log,
                     &LogEvent::new(EventCode::PeerFrameInvalid, &[("error", &error)]),
@@ -119,13 +123,15 @@
             peers.insert(address.clone(), sender);
         }
         if let Some(peer) = peers.get(&address) {
-            // A peer that does not read loses messages; it must not hold up the others.
+            // If the queue is full, the message is dropped: a slow peer must not delay the others.
             let _ = peer.try_send(message);
         }
     }
 }
 
-/// Writes messages to one peer until the connection fails; the next message makes a new one.
+/// Writes messages to one peer until the connection fails or is idle.
+///
+/// The next message to this peer opens a new connection.
 async fn write_frames(own: Identity, address: String, mut messages: Receiver<PeerMessage>) {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address));
     let Ok(Ok(stream)) = connecting.await else {
--- a/crates/damaskstiled/src/problem.rs
+++ b/crates/damaskstiled/src/problem.rs
@@ -1,4 +1,4 @@
-//! `problem` makes the answers for requests that were not answered.
+//! Builds responses; those of failed requests are problem details (`application/problem+json`).
 
 use damaskstile::core::codes::RefusalCode;
 use damaskstile::core::outcome::Outcome;
@@ -6,10 +6,10 @@
 use http::{Response, StatusCode};
 use serde_json::{Value, json};
 
-/// `Answer` is what handlers give to the server.
+/// Result of an HTTP handler.
 pub type Answer = Result<Response<Body>, HttpError>;
 
-/// Returns the status for a code.
+/// Returns the HTTP status of a refusal code.
 pub fn status(code: RefusalCode) -> StatusCode {
     match code {
         RefusalCode::UnknownAccount => StatusCode::UNAUTHORIZED,
@@ -36,19 +36,19 @@
     }
 }
 
-/// `Problem` is the form of an answer that is none.
+/// Response to a request that failed or was refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Body.
+    /// JSON body.
     pub body: Value,
-    /// Seconds after which coming back may help.
+    /// Value of the `retry-after` header, in seconds.
     pub retry_after_s: Option<u64>,
 }
 
 impl Problem {
-    /// Makes the problem of an outcome; none for an answered request.
+    /// Converts an outcome; returns `None` if the request was answered.
     pub fn of(outcome: &Outcome, key: &str) -> Option<Self> {
         let (name, code, retry_after) = match outcome {
             Outcome::Answered(_) => return None,
@@ -57,7 +57,7 @@
                 code, retry_after, ..
             } => ("outcome_unknown", *code, *retry_after),
         };
-        // A wait of less than a second is rounded up, since the header has whole seconds.
+        // Rounded up, at least to 1, since the header takes whole seconds.
         let retry_after_s = retry_after
             .map(|wait| wait.as_secs() + u64::from(wait.subsec_nanos() > 0))
             .map(|seconds| seconds.max(1));
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Makes the problem of a call that was refused before it was decided on.
+    /// Creates the problem of a call that was refused before it reached the instance.
     pub fn not_run(code: RefusalCode, detail: &str) -> Self {
         let retry_after_s = (code == RefusalCode::Overloaded).then_some(1);
         let mut problem = Self::new("not_run", code, "", retry_after_s);
@@ -90,7 +90,7 @@
         problem
     }
 
-    /// Makes the answer.
+    /// Converts the problem to an HTTP response.
     pub fn answer(&self, key: &str) -> Answer {
         let mut response = Response::builder()
             .status(self.status)
@@ -105,14 +105,14 @@
     }
 }
 
-/// Ends an answer with its body.
+/// Completes a response with its body.
 pub fn finish(response: http::response::Builder, body: impl Into<Body>) -> Answer {
     response
         .body(body.into())
         .map_err(|error| HttpError::for_internal_error(error.to_string()))
 }
 
-/// Makes an answer of a JSON value.
+/// Builds a 200 response with a JSON body.
 pub fn json_answer(value: &Value) -> Answer {
     let response = Response::builder()
         .status(StatusCode::OK)
--- a/crates/damaskstiled/src/recorder.rs
+++ b/crates/damaskstiled/src/recorder.rs
@@ -1,4 +1,4 @@
-//! `recorder` writes the events of the instance to a trace.
+//! Records the instance's input events to a trace file for a later replay.
 
 use std::fs::File;
 use std::io::BufWriter;
@@ -9,14 +9,18 @@
 use damaskstile::core::event::Event;
 use damaskstile::trace::{self, TraceHead, TraceLine};
 
-/// `Recorder` writes the events of the instance to a trace.
+/// Writes the instance's input events to a trace file.
 #[derive(Debug)]
 pub struct Recorder {
     out: BufWriter<File>,
 }
 
 impl Recorder {
-    /// Starts a trace.
+    /// Creates the trace file and writes its head.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file cannot be created or written.
     pub fn try_new(
         path: &Path,
         options: &InstanceOptions,
@@ -32,7 +36,7 @@
         Ok(Self { out })
     }
 
-    /// Writes an event. A trace that cannot be written is no reason to stop serving.
+    /// Writes an event. Write errors are ignored: a failing trace must not stop the service.
     pub fn record(&mut self, now: Duration, event: &Event) {
         let line = TraceLine::Event {
             now,
--- a/crates/damaskstiled/src/status.rs
+++ b/crates/damaskstiled/src/status.rs
@@ -1,4 +1,4 @@
-//! `status` is what operators see of the instance, renewed a few times a second.
+//! Status snapshot of the instance for operators, updated a few times a second.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -7,25 +7,25 @@
 
 use crate::member_status::MemberStatus;
 
-/// `Snapshot` is what operators see of the instance.
+/// Status of the instance, as served to operators.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Snapshot {
     /// Name of the instance.
     pub instance: String,
-    /// Whether the balancer should send work here.
+    /// Whether the load balancer should send calls to this instance.
     pub is_ready: bool,
-    /// Settings in force here.
+    /// Version of the settings in force on this instance.
     pub settings_version: u64,
-    /// Requests without a final word.
+    /// Number of requests without an outcome.
     pub open_requests: usize,
-    /// Bills that wait for the store.
+    /// Number of bills not yet written to the store.
     pub pending_entries: usize,
-    /// Peers.
+    /// Known peers.
     pub members: Vec<MemberStatus>,
 }
 
-/// `Status` holds the latest snapshot.
+/// Holds the latest snapshot.
 #[derive(Debug, Default)]
 pub struct Status {
     latest: Mutex<Snapshot>,
@@ -40,7 +40,7 @@
             .clone()
     }
 
-    /// Takes a snapshot.
+    /// Replaces the snapshot by the instance's current status.
     pub fn renew(&self, instance: &Instance) {
         let own = instance.membership().own();
         let members = instance
--- a/crates/damaskstiled/src/store.rs
+++ b/crates/damaskstiled/src/store.rs
@@ -1,4 +1,4 @@
-//! `store` is the thread that calls the platform: objects, the watch, the list of targets.
+//! The store thread: object calls, the settings watch and the list of targets of the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,35 +13,39 @@
 use crate::duty;
 use crate::front::Front;
 
-/// Calls that may wait.
+/// Capacity of the queue to the store thread.
 const STORE_RING: usize = 1024;
-/// Time that one wait for a newer version lasts.
+/// Time that the platform may hold one watch before it answers without a change.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// Pause after a watch that failed.
+/// Delay before a failed watch is repeated.
 const WATCH_PAUSE: Duration = Duration::from_millis(500);
-/// Time between two reads of the list of targets.
+/// Delay between two reads of the list of targets.
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// `ToStore` is one message to the store's thread.
+/// A message to the store thread.
 #[derive(Debug)]
 pub enum ToStore {
-    /// A call.
+    /// Calls the store.
     Call {
-        /// Its id.
+        /// Id under which the answer is reported.
         call: CallId,
-        /// The call itself.
+        /// Operation to perform.
         request: StoreCall,
     },
-    /// Whether to watch the settings.
+    /// Starts or stops watching the settings.
     Watch {
-        /// Whether to watch.
+        /// Whether to watch from now on.
         is_watching: bool,
-        /// Version that is known already.
+        /// Version that the instance already has.
         have_version: Version,
     },
 }
 
-/// Starts the thread.
+/// Starts the thread and returns the queue to it.
+///
+/// # Errors
+///
+/// Returns an error if the thread cannot be started.
 pub fn start(config: &Config, front: Arc<Front>) -> anyhow::Result<Sender<ToStore>> {
     let (sender, receiver) = mpsc::channel(STORE_RING);
     let platform = Platform::new(&config.platform_address.to_string());
@@ -79,8 +83,10 @@
     }
 }
 
-/// Watches the settings. An outage may lose a watch without an answer, which shows only at the
-/// watch's own limit; so it is sent anew once lists of targets are answered again.
+/// Watches the settings and reports each new version.
+///
+/// An outage may lose a watch without an answer, which shows only when the watch itself times out.
+/// So the watch is sent again as soon as the platform answers reads of the list of targets again.
 async fn watch_settings(
     platform: Platform,
     front: Arc<Front>,
@@ -116,7 +122,7 @@
     }
 }
 
-/// Lists the targets over and over, and counts the outages that are over.
+/// Polls the list of targets, reports changes, and counts the outages that have ended.
 async fn list_targets(platform: Platform, front: Arc<Front>, outages: watch::Sender<u64>) {
     let mut last = Vec::new();
     let mut is_lost = false;
--- a/crates/damaskstiled/src/targets.rs
+++ b/crates/damaskstiled/src/targets.rs
@@ -1,4 +1,4 @@
-//! `targets` is the thread that talks to targets: it sends requests and reads their answers.
+//! The targets thread: sends requests to targets, reads their answers and queries their state.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,43 +18,48 @@
 use crate::plain_answer::PlainAnswer;
 use damaskstile_gateway::clock::Clock;
 
-/// Messages that may wait.
+/// Capacity of the queue to the targets thread.
 const TARGETS_RING: usize = 4096;
-/// Time that a question to a target may take.
+/// Timeout of a cancellation or of a query for a run's state or a target's load.
 const ASK_LIMIT: Duration = Duration::from_millis(800);
-/// Time between two pieces after which a stream counts as cut.
+/// Longest gap between two frames of an answer before the run counts as broken; for a plain service
+/// the time limit of the whole call.
 const IDLE_LIMIT: Duration = Duration::from_secs(30);
 
-/// `ToTargets` is one message to the targets' thread.
+/// A message to the targets thread.
 #[derive(Debug)]
 pub enum ToTargets {
-    /// Send a request.
+    /// Sends a request.
     Dispatch(Box<Dispatch>),
-    /// Cancel a run.
+    /// Cancels a run.
     Cancel {
         /// The run.
         run: RunId,
     },
-    /// Ask how a run went.
+    /// Asks a target for the state of a run.
     Inquire {
         /// The run.
         run: RunId,
-        /// Address of its target.
+        /// Address of the target.
         address: String,
     },
-    /// Ask for the load.
+    /// Asks a target for its status.
     Probe {
         /// The target.
         target: TargetId,
-        /// Its address.
+        /// Address of the target.
         address: String,
     },
 }
 
-/// Runs that are being read: where they run, and how to stop reading.
+/// Runs whose answers are being read, each with its target's address and its reader task.
 type Reading = Arc<Mutex<BTreeMap<RunId, (String, AbortHandle)>>>;
 
-/// Starts the thread.
+/// Starts the thread and returns the queue to it.
+///
+/// # Errors
+///
+/// Returns an error if the thread cannot be started.
 pub fn start(front: Arc<Front>, clock: Clock) -> anyhow::Result<Sender<ToTargets>> {
     let (sender, receiver) = mpsc::channel(TARGETS_RING);
     duty::start_async("targets", run(front, clock, receiver))?;
@@ -111,8 +116,8 @@
         report(front, &run, RunReport::Unreachable).await;
         return;
     };
-    // The process may have been paused since the decision. Then the target may be leaving, and
-    // nothing has been sent yet.
+    // The process may have been paused since the decision, and the target may be leaving by now.
+    // Nothing has been sent yet, so the run is reported as unreachable.
     if clock.now() > dispatch.expires_at {
         report(front, &run, RunReport::Unreachable).await;
         return;
@@ -132,10 +137,10 @@
     report(front, &run, last).await;
 }
 
-/// Tells what a status in place of an answer says about the run.
+/// Maps an error status of a target to a report.
 fn refusal(status: u16) -> RunReport {
     match status {
-        // The target says that it did not take the request.
+        // The target did not accept the request.
         409 | 429 | 503 => RunReport::Refused,
         400..=499 => RunReport::Rejected,
         _ => RunReport::Broken,
@@ -174,7 +179,9 @@
     loop {
         let frame = tokio::time::timeout(IDLE_LIMIT, body.frame()).await;
         let Ok(Some(Ok(frame))) = frame else {
-            return Err(Error::Broken("the stream ended early".to_owned()));
+            return Err(Error::Broken(
+                "the stream ended or stalled before its last event".to_owned(),
+            ));
         };
         let Ok(bytes) = frame.into_data() else {
             continue;
--- a/crates/damaskstiled/src/timings.rs
+++ b/crates/damaskstiled/src/timings.rs
@@ -1,4 +1,4 @@
-//! `timings` follows open calls and observes their times.
+//! Derives the latency histograms of calls from the instance's effects.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
     is_sent: bool,
 }
 
-/// `Timings` follows open calls and observes their times.
+/// Tracks open calls and records their latencies in the metrics.
 #[derive(Debug)]
 pub struct Timings {
     metrics: Arc<Metrics>,
@@ -24,7 +24,6 @@
 }
 
 impl Timings {
-    /// Makes the timings of no calls.
     pub fn new(metrics: Arc<Metrics>) -> Self {
         Self {
             metrics,
@@ -32,7 +31,7 @@
         }
     }
 
-    /// Takes note of an effect.
+    /// Updates the call that an effect belongs to and records its latencies.
     pub fn note(&mut self, effect: &Effect) {
         match effect {
             Effect::Accepted {
--- a/crates/damaskstiled/tests/fleet.rs
+++ b/crates/damaskstiled/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! End-to-end tests: real processes are killed, paused and stopped while callers go on calling.
+//! End-to-end tests: real processes are killed, paused and stopped while calls continue.
 
 mod support;
 
@@ -10,7 +10,7 @@
 
 const NAMES: [&str; 3] = ["one", "two", "three"];
 
-/// Sends completions to the named instances in turn, 15 ms apart, and waits for all answers.
+/// Sends chat completions to the named instances in turn, 15 ms apart, and waits for all answers.
 async fn load(fleet: &Fleet, names: &[&str], first: u64, count: u64) -> Vec<(String, Answer)> {
     let mut calls = Vec::new();
     for number in 0..count {
@@ -37,9 +37,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_instance_leaves_every_answer_billed_once() {
-    // Symptom: an answer without a bill, or a bill that stands twice, after an instance died.
-    // Sequence: an instance answers, is killed before it has stored its bills, and comes back.
-    // Cause looked for: bills that are kept in one process only.
+    // Guards against lost or duplicate bills. An instance answers, is killed before it has stored
+    // its bills, and restarts; bills that only its process holds would be lost.
 
     // Arrange
     let mut fleet = Fleet::start("kill", &NAMES, 200_000).await;
@@ -73,12 +72,11 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_paused_instance_spends_nothing_that_was_given_back() {
-    // Symptom: more is run than was topped up.
-    // Sequence: an instance is paused, its witnesses close its grants and the tokens are spent
-    // by others; it wakes up, unaware, and goes on.
-    // Cause looked for: a grant that is taken back by time alone.
+    // Guards against running more tokens than were topped up. An instance is paused, its witnesses
+    // close its grants and others spend the tokens; then it resumes without knowing. A grant that
+    // is revoked by time alone would be spent twice.
 
-    // Arrange: 322 requests of 12 tokens cost more than there is.
+    // Arrange: 322 requests of 12 tokens cost more than the budget.
     let fleet = Fleet::start("pause", &NAMES, 3_000).await;
 
     // Act
@@ -128,9 +126,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_rolling_restart_under_load_cuts_off_nothing() {
-    // Symptom: a caller's stream ends early, or a request is refused, while instances are replaced.
-    // Sequence: SIGTERM under load, with answers of 200 ms open; the balancer goes elsewhere.
-    // Cause looked for: an end before the last answer is read, or bills not handed over.
+    // Guards against streams cut short and requests refused during a rolling restart. Each instance
+    // gets SIGTERM under load, with answers of 200 ms open, while new calls go to the others. It
+    // must not exit before its last answer is read and its bills are handed over.
 
     // Arrange
     let mut fleet = Fleet::start("rolling", &NAMES, 200_000).await;
@@ -160,7 +158,7 @@
     assert_eq!(fleet.ledger().await.settled_tokens, fleet.truth().1);
 }
 
-/// Stops an instance while it has answers open; new calls go to the others.
+/// Stops an instance while it has open answers; new calls go to the others.
 async fn load_then_stop(
     fleet: &Fleet,
     name: &str,
@@ -188,7 +186,7 @@
     let fleet = Fleet::start("publish", &NAMES, 10_000).await;
     let keys: Vec<String> = (0..10).map(key).collect();
 
-    // Act: every key at all instances at once.
+    // Act: send every key to all instances at once.
     let mut calls = Vec::new();
     for key in &keys {
         for name in NAMES {
@@ -230,7 +228,7 @@
         assert_eq!(fleet.status(name).await["settings_version"], version);
     }
 
-    // Act: the platform is out, and an instance starts with nothing.
+    // Act: an instance restarts without any state while the platform is unavailable.
     fleet
         .set_platform_faults(&serde_json::json!({"is_out": true}))
         .await;
@@ -238,15 +236,15 @@
     fleet.wait_ended("three").await;
     fleet.restart("three").await;
 
-    // Assert: it has the settings from its peers.
+    // Assert: it gets the settings from its peers.
     assert_eq!(fleet.status("three").await["settings_version"], version);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_watch_that_an_outage_lost_does_not_hold_back_settings() {
-    // Symptom: an accepted version of the settings comes into force many seconds late. Sequence: a
-    // change ends the watch; the platform fails and loses the next watch; it comes back and answers
-    // all other calls. Cause: the watch was ended by nothing but its own limit of 20 s and more.
+    // Guards against new settings taking effect many seconds late. A change ends the watch, and the
+    // platform loses the next watch in an outage but answers all other calls afterwards. If only
+    // its own time limit ends the lost watch, settings wait for 20 s or more.
 
     // Arrange
     let fleet = Fleet::start("lost-watch", &["one"], 10_000).await;
--- a/crates/damaskstiled/tests/support/mod.rs
+++ b/crates/damaskstiled/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! `support` starts a fleet of real processes over stand-ins, and calls it.
+//! Test fixture: a fleet of real daemon processes with stand-ins for the platform and the targets.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -16,22 +16,22 @@
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 
-/// Token of the only client account.
+/// Bearer token of the only client account.
 const TOKEN: &str = "test-token";
-/// Time in which an instance must be ready.
+/// Time limit for an instance to become ready.
 const READY_LIMIT: Duration = Duration::from_secs(10);
 
-/// `Answer` is what a caller has got.
+/// Response that a caller received.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// HTTP status; 0 where there was no answer.
+    /// HTTP status; 0 if there was no response.
     pub status: u16,
-    /// Body.
+    /// JSON body; `Null` if there was none.
     pub body: Value,
 }
 
 impl Answer {
-    /// Tells whether the request was answered whole.
+    /// Returns whether the request was answered.
     pub fn is_answered(&self) -> bool {
         self.status == 200
     }
@@ -44,9 +44,9 @@
     operators: String,
 }
 
-/// `Fleet` is a fleet of real processes. It ends them when it is dropped.
+/// A fleet of real processes, which are killed on drop.
 pub struct Fleet {
-    /// The platform's address.
+    /// Client of the stand-in platform.
     pub platform: Platform,
     platform_address: String,
     engines: BTreeMap<String, Arc<Engine>>,
@@ -54,17 +54,18 @@
     dir: PathBuf,
 }
 
-/// First port that tests take, below those that the system gives to outgoing connections.
+/// First port for instances; all are below the system's range for outgoing connections.
 const FIRST_PORT: u16 = 11_000;
-/// Ports that tests take one after the other before they begin again.
+/// Number of ports that are tried in turn before the first one again.
 const PORTS: u16 = 18_000;
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// Finds a port for an instance.
+/// Returns a free port for an instance.
 ///
-/// A port that the system picks may be given to an outgoing connection before the instance has
-/// it, or while the instance is restarted: it then cannot start. So these are out of its range.
+/// A port picked by the system could be reused for an outgoing connection before the instance
+/// listens on it, or while the instance restarts, and the instance could not start. So the ports
+/// are outside the system's range.
 fn free_port() -> u16 {
     loop {
         let number = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
@@ -76,7 +77,8 @@
 }
 
 impl Fleet {
-    /// Starts a platform, two model targets, a plain one, and the named instances.
+    /// Starts a platform, two model targets, one plain target and the named instances, and waits
+    /// until all instances are ready.
     pub async fn start(test: &str, names: &[&str], budget_tokens: u64) -> Self {
         let server = serve(
             "127.0.0.1:0",
@@ -131,7 +133,9 @@
         self.engines.insert(name.to_owned(), engine);
     }
 
-    /// Accepts settings, with more values in the `[fleet]` table.
+    /// Writes a new version of the settings, with the given values in the `[fleet]` table.
+    ///
+    /// Returns the new version.
     pub async fn put_settings(&self, values: &str) -> Version {
         let text = format!(
             "[system]\ninstances = 3\nseal_after_ms = 2000\nstop_grace_ms = 300\n\
@@ -163,7 +167,7 @@
             .expect("platform");
     }
 
-    /// Sets the platform's faults.
+    /// Sets the faults that the platform simulates.
     pub async fn set_platform_faults(&self, faults: &Value) {
         self.call_platform(http::Method::PUT, "/faults", faults)
             .await;
@@ -223,7 +227,7 @@
         panic!("{name} is not ready");
     }
 
-    /// Returns an instance's own status.
+    /// Returns the status of an instance, or `Null` if it does not answer.
     pub async fn status(&self, name: &str) -> Value {
         let call = Call::new(
             &self.processes[name].operators,
@@ -243,7 +247,7 @@
         rustix::process::kill_process(pid, signal).expect("signal");
     }
 
-    /// Waits until an instance has ended, and returns whether it ended well.
+    /// Waits for an instance to exit; returns whether it exited with success within 20 s.
     pub async fn wait_ended(&mut self, name: &str) -> bool {
         let until = Instant::now() + Duration::from_secs(20);
         let process = self.processes.get_mut(name).expect("instance");
@@ -256,14 +260,14 @@
         false
     }
 
-    /// Starts an instance that has ended.
+    /// Starts an instance that has exited, and waits until it is ready.
     pub async fn restart(&mut self, name: &str) {
         let process = self.processes.get_mut(name).expect("instance");
         process.child = spawn(&process.config);
         self.wait_ready(name).await;
     }
 
-    /// Asks for a completion.
+    /// Requests a chat completion.
     pub fn chat(
         &self,
         name: &str,
@@ -278,7 +282,7 @@
         self.post(name, "/v1/chat/completions", key, &body)
     }
 
-    /// Calls the service that must never run twice.
+    /// Calls the non-idempotent plain service.
     pub fn publish(&self, name: &str, key: &str) -> impl Future<Output = Answer> + Send + use<> {
         self.post(name, "/v1/services/publish/plain/sheet", key, &json!({}))
     }
@@ -308,7 +312,7 @@
         }
     }
 
-    /// Returns the ledger.
+    /// Reads the ledger from the store.
     pub async fn ledger(&self) -> Ledger {
         let object = self.platform.read("budgets/office").await.expect("read");
         Ledger::try_from_json(&object.expect("budget").value).expect("ledger")
@@ -323,7 +327,7 @@
             .collect()
     }
 
-    /// Returns what truly ran: the key of each run, and the tokens of all.
+    /// Returns what the targets ran: the key of each run, and the sum of their tokens.
     pub fn truth(&self) -> (Vec<String>, u64) {
         let runs: Vec<_> = self
             .engines
@@ -337,7 +341,7 @@
         (runs.into_iter().map(|run| run.key).collect(), tokens)
     }
 
-    /// Waits until a condition on the bills holds.
+    /// Waits until all keys are billed, and returns those that are not after the limit.
     pub async fn wait_billed(&self, keys: &[String], limit: Duration) -> Vec<String> {
         let until = Instant::now() + limit;
         loop {
@@ -351,7 +355,7 @@
         }
     }
 
-    /// Makes targets slower or refuse.
+    /// Sets the faults that a target simulates.
     pub fn set_engine_faults(&self, name: &str, faults: Faults) {
         self.engines[name].set_faults(faults);
     }
@@ -376,7 +380,7 @@
     }
 }
 
-/// Makes a `UUIDv7` key for now.
+/// Creates a `UUIDv7` request key with the current time.
 pub fn key(number: u64) -> String {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
