--- a/crates/damaskstile-http/src/answers.rs
+++ b/crates/damaskstile-http/src/answers.rs
@@ -1,11 +1,11 @@
-//! `answers` reads a target's answer and reports its pieces.
+//! Converts a target's event stream to run reports.
 
 use damaskstile_core::prelude::*;
 use serde::Deserialize;
 
 use crate::sse::SseLines;
 
-/// `Usage` is a target's count of tokens.
+/// Token usage as reported by a target.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
@@ -22,7 +22,7 @@
     usage: Option<Usage>,
 }
 
-/// `AnswerReader` turns the bytes of a target's stream into reports.
+/// Incremental parser of a target's event stream.
 #[derive(Debug)]
 pub struct AnswerReader {
     lines: SseLines,
@@ -32,7 +32,7 @@
 }
 
 impl AnswerReader {
-    /// Makes a reader of a stream that begins with this chunk.
+    /// Creates a reader whose first chunk has the given index; it is above 0 for a resumed run.
     #[must_use]
     pub fn new(first_index: u64) -> Self {
         Self {
@@ -43,7 +43,10 @@
         }
     }
 
-    /// Takes in bytes and returns the reports that they make up.
+    /// Adds bytes and returns the reports that they complete.
+    ///
+    /// A data line that is not a valid chunk, or is too long, breaks the stream: the last report is
+    /// `RunReport::Broken`. Bytes after the end of the stream are ignored.
     ///
     /// ```
     /// use damaskstile_core::report::RunReport;
@@ -94,7 +97,8 @@
     }
 
     fn finished(&self) -> RunReport {
-        // Without a count by the target, each piece counts as a token and the prompt in full.
+        // If the target reported no usage, each chunk counts as one token, and the prompt as the
+        // maximum; the instance caps it at its own count of the prompt.
         let usage = self.usage.unwrap_or(Usage {
             prompt_tokens: u64::MAX,
             completion_tokens: self.next_index,
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Tells whether the stream has said its last word.
+    /// Returns whether the stream has finished or is broken.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.is_done
--- a/crates/damaskstile-http/src/client.rs
+++ b/crates/damaskstile-http/src/client.rs
@@ -1,8 +1,8 @@
-//! `client` makes single calls, each over a connection of its own.
+//! HTTP client that opens a new connection for each call.
 //!
-//! A pooled connection may be closed by the other side just as a call is written to it. Then
-//! nobody can tell whether the call was read. With a connection of its own a call that could not
-//! connect is proved not to have been sent.
+//! The server may close a pooled connection just as a call is written to it, and then it is unknown
+//! whether the call was read. With a new connection for each call, a failure to connect proves that
+//! nothing was sent.
 
 use std::time::Duration;
 
@@ -15,26 +15,26 @@
 use crate::errors::{Error, Result};
 use crate::socket::connect;
 
-/// Largest body that is read as a whole, in bytes.
+/// Maximum size of a response body that is read into memory, in bytes.
 const BODY_BYTES_MAX: usize = 16 * 1024 * 1024;
 
-/// `Call` is one HTTP call.
+/// An HTTP call to be sent.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Address as IP and port.
+    /// Address of the server, as IP and port.
     pub address: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers besides host and length.
+    /// Headers other than `host` and `content-length`, which are set on sending.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl Call {
-    /// Makes a call without headers and body.
+    /// Creates a call without headers and with an empty body.
     ///
     /// ```
     /// use damaskstile_http::Call;
@@ -67,47 +67,51 @@
     }
 }
 
-/// `Reply` is an answer that was read whole.
+/// A response with its complete body.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
     /// Headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// Returns the body as text, with unreadable bytes replaced.
+    /// Returns the body as text; invalid UTF-8 is replaced.
     #[must_use]
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Sends a call and returns the answer's head; its body is still to come.
+/// Sends a call and returns the response as soon as its head has arrived.
+///
+/// The body is read from the returned response.
 ///
 /// # Errors
 ///
-/// `NotConnected` where no byte was sent, `Broken` where some may have been.
+/// `Invalid` if the call cannot be built, `NotConnected` if no byte was sent, `Broken` if some may
+/// have been.
 pub async fn send(call: Call) -> Result<Response<Incoming>> {
     let request = build(&call)?;
     let stream = connect(&call.address).await.map_err(Error::NotConnected)?;
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(async move {
-        // The connection ends with the answer's body; its error shows there.
+        // An error of the connection also shows when the response body is read.
         let _ = connection.await;
     });
     Ok(sender.send_request(request).await?)
 }
 
-/// Sends a call and reads the whole answer, within a time limit.
+/// Sends a call and reads the complete response within a time limit.
 ///
 /// # Errors
 ///
-/// `NotConnected` where no byte was sent, `Broken` where some may have been.
+/// `Invalid` if the call cannot be built, `NotConnected` if no byte was sent, `Broken` if some may
+/// have been, and `Silent` if the time limit passed.
 pub async fn send_whole(call: Call, limit: Duration) -> Result<Reply> {
     let exchange = async {
         let (head, body) = send(call).await?.into_parts();
@@ -118,7 +122,7 @@
         .unwrap_or_else(|_| Err(Error::Silent))
 }
 
-/// Reads the rest of an answer, in which no pause is longer than the limit.
+/// Reads a response body into memory; each gap between two frames must be within the limit.
 pub(crate) async fn read_whole(
     head: response::Parts,
     body: Incoming,
--- a/crates/damaskstile-http/src/errors.rs
+++ b/crates/damaskstile-http/src/errors.rs
@@ -1,37 +1,37 @@
-//! `errors` tells apart calls that cannot have reached the other side from those that may have.
+//! Errors of calls; they distinguish calls that were never sent from those that may have arrived.
 
 use std::fmt;
 
-/// `Error` tells how far a call got before it failed.
+/// Why a call failed, by how far it got.
 #[derive(Debug)]
 pub enum Error {
-    /// The call could not be made up: a bad address, path or header.
+    /// The call could not be built, such as for an invalid path or header.
     Invalid(String),
-    /// No connection was made; no byte of the call has left.
+    /// The connection failed; no byte of the call was sent.
     NotConnected(std::io::Error),
-    /// The call was sent, in whole or in part, and then failed.
+    /// The call failed after some or all of it may have been sent.
     Broken(String),
-    /// The call was sent, in whole or in part, and then nothing came for too long.
+    /// The call timed out; some or all of it may have been sent.
     Silent,
-    /// The other side answered with something that it should not.
+    /// The server answered with an unexpected status.
     Unexpected {
         /// HTTP status.
         status: u16,
-        /// Body, as far as it is text.
+        /// Response body as text; empty if it was not read.
         body: String,
     },
 }
 
-/// `Result` has this crate's error.
+/// Result of a call.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Invalid(what) => write!(f, "invalid call: {what}"),
-            Self::NotConnected(error) => write!(f, "no connection: {error}"),
-            Self::Broken(what) => write!(f, "call broken off: {what}"),
-            Self::Silent => write!(f, "call broken off: no answer in time"),
+            Self::NotConnected(error) => write!(f, "connection failed: {error}"),
+            Self::Broken(what) => write!(f, "call failed after it may have been sent: {what}"),
+            Self::Silent => write!(f, "call timed out: no answer in time"),
             Self::Unexpected { status, body } => write!(f, "status {status}: {body}"),
         }
     }
--- a/crates/damaskstile-http/src/kept.rs
+++ b/crates/damaskstile-http/src/kept.rs
@@ -1,4 +1,4 @@
-//! `kept` makes calls over connections that are kept for the next call.
+//! HTTP client that keeps its connections open and reuses them.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -14,21 +14,23 @@
 use crate::errors::{Error, Result};
 use crate::socket::connect;
 
-/// Longest pause within an answer: many times what a packet takes over a link that others fill.
+/// Longest gap between two frames of a response; many times the delay of a packet on a link that
+/// other traffic fills.
 const PROGRESS_LIMIT: Duration = Duration::from_millis(800);
-/// Longest time of a call that has no longer limit: what changes must be in force in seconds, and an
-/// answer that takes so long brings what was true before.
+/// Timeout of a whole call, unless the caller's limit is longer. Changes must be in force within
+/// seconds, so a response that takes longer than this would carry outdated data.
 const WHOLE_LIMIT: Duration = Duration::from_secs(5);
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Connections that are kept at most; calls are few at a time.
+/// Maximum number of idle connections; few calls are made at a time.
 const KEPT_MAX: usize = 4;
 
-/// `KeptClient` makes calls to one address over kept connections.
+/// HTTP client for one address that reuses its connections.
 ///
-/// A call on a connection that the other side closes meanwhile counts as broken. That suits
-/// calls whose repeat does no harm or whose effect can be looked up.
+/// A call fails with `Broken` if the server closes the connection while the call is sent, and it may
+/// still have taken effect. So use it only for calls that can be repeated safely or whose effect can
+/// be looked up.
 #[derive(Debug)]
 pub struct KeptClient {
     address: String,
@@ -36,7 +38,7 @@
 }
 
 impl KeptClient {
-    /// Makes a client without connections.
+    /// Creates a client; connections are opened on demand.
     ///
     /// ```
     /// let client = damaskstile_http::KeptClient::new("127.0.0.1:80");
@@ -50,29 +52,33 @@
         }
     }
 
-    /// Returns the address.
+    /// Returns the address of the server.
     #[must_use]
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Makes a call and reads the whole answer. The limit is for the time until the answer begins;
-    /// after that it is waited for as long as bytes come.
+    /// Sends a call and reads the complete response.
     ///
-    /// Where hundreds read a large object at once, none is done within a limit for the whole: all
-    /// are thrown away and begun anew, and the load that this makes keeps the next ones from ending
-    /// too. One notices it by calls broken off one after another while the other side is up.
+    /// `limit` applies until the head of the response arrives. After that the body is read for as
+    /// long as no gap between two frames exceeds 800 ms, up to 5 s in all or `limit` if longer.
+    ///
+    /// With one limit for the whole response, hundreds of clients that read a large object at once
+    /// would all time out, discard what they have and start again, and this load would keep the next
+    /// attempts from finishing too. The symptom is calls that time out one after another while the
+    /// server is up.
     ///
     /// # Errors
     ///
-    /// `NotConnected` where no byte was sent, `Broken` where some may have been.
+    /// `Invalid` if the call cannot be built, `NotConnected` if no byte was sent, `Broken` if some
+    /// may have been, and `Silent` if one of the limits passed.
     pub async fn call(&self, call: &Call, limit: Duration) -> Result<Reply> {
         let exchange = tokio::time::timeout(WHOLE_LIMIT.max(limit), self.exchange(call, limit));
         match exchange.await {
             Ok(Err(Error::Silent)) | Err(_) => {}
             Ok(reply) => return reply,
         }
-        // The idle connections may have fallen silent with this one, and each would cost a limit.
+        // The idle connections may be dead as well, and each would cost a call its time limit.
         self.drop_idle();
         Err(Error::Silent)
     }
@@ -85,7 +91,7 @@
         Ok(reply)
     }
 
-    /// Sends a call and waits for the head of its answer.
+    /// Sends a call and waits for the head of the response.
     async fn begin(&self, call: &Call) -> Result<(Sender, response::Parts, Incoming)> {
         let request = build(call)?;
         let mut sender = match self.take() {
@@ -98,7 +104,8 @@
                 let Some(request) = error.take_message() else {
                     return Err(error.into_error().into());
                 };
-                // The connection was closed before the call was written to it.
+                // The connection was closed before the call was written to it, so it is safe to send
+                // the call again on a new one.
                 sender = self.open().await?;
                 sender.send_request(request).await?.into_parts()
             }
@@ -110,7 +117,7 @@
         let stream = connect(&self.address).await.map_err(Error::NotConnected)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
-            // How the connection ends shows in the call that was made on it.
+            // An error of the connection also shows in the call that was made on it.
             let _ = connection.await;
         });
         Ok(sender)
--- a/crates/damaskstile-http/src/lib.rs
+++ b/crates/damaskstile-http/src/lib.rs
@@ -1,4 +1,4 @@
-//! `damaskstile-http` speaks HTTP to targets and to the platform, over `hyper`.
+//! HTTP/1 clients for targets and for the platform, built on `hyper`.
 
 pub mod answers;
 pub mod client;
--- a/crates/damaskstile-http/src/platform.rs
+++ b/crates/damaskstile-http/src/platform.rs
@@ -1,4 +1,4 @@
-//! `platform` speaks to the platform: its object API and its list of targets.
+//! Client of the platform: its object store and its list of targets.
 
 use std::time::Duration;
 
@@ -9,27 +9,27 @@
 use crate::client::{Call, Reply, send_whole};
 use crate::errors::{Error, Result};
 
-/// Time that a call may take.
+/// Time limit of a call, beyond the time that a watch may wait.
 const CALL_LIMIT: Duration = Duration::from_millis(1500);
 
-/// `ObjectKey` is a key with its version, as lists give it.
+/// Key and version of an object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ObjectKey {
     /// Key of the object.
     pub key: String,
-    /// Its version.
+    /// Version of the object.
     pub version: Version,
 }
 
-/// `Platform` makes calls to the platform.
+/// Client of the platform.
 #[derive(Debug, Clone)]
 pub struct Platform {
     address: String,
 }
 
 impl Platform {
-    /// Makes a client of the platform at an address.
+    /// Creates a client for the platform at an address, given as IP and port.
     #[must_use]
     pub fn new(address: &str) -> Self {
         Self {
@@ -37,7 +37,9 @@
         }
     }
 
-    /// Makes a call as the decisions ask for it. Whatever is no clear answer counts as lost.
+    /// Performs a store call of the instance.
+    ///
+    /// Any error is returned as `StoreAnswer::Lost`: the call may or may not have taken effect.
     pub async fn call(&self, call: StoreCall) -> StoreAnswer {
         let answer = match call {
             StoreCall::Read { key } => self.read(&key).await.map(StoreAnswer::Found),
@@ -54,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error where the platform gave no clear answer.
+    /// Returns an error if the call fails or the answer is unexpected.
     pub async fn read(&self, key: &str) -> Result<Option<Object>> {
         let reply = self.get(&format!("/objects/{key}"), CALL_LIMIT).await?;
         match reply.status {
@@ -64,11 +66,14 @@
         }
     }
 
-    /// Writes an object if the expected version stands.
+    /// Writes an object if its current version is the expected one.
+    ///
+    /// Returns `StoreAnswer::Conflict` if the version differs.
     ///
     /// # Errors
     ///
-    /// Returns an error where the platform gave no clear answer; the write may have taken effect.
+    /// Returns an error if the call fails or the answer is unexpected; the write may have taken
+    /// effect.
     pub async fn write(&self, key: &str, expected: Version, value: String) -> Result<StoreAnswer> {
         let path = format!("/objects/{key}?expected_version={expected}");
         let call = Call::new(&self.address, Method::PUT, &path).body(value);
@@ -85,11 +90,13 @@
         }
     }
 
-    /// Waits until an object has a version above the given one.
+    /// Waits until an object has a version above the given one, or until `wait` has passed.
+    ///
+    /// Returns `None` if there was no newer version in this time.
     ///
     /// # Errors
     ///
-    /// Returns an error where the platform gave no clear answer.
+    /// Returns an error if the call fails or the answer is unexpected.
     pub async fn watch(&self, key: &str, after: Version, wait: Duration) -> Result<Option<Object>> {
         let wait_ms = wait.as_millis();
         let path = format!("/watch/{key}?after_version={after}&wait_ms={wait_ms}");
@@ -100,11 +107,11 @@
         }
     }
 
-    /// Lists the objects whose keys begin with a prefix.
+    /// Lists the keys and versions of the objects whose keys begin with a prefix.
     ///
     /// # Errors
     ///
-    /// Returns an error where the platform gave no clear answer.
+    /// Returns an error if the call fails or the answer is unexpected.
     pub async fn list(&self, prefix: &str) -> Result<Vec<ObjectKey>> {
         let reply = self
             .get(&format!("/list?prefix={prefix}"), CALL_LIMIT)
@@ -115,11 +122,11 @@
         }
     }
 
-    /// Reads the list of targets, which lags.
+    /// Reads the list of targets. The platform updates it with a delay.
     ///
     /// # Errors
     ///
-    /// Returns an error where the platform gave no clear answer.
+    /// Returns an error if the call fails or the answer is unexpected.
     pub async fn targets(&self) -> Result<Vec<TargetInfo>> {
         let reply = self.get("/targets", CALL_LIMIT).await?;
         match reply.status {
--- a/crates/damaskstile-http/src/socket.rs
+++ b/crates/damaskstile-http/src/socket.rs
@@ -1,32 +1,33 @@
-//! `socket` makes connections that notice when the other side falls silent.
+//! TCP connections that detect an unresponsive peer early.
 
 use std::time::Duration;
 
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::{TcpStream, ToSocketAddrs};
 
-/// Time in which a connection must be made: a few round trips within a region, and short beside
-/// the time that callers wait.
+/// Timeout for connecting: a few round trips within a region, and short compared with the time that
+/// callers wait.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time after which bytes that nobody acknowledges end a connection. A target that lost power or
-/// is cut off answers nothing at all, and without this a call would wait out its deadline.
+/// Time that sent bytes may stay unacknowledged before the connection is closed. A target that has
+/// lost power or its network sends nothing at all; without this limit a call would wait until its
+/// deadline.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
-/// Time between two such questions. The system counts whole seconds and refuses less.
+/// Interval between two keep-alive probes. The system takes whole seconds only, and at least one.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time without bytes after which the other side is asked whether it is there.
+/// Time without traffic after which the first keep-alive probe is sent.
 const KEEPALIVE_AFTER: Duration = Duration::from_secs(1);
 
-/// Connects with limits on how long the other side may be silent.
+/// Connects to an address, with keep-alive and a limit on unacknowledged data.
 ///
 /// # Errors
 ///
-/// Returns an error where no connection was made in time.
+/// Returns an error if the connection fails or times out, or a socket option cannot be set.
 pub async fn connect(address: impl ToSocketAddrs) -> std::io::Result<TcpStream> {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting
         .await
         .unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))?;
-    // Tokens are small and must not wait to be sent together.
+    // Tokens are sent as small packets, which Nagle's algorithm would delay.
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
     socket.set_tcp_user_timeout(Some(SILENCE_LIMIT))?;
--- a/crates/damaskstile-http/src/sse.rs
+++ b/crates/damaskstile-http/src/sse.rs
@@ -1,9 +1,9 @@
-//! `sse` cuts a stream of server-sent events into its data lines.
+//! Incremental decoder of server-sent events.
 
-/// Longest line that is kept, in bytes.
+/// Maximum length of an incomplete line, in bytes.
 const LINE_BYTES_MAX: usize = 1024 * 1024;
 
-/// `SseLines` collects bytes and gives out the data of each event.
+/// Buffers bytes and returns the content of complete `data:` lines.
 #[derive(Debug, Default)]
 pub struct SseLines {
     rest: Vec<u8>,
@@ -11,13 +11,13 @@
 }
 
 impl SseLines {
-    /// Makes a collector without bytes.
+    /// Creates an empty decoder.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds bytes and returns the data lines that are whole now.
+    /// Adds bytes and returns the content of the `data:` lines that they complete.
     ///
     /// ```
     /// use damaskstile_http::SseLines;
@@ -36,14 +36,14 @@
             }
         }
         if self.rest.len() > LINE_BYTES_MAX {
-            // A line without an end would fill the memory. The stream is given up.
+            // Bounds the memory that an endless line can take.
             self.rest.clear();
             self.is_overlong = true;
         }
         lines
     }
 
-    /// Tells whether a line was too long, so that the stream cannot be trusted any more.
+    /// Returns whether a line was too long; the stream must then be abandoned.
     #[must_use]
     pub fn is_overlong(&self) -> bool {
         self.is_overlong
--- a/crates/damaskstile-http/tests/answers.rs
+++ b/crates/damaskstile-http/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Tests of targets' streams: whatever comes in, an answer is whole or it is said to be broken.
+//! Tests of `AnswerReader`: for any input, an answer is either complete or reported as broken.
 
 use damaskstile_core::report::RunReport;
 use damaskstile_http::AnswerReader;
@@ -59,7 +59,7 @@
     #[test]
     fn a_stream_that_ends_early_is_never_finished(chunks in 1..6_usize, cut in 2..400_usize) {
         let text = stream(chunks);
-        // Without the last line's end, the mark of the end has not come.
+        // At least the end of the `[DONE]` line is cut off, so the stream is incomplete.
         let end = text.len().saturating_sub(cut);
         let mut reader = AnswerReader::new(0);
 
--- a/crates/damaskstile-http/tests/kept.rs
+++ b/crates/damaskstile-http/tests/kept.rs
@@ -1,4 +1,4 @@
-//! Calls over kept connections.
+//! Tests of calls over reused connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time that a call may take here.
+/// Time limit of a call in these tests.
 const LIMIT: Duration = Duration::from_millis(500);
-/// Connections that the server lets fall silent after their first call.
+/// Number of connections on which the server answers only the first call.
 const SILENT: usize = 3;
 
-/// Serves HTTP; the first connections answer one call and nothing after it.
+/// Starts an HTTP server whose first `SILENT` connections answer one call and nothing after it.
 async fn server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -36,7 +36,7 @@
         if is_once && answered > 0 {
             continue;
         }
-        // The calls overlap, so that each opens a connection of its own.
+        // Delays the response, so that concurrent calls overlap and each opens a new connection.
         tokio::time::sleep(Duration::from_millis(50)).await;
         let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
         stream.write_all(answer).await.unwrap();
@@ -46,9 +46,9 @@
 
 #[tokio::test]
 async fn a_call_without_an_answer_leaves_no_idle_connection_of_its_time() {
-    // Symptom: after an outage several calls in a row get no answer, although new connections work.
-    // Sequence: some connections are kept; all fall silent at once, without a reset. Cause: only
-    // the connection of the call that failed was given up, and the next call took the next one.
+    // Guards against several calls in a row timing out after an outage, although new connections
+    // work. All idle connections go dead at once, without a reset; if only the connection of the
+    // failed call is closed, the next call uses another dead one.
 
     // Arrange
     let address = server().await;
@@ -68,7 +68,7 @@
     assert_eq!(next.unwrap().text(), "ok");
 }
 
-/// Serves one call whose answer trickles in, longer in all than a call may take until it begins.
+/// Starts a server that answers one call byte by byte, with the given pause before each byte.
 async fn slow_server(pieces: usize, pause: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -80,7 +80,7 @@
         stream.write_all(head.as_bytes()).await.unwrap();
         for _ in 0..pieces {
             tokio::time::sleep(pause).await;
-            // A caller that gave up is what some of the tests are about.
+            // In some tests the client gives up and closes the connection.
             if stream.write_all(b"x").await.is_err() {
                 return;
             }
@@ -92,10 +92,10 @@
 
 #[tokio::test]
 async fn an_answer_that_comes_slowly_is_waited_for_and_not_asked_for_again() {
-    // Symptom: after all instances were killed none of hundreds ever reads the ledger again.
-    // Sequence: all read one large object at once, and the store's link needs 1.4 s for all; each
-    // throws away what it has after 1.2 s and begins anew, which keeps the link as full. Cause: the
-    // limit was for the whole answer, however well it came along.
+    // Guards against a livelock after all instances were killed: hundreds read the ledger at once,
+    // the store's link needs 1.4 s to serve all, and each reader discards its partial response
+    // after 1.2 s and starts again, which keeps the link saturated. It came about when the limit
+    // was for the whole response, whatever its progress.
 
     // Arrange
     let address = slow_server(12, LIMIT / 8).await;
