--- a/crates/damaskstiled/src/callers.rs
+++ b/crates/damaskstiled/src/callers.rs
@@ -22,14 +22,14 @@
 
 use crate::completion;
 use crate::config::Config;
-use crate::duty;
-use crate::front::{Front, Kept, ToCaller};
-use crate::problem::{Answer, Problem, json_answer};
+use crate::problem::{HandlerResult, Problem, json_response};
+use crate::shared::{RawRequest, SharedState, ToCaller};
+use crate::threads;
 
 /// Maximum size of a request body, in bytes.
 const BODY_BYTES_MAX: usize = 4 * 1024 * 1024;
 
-type Context = RequestContext<Arc<Front>>;
+type Context = RequestContext<Arc<SharedState>>;
 
 #[derive(Debug, Deserialize, JsonSchema)]
 struct ServicePath {
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// Returns an error if the address cannot be bound or a thread cannot be started.
-pub fn start(config: &Config, front: Arc<Front>) -> anyhow::Result<()> {
+pub fn start(config: &Config, shared: Arc<SharedState>) -> anyhow::Result<()> {
     let api = api()?;
     let server_config = ConfigDropshot {
         bind_address: config.callers_address,
@@ -63,17 +63,17 @@
         .enable_all()
         .build()?;
     let server = runtime.block_on(async {
-        HttpServerStarter::new(&server_config, api, front, &quiet)
+        HttpServerStarter::new(&server_config, api, shared, &quiet)
             .map_err(|error| anyhow::anyhow!("cannot start the callers' server: {error}"))
             .map(HttpServerStarter::start)
     })?;
-    duty::start("callers", move || {
+    threads::spawn("callers", move || {
         let _ = runtime.block_on(server);
     })?;
     Ok(())
 }
 
-fn api() -> anyhow::Result<ApiDescription<Arc<Front>>> {
+fn api() -> anyhow::Result<ApiDescription<Arc<SharedState>>> {
     let mut api = ApiDescription::new();
     api.register(complete)?;
     api.register(service_get)?;
@@ -86,102 +86,106 @@
 
 /// Handles a chat completion, streamed or buffered as the body asks.
 #[endpoint { method = POST, path = "/v1/chat/completions", unpublished = true }]
-async fn complete(rqctx: Context, body: UntypedBody) -> Answer {
+async fn complete(rqctx: Context, body: UntypedBody) -> HandlerResult {
     let body = Bytes::copy_from_slice(body.as_bytes());
-    let asked = match completion::read(&body) {
-        Ok(asked) => asked,
-        Err(error) => return Problem::not_run(RefusalCode::BadRequest, &error).answer(""),
+    let chat = match completion::read(&body) {
+        Ok(chat) => chat,
+        Err(error) => return Problem::not_run(RefusalCode::BadRequest, &error).to_response(""),
     };
     let headers = rqctx.request.headers();
-    let mut request = match new_request(headers, &asked.model, &body) {
+    let mut request = match new_request(headers, &chat.model, &body) {
         Ok(request) => request,
-        Err(problem) => return problem.answer(""),
+        Err(problem) => return problem.to_response(""),
     };
-    request.prompt_bytes = asked.prompt_bytes;
-    request.max_output_tokens = asked.max_output_tokens;
-    request.is_streamed = asked.is_streamed;
-    let kept = Kept {
+    request.prompt_bytes = chat.prompt_bytes;
+    request.max_output_tokens = chat.max_output_tokens;
+    request.is_streamed = chat.is_streamed;
+    let raw = RawRequest {
         method: Method::POST,
         path: String::new(),
         content_type: "application/json".to_owned(),
         body,
     };
-    let front = rqctx.context();
-    match submit(front, request, kept) {
-        Ok(call) if asked.is_streamed => relay::stream(call, &asked).await,
-        Ok(call) => relay::whole(call, &asked).await,
-        Err(problem) => problem.answer(""),
+    let shared = rqctx.context();
+    match submit(shared, request, raw) {
+        Ok(call) if chat.is_streamed => relay::streamed(call, &chat).await,
+        Ok(call) => relay::buffered(call, &chat).await,
+        Err(problem) => problem.to_response(""),
     }
 }
 
-async fn call_service(rqctx: Context, path: ServicePath, body: UntypedBody) -> Answer {
+async fn call_service(rqctx: Context, path: ServicePath, body: UntypedBody) -> HandlerResult {
     let body = Bytes::copy_from_slice(body.as_bytes());
     let headers = rqctx.request.headers();
     let request = match new_request(headers, &path.service, &body) {
         Ok(request) => request,
-        Err(problem) => return problem.answer(""),
+        Err(problem) => return problem.to_response(""),
     };
     let content_type = header(headers, "content-type").unwrap_or("application/octet-stream");
     let query = rqctx.request.uri().query();
     let query = query.map_or(String::new(), |query| format!("?{query}"));
-    let kept = Kept {
+    let raw = RawRequest {
         method: rqctx.request.method().clone(),
         path: format!("{}{query}", path.path.join("/")),
         content_type: content_type.to_owned(),
         body,
     };
-    match submit(rqctx.context(), request, kept) {
+    match submit(rqctx.context(), request, raw) {
         Ok(call) => relay::plain(call).await,
-        Err(problem) => problem.answer(""),
+        Err(problem) => problem.to_response(""),
     }
 }
 
 /// Handles a GET call of a plain service.
 #[endpoint { method = GET, path = "/v1/services/{service}/{path:.*}", unpublished = true }]
-async fn service_get(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> Answer {
+async fn service_get(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> HandlerResult {
     call_service(rqctx, path.into_inner(), body).await
 }
 
 /// Handles a POST call of a plain service.
 #[endpoint { method = POST, path = "/v1/services/{service}/{path:.*}", unpublished = true }]
-async fn service_post(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> Answer {
+async fn service_post(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> HandlerResult {
     call_service(rqctx, path.into_inner(), body).await
 }
 
 /// Handles a PUT call of a plain service.
 #[endpoint { method = PUT, path = "/v1/services/{service}/{path:.*}", unpublished = true }]
-async fn service_put(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> Answer {
+async fn service_put(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> HandlerResult {
     call_service(rqctx, path.into_inner(), body).await
 }
 
 /// Handles a DELETE call of a plain service.
 #[endpoint { method = DELETE, path = "/v1/services/{service}/{path:.*}", unpublished = true }]
-async fn service_delete(rqctx: Context, path: Path<ServicePath>, body: UntypedBody) -> Answer {
+async fn service_delete(
+    rqctx: Context,
+    path: Path<ServicePath>,
+    body: UntypedBody,
+) -> HandlerResult {
     call_service(rqctx, path.into_inner(), body).await
 }
 
 /// Returns what is known of an earlier request of the caller's client account.
 #[endpoint { method = GET, path = "/v1/requests/{key}", unpublished = true }]
-async fn explain(rqctx: Context, path: Path<KeyPath>) -> Answer {
+async fn explain(rqctx: Context, path: Path<KeyPath>) -> HandlerResult {
     let Some(token_sha256) = token_sha256(rqctx.request.headers()) else {
-        return Problem::not_run(RefusalCode::UnknownAccount, "no bearer token").answer("");
+        return Problem::not_run(RefusalCode::UnknownAccount, "no bearer token").to_response("");
     };
-    let front = rqctx.context();
-    let (request, mut messages) = front.open(None);
+    let shared = rqctx.context();
+    let (request, mut messages) = shared.open(None);
     let event = Event::Explain {
         request,
         token_sha256,
         key: path.into_inner().key,
     };
-    if !front.try_submit(event) {
-        front.close(request);
-        return Problem::not_run(RefusalCode::Overloaded, "too many events wait").answer("");
+    if !shared.try_submit(event) {
+        shared.close(request);
+        return Problem::not_run(RefusalCode::Overloaded, "too many events wait").to_response("");
     }
     if let Some(ToCaller::Explained(Some(explanation))) = messages.recv().await {
-        return json_answer(&serde_json::to_value(&explanation).unwrap_or_default());
+        return json_response(&serde_json::to_value(&explanation).unwrap_or_default());
     }
     let response = http::Response::builder().status(http::StatusCode::NOT_FOUND);
-    crate::problem::finish(response, "{\"code\":\"unknown_request\"}")
+    crate::problem::with_body(response, "{\"code\":\"unknown_request\"}")
 }
 
 fn header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
@@ -239,17 +243,17 @@
 }
 
 fn submit(
-    front: &Arc<Front>,
+    shared: &Arc<SharedState>,
     mut request: NewRequest,
-    kept: Kept,
+    raw: RawRequest,
 ) -> Result<relay::OpenCall, Problem> {
-    let (handle, messages) = front.open(Some(kept));
+    let (handle, messages) = shared.open(Some(raw));
     request.request = handle;
-    if front.try_submit(Event::Request(request)) {
-        return Ok(relay::OpenCall::new(front, handle, messages));
+    if shared.try_submit(Event::Request(request)) {
+        return Ok(relay::OpenCall::new(shared, handle, messages));
     }
-    front.drop_body(handle);
-    front.close(handle);
+    shared.drop_body(handle);
+    shared.close(handle);
     Err(Problem::not_run(
         RefusalCode::Overloaded,
         "too many events wait",
--- a/crates/damaskstiled/src/callers/relay.rs
+++ b/crates/damaskstiled/src/callers/relay.rs
@@ -12,17 +12,17 @@
 use http_body_util::StreamBody;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use crate::completion::{self, Asked, Tokens};
-use crate::front::{Front, ToCaller};
+use crate::completion::{self, ChatRequest, Usage};
 use crate::plain_answer::PlainAnswer;
-use crate::problem::{Answer, Problem, finish, json_answer};
+use crate::problem::{HandlerResult, Problem, json_response, with_body};
+use crate::shared::{SharedState, ToCaller};
 
 /// A call in progress.
 ///
 /// It is dropped once the caller has the response or has disconnected; this closes the call.
 #[derive(Debug)]
 pub struct OpenCall {
-    front: Arc<Front>,
+    shared: Arc<SharedState>,
     handle: RequestHandle,
     messages: UnboundedReceiver<ToCaller>,
     key: RequestKey,
@@ -31,13 +31,13 @@
 impl OpenCall {
     /// Wraps an opened call and counts it as an open response.
     pub fn new(
-        front: &Arc<Front>,
+        shared: &Arc<SharedState>,
         handle: RequestHandle,
         messages: UnboundedReceiver<ToCaller>,
     ) -> Self {
-        front.stream_opened();
+        shared.response_opened();
         Self {
-            front: Arc::clone(front),
+            shared: Arc::clone(shared),
             handle,
             messages,
             key: String::new(),
@@ -57,91 +57,91 @@
 
 impl Drop for OpenCall {
     fn drop(&mut self) {
-        self.front.close(self.handle);
-        self.front.stream_closed();
+        self.shared.close(self.handle);
+        self.shared.response_closed();
     }
 }
 
 /// Collects all chunks of an answer, up to and with the outcome.
 async fn collect(call: &mut OpenCall) -> (Vec<String>, Option<Outcome>) {
-    let mut pieces = Vec::new();
+    let mut chunks = Vec::new();
     loop {
         match call.next().await {
-            Some(ToCaller::Piece(piece)) => pieces.push(piece),
-            Some(ToCaller::Answer(outcome)) => return (pieces, Some(outcome)),
-            _ => return (pieces, None),
+            Some(ToCaller::Chunk(chunk)) => chunks.push(chunk),
+            Some(ToCaller::Finished(outcome)) => return (chunks, Some(outcome)),
+            _ => return (chunks, None),
         }
     }
 }
 
-fn lost() -> Answer {
+fn unknown_outcome() -> HandlerResult {
     // The decision thread has ended without an outcome, so the request may or may not have run.
     let response = Response::builder().status(StatusCode::BAD_GATEWAY);
-    finish(response, "{\"outcome\":\"outcome_unknown\"}")
+    with_body(response, "{\"outcome\":\"outcome_unknown\"}")
 }
 
 /// Returns a completion as a single JSON response.
-pub async fn whole(mut call: OpenCall, asked: &Asked) -> Answer {
-    let (pieces, outcome) = collect(&mut call).await;
+pub async fn buffered(mut call: OpenCall, chat: &ChatRequest) -> HandlerResult {
+    let (chunks, outcome) = collect(&mut call).await;
     match outcome {
         Some(Outcome::Answered(receipt)) => {
-            let tokens = Tokens::new(receipt.prompt_tokens, receipt.output_tokens);
-            let value = completion::whole(&call.key, &asked.model, &pieces, tokens);
-            let mut answer = json_answer(&value)?;
+            let usage = Usage::new(receipt.prompt_tokens, receipt.output_tokens);
+            let value = completion::assemble(&call.key, &chat.model, &chunks, usage);
+            let mut answer = json_response(&value)?;
             if let Ok(key) = call.key.parse() {
                 answer.headers_mut().insert("idempotency-key", key);
             }
             Ok(answer)
         }
         Some(outcome) => problem(&outcome, &call.key),
-        None => lost(),
+        None => unknown_outcome(),
     }
 }
 
 /// Returns the response of a plain service.
-pub async fn plain(mut call: OpenCall) -> Answer {
-    let (pieces, outcome) = collect(&mut call).await;
-    let answer = pieces
+pub async fn plain(mut call: OpenCall) -> HandlerResult {
+    let (chunks, outcome) = collect(&mut call).await;
+    let answer = chunks
         .first()
-        .and_then(|piece| serde_json::from_str::<PlainAnswer>(piece).ok());
+        .and_then(|chunk| serde_json::from_str::<PlainAnswer>(chunk).ok());
     match (outcome, answer) {
         (Some(Outcome::Answered(_)), Some(answer)) => {
             let response = Response::builder()
                 .status(answer.status)
                 .header("content-type", answer.content_type)
                 .header("idempotency-key", &call.key);
-            finish(response, from_hex(&answer.body_hex).unwrap_or_default())
+            with_body(response, from_hex(&answer.body_hex).unwrap_or_default())
         }
         (Some(outcome), _) if !outcome.is_answered() => problem(&outcome, &call.key),
-        _ => lost(),
+        _ => unknown_outcome(),
     }
 }
 
-fn problem(outcome: &Outcome, key: &str) -> Answer {
-    match Problem::of(outcome, key) {
-        Some(problem) => problem.answer(key),
-        None => lost(),
+fn problem(outcome: &Outcome, key: &str) -> HandlerResult {
+    match Problem::from_outcome(outcome, key) {
+        Some(problem) => problem.to_response(key),
+        None => unknown_outcome(),
     }
 }
 
 /// Returns a completion as a stream of server-sent events.
 ///
 /// A request that fails before its first chunk gets an ordinary error response instead.
-pub async fn stream(mut call: OpenCall, asked: &Asked) -> Answer {
+pub async fn streamed(mut call: OpenCall, chat: &ChatRequest) -> HandlerResult {
     let first = match call.next().await {
-        Some(ToCaller::Answer(outcome)) if !outcome.is_answered() => {
+        Some(ToCaller::Finished(outcome)) if !outcome.is_answered() => {
             return problem(&outcome, &call.key);
         }
         Some(first) => first,
-        None => return lost(),
+        None => return unknown_outcome(),
     };
     let key = call.key.clone();
-    let pieces = futures_util::stream::unfold(
-        Pieces {
+    let frames = futures_util::stream::unfold(
+        StreamState {
             call,
             first: Some(first),
-            model: asked.model.clone(),
-            wants_usage: asked.wants_usage,
+            model: chat.model.clone(),
+            wants_usage: chat.wants_usage,
             is_ended: false,
         },
         next_frame,
@@ -151,10 +151,10 @@
         .header("content-type", "text/event-stream")
         .header("cache-control", "no-cache")
         .header("idempotency-key", key);
-    finish(response, Body::wrap(StreamBody::new(pieces)))
+    with_body(response, Body::wrap(StreamBody::new(frames)))
 }
 
-struct Pieces {
+struct StreamState {
     call: OpenCall,
     first: Option<ToCaller>,
     model: String,
@@ -162,40 +162,42 @@
     is_ended: bool,
 }
 
-async fn next_frame(mut pieces: Pieces) -> Option<(Result<Frame<Bytes>, Infallible>, Pieces)> {
-    if pieces.is_ended {
+async fn next_frame(
+    mut state: StreamState,
+) -> Option<(Result<Frame<Bytes>, Infallible>, StreamState)> {
+    if state.is_ended {
         return None;
     }
-    let message = match pieces.first.take() {
+    let message = match state.first.take() {
         Some(first) => Some(first),
-        None => pieces.call.next().await,
+        None => state.call.next().await,
     };
     let text = match message {
-        Some(ToCaller::Piece(piece)) => format!("data: {piece}\n\n"),
-        Some(ToCaller::Answer(outcome)) => {
-            pieces.is_ended = true;
-            last_events(&outcome, &pieces)
+        Some(ToCaller::Chunk(chunk)) => format!("data: {chunk}\n\n"),
+        Some(ToCaller::Finished(outcome)) => {
+            state.is_ended = true;
+            last_events(&outcome, &state)
         }
         // The stream ends without its last event, which shows the caller that it is incomplete.
         _ => return None,
     };
-    Some((Ok(Frame::data(Bytes::from(text))), pieces))
+    Some((Ok(Frame::data(Bytes::from(text))), state))
 }
 
 /// Returns the last events of a stream: `[DONE]` after a complete answer, otherwise an error event.
-fn last_events(outcome: &Outcome, pieces: &Pieces) -> String {
-    let key = &pieces.call.key;
+fn last_events(outcome: &Outcome, state: &StreamState) -> String {
+    let key = &state.call.key;
     match outcome {
         Outcome::Answered(receipt) => {
             let done = "data: [DONE]\n\n";
-            if !pieces.wants_usage {
+            if !state.wants_usage {
                 return done.to_owned();
             }
-            let tokens = Tokens::new(receipt.prompt_tokens, receipt.output_tokens);
-            let usage = completion::usage_chunk(key, &pieces.model, tokens);
-            format!("data: {usage}\n\n{done}")
+            let usage = Usage::new(receipt.prompt_tokens, receipt.output_tokens);
+            let chunk = completion::usage_chunk(key, &state.model, usage);
+            format!("data: {chunk}\n\n{done}")
         }
-        _ => match Problem::of(outcome, key) {
+        _ => match Problem::from_outcome(outcome, key) {
             Some(problem) => format!("event: error\ndata: {}\n\n", problem.body),
             None => String::new(),
         },
--- a/crates/damaskstiled/src/completion.rs
+++ b/crates/damaskstiled/src/completion.rs
@@ -9,7 +9,7 @@
 
 /// The parts of a caller's body that the router needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asked {
+pub struct ChatRequest {
     /// Name of the model, which is the service to call.
     pub model: String,
     /// Size of all message fields, in bytes, with an allowance for the chat template.
@@ -46,7 +46,7 @@
     reason = "the names are those of the chat-completions API"
 )]
 #[derive(Debug, Clone, Copy, Serialize)]
-pub struct Tokens {
+pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Tokens of the answer.
@@ -55,7 +55,7 @@
     pub total_tokens: u64,
 }
 
-impl Tokens {
+impl Usage {
     /// Computes the total of both counts.
     pub fn new(prompt_tokens: u64, completion_tokens: u64) -> Self {
         Self {
@@ -71,7 +71,7 @@
 /// # Errors
 ///
 /// Returns a message for the caller if the body is not valid or has no messages.
-pub fn read(body: &Bytes) -> Result<Asked, String> {
+pub fn read(body: &Bytes) -> Result<ChatRequest, String> {
     let parsed: Body = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     if parsed.messages.is_empty() {
         return Err("`messages` is empty".to_owned());
@@ -80,10 +80,10 @@
         .messages
         .iter()
         .flat_map(Map::values)
-        .map(|value| size(value).saturating_add(MESSAGE_EXTRA_BYTES))
+        .map(|value| text_bytes(value).saturating_add(MESSAGE_EXTRA_BYTES))
         .sum();
     let options = parsed.stream_options.unwrap_or_default();
-    Ok(Asked {
+    Ok(ChatRequest {
         model: parsed.model,
         prompt_bytes,
         max_output_tokens: parsed.max_completion_tokens.or(parsed.max_tokens),
@@ -92,7 +92,7 @@
     })
 }
 
-fn size(value: &Value) -> u64 {
+fn text_bytes(value: &Value) -> u64 {
     let len = match value {
         Value::String(text) => text.len(),
         other => other.to_string().len(),
@@ -101,7 +101,7 @@
 }
 
 /// Builds the body for the target: always streamed, with the output cap and a usage chunk.
-pub fn for_target(body: &Bytes, cap_tokens: u64) -> serde_json::Result<Vec<u8>> {
+pub fn target_body(body: &Bytes, cap_tokens: u64) -> serde_json::Result<Vec<u8>> {
     let mut parsed: Map<String, Value> = serde_json::from_slice(body)?;
     parsed.remove("max_completion_tokens");
     parsed.insert("max_tokens".to_owned(), json!(cap_tokens));
@@ -111,11 +111,11 @@
 }
 
 /// Assembles the chunks of a stream into a single `chat.completion` object.
-pub fn whole(key: &str, model: &str, pieces: &[String], tokens: Tokens) -> Value {
+pub fn assemble(key: &str, model: &str, chunks: &[String], usage: Usage) -> Value {
     let mut content = String::new();
     let mut finish_reason = "stop".to_owned();
-    for piece in pieces {
-        let Ok(chunk) = serde_json::from_str::<Value>(piece) else {
+    for data in chunks {
+        let Ok(chunk) = serde_json::from_str::<Value>(data) else {
             continue;
         };
         let choice = &chunk["choices"][0];
@@ -135,17 +135,17 @@
             "message": {"role": "assistant", "content": content},
             "finish_reason": finish_reason,
         }],
-        "usage": tokens,
+        "usage": usage,
     })
 }
 
 /// Builds the usage chunk that ends a stream.
-pub fn usage_chunk(key: &str, model: &str, tokens: Tokens) -> Value {
+pub fn usage_chunk(key: &str, model: &str, usage: Usage) -> Value {
     json!({
         "id": key,
         "object": "chat.completion.chunk",
         "model": model,
         "choices": [],
-        "usage": tokens,
+        "usage": usage,
     })
 }
--- a/crates/damaskstiled/src/config.rs
+++ b/crates/damaskstiled/src/config.rs
@@ -73,9 +73,7 @@
             let is_fixed = address.port() != 0;
             let is_taken = own[..index].iter().any(|(_, other)| other == address);
             if is_fixed && is_taken {
-                bail!(
-                    "key `{key}`: found {address}, which another key also has, expected a different address"
-                );
+                bail!("key `{key}`: found {address}, which another key also has, expected another");
             }
         }
         for peer in &self.peer {
--- a/crates/damaskstiled/src/decide.rs
+++ b/crates/damaskstiled/src/decider.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::{Receiver, Sender};
 
 use crate::config::Config;
-use crate::front::{Front, ToCaller};
+use crate::shared::{SharedState, ToCaller};
 use damaskstile_gateway::clock::Clock;
 use damaskstile_gateway::logs;
 
@@ -24,7 +24,7 @@
 use crate::timings::Timings;
 
 /// Queued events that are handled in one go before the status and the next wake-up are due again.
-const EVENTS_AT_A_TIME: usize = 64;
+const MAX_EVENTS_PER_TURN: usize = 64;
 /// Interval between two status snapshots.
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 
@@ -41,11 +41,11 @@
 
 /// Everything that the decision thread shares with the rest of the daemon.
 #[derive(Debug)]
-pub struct Hosted {
+pub struct HostContext {
     /// Clock that timestamps the events.
     pub clock: Clock,
     /// Open calls and their request bodies.
-    pub front: Arc<Front>,
+    pub shared: Arc<SharedState>,
     /// Latest status snapshot.
     pub status: Arc<Status>,
     /// Channels to the other threads.
@@ -58,14 +58,14 @@
 #[derive(Debug)]
 pub struct Decider {
     instance: Instance,
-    hosted: Hosted,
+    host: HostContext,
     recorder: Option<Recorder>,
     timings: Timings,
     /// Events still to be handled, with those that arose while effects were carried out.
-    own_events: Vec<Event>,
+    pending_events: Vec<Event>,
     addresses: BTreeMap<InstanceId, String>,
     is_stopped: bool,
-    status_at: Instant,
+    last_status_at: Instant,
 }
 
 impl Decider {
@@ -74,9 +74,9 @@
     /// # Errors
     ///
     /// Returns an error if the trace file cannot be written.
-    pub fn try_new(config: &Config, identity: Identity, hosted: Hosted) -> anyhow::Result<Self> {
+    pub fn try_new(config: &Config, identity: Identity, host: HostContext) -> anyhow::Result<Self> {
         let options = options(config, identity);
-        let now = hosted.clock.now();
+        let now = host.clock.now();
         let recorder = match &config.trace_file {
             Some(path) => Some(
                 Recorder::try_new(path, &options, now)
@@ -84,16 +84,16 @@
             ),
             None => None,
         };
-        let timings = Timings::new(Arc::clone(&hosted.front.metrics));
+        let timings = Timings::new(Arc::clone(&host.shared.metrics));
         let mut decider = Self {
             instance: Instance::new(options, now),
-            hosted,
+            host,
             recorder,
             timings,
-            own_events: Vec::new(),
+            pending_events: Vec::new(),
             addresses: BTreeMap::new(),
             is_stopped: false,
-            status_at: Instant::now(),
+            last_status_at: Instant::now(),
         };
         decider.handle(Event::Tick);
         Ok(decider)
@@ -111,7 +111,7 @@
             let wait = self
                 .instance
                 .next_wake()
-                .saturating_sub(self.hosted.clock.now());
+                .saturating_sub(self.host.clock.now());
             let next = runtime.block_on(async {
                 tokio::time::timeout(wait.max(Duration::from_micros(200)), events.recv()).await
             });
@@ -120,41 +120,41 @@
                 Ok(None) => return,
                 Err(_) => self.handle(Event::Tick),
             }
-            for _ in 0..EVENTS_AT_A_TIME {
+            for _ in 0..MAX_EVENTS_PER_TURN {
                 let Ok(event) = events.try_recv() else {
                     break;
                 };
                 self.handle(event);
             }
-            self.renew_status();
+            self.update_status();
         }
-        self.hosted.status.renew(&self.instance);
+        self.host.status.update(&self.instance);
     }
 
-    fn renew_status(&mut self) {
-        if self.status_at.elapsed() >= STATUS_INTERVAL {
-            self.status_at = Instant::now();
-            self.hosted.status.renew(&self.instance);
+    fn update_status(&mut self) {
+        if self.last_status_at.elapsed() >= STATUS_INTERVAL {
+            self.last_status_at = Instant::now();
+            self.host.status.update(&self.instance);
         }
     }
 
     fn handle(&mut self, event: Event) {
-        self.own_events.push(event);
-        while let Some(event) = self.own_events.pop() {
-            let now = self.hosted.clock.now();
+        self.pending_events.push(event);
+        while let Some(event) = self.pending_events.pop() {
+            let now = self.host.clock.now();
             if let Some(recorder) = &mut self.recorder {
                 recorder.record(now, &event);
             }
             let mut effects = Vec::new();
             self.instance.handle(now, event, &mut effects);
             for effect in effects {
-                self.carry_out(effect);
+                self.apply(effect);
             }
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
-        self.timings.note(&effect);
+    fn apply(&mut self, effect: Effect) {
+        self.timings.observe(&effect);
         match effect {
             Effect::Store { call, request } => self.call_store(ToStore::Call { call, request }),
             Effect::WatchSettings { is_watching } => {
@@ -164,44 +164,50 @@
                     have_version,
                 });
             }
-            Effect::Send { to, message } => self.send_peer(&to, message),
+            Effect::Send { to, message } => self.send_to_peer(&to, message),
             Effect::Dispatch(dispatch) => self.dispatch(dispatch),
-            Effect::Cancel { run, .. } => self.ask_target(ToTargets::Cancel { run }),
+            Effect::Cancel { run, .. } => self.send_to_targets(ToTargets::Cancel { run }),
             Effect::Inquire { run, address, .. } => {
-                self.ask_target(ToTargets::Inquire { run, address });
+                self.send_to_targets(ToTargets::Inquire { run, address });
             }
             Effect::Probe { target, address } => {
-                self.ask_target(ToTargets::Probe { target, address });
+                self.send_to_targets(ToTargets::Probe { target, address });
             }
             Effect::Accepted { request, key, .. } => {
-                self.hosted.front.tell(request, ToCaller::Accepted(key));
+                self.host
+                    .shared
+                    .notify_caller(request, ToCaller::Accepted(key));
             }
             Effect::Reserved { .. } => {}
-            Effect::BodyDone { request } => self.hosted.front.drop_body(request),
+            Effect::BodyDone { request } => self.host.shared.drop_body(request),
             Effect::Relay { request, data } => {
-                self.hosted.front.tell(request, ToCaller::Piece(data));
+                self.host
+                    .shared
+                    .notify_caller(request, ToCaller::Chunk(data));
             }
             Effect::Answer { request, outcome } => {
-                self.hosted.front.tell(request, ToCaller::Answer(outcome));
+                self.host
+                    .shared
+                    .notify_caller(request, ToCaller::Finished(outcome));
             }
             Effect::Explained {
                 request,
                 explanation,
             } => self
-                .hosted
-                .front
-                .tell(request, ToCaller::Explained(explanation)),
-            Effect::Log(event) => logs::write(&self.hosted.log, &event),
+                .host
+                .shared
+                .notify_caller(request, ToCaller::Explained(explanation)),
+            Effect::Log(event) => logs::write(&self.host.log, &event),
             Effect::Stopped => self.is_stopped = true,
         }
     }
 
     /// Passes a call to the store thread. If its queue is full, the call is reported as lost.
     fn call_store(&mut self, message: ToStore) {
-        if let Err(error) = self.hosted.outputs.store.try_send(message)
+        if let Err(error) = self.host.outputs.store.try_send(message)
             && let ToStore::Call { call, .. } = error.into_inner()
         {
-            self.own_events.push(Event::Store {
+            self.pending_events.push(Event::Store {
                 call,
                 answer: StoreAnswer::Lost,
             });
@@ -209,19 +215,19 @@
     }
 
     /// Passes a message to the peers thread. If its queue is full, the message is dropped.
-    fn send_peer(&mut self, to: &InstanceId, message: PeerMessage) {
-        let known = self
+    fn send_to_peer(&mut self, to: &InstanceId, message: PeerMessage) {
+        let address = self
             .instance
             .membership()
             .all()
             .find(|(state, _)| &state.instance == to)
             .map(|(state, _)| state.address.clone());
-        if let Some(address) = known {
+        if let Some(address) = address {
             self.addresses.insert(to.clone(), address);
         }
         if let Some(address) = self.addresses.get(to).cloned() {
             let _ = self
-                .hosted
+                .host
                 .outputs
                 .peers
                 .try_send(ToPeers { address, message });
@@ -232,7 +238,7 @@
         let run = dispatch.run.clone();
         let is_resumed = dispatch.resume_from > 0;
         let message = ToTargets::Dispatch(Box::new(dispatch));
-        if self.hosted.outputs.targets.try_send(message).is_err() {
+        if self.host.outputs.targets.try_send(message).is_err() {
             // Nothing was sent, so this attempt cannot have started. A resumed run was under way
             // already and counts as broken.
             let report = if is_resumed {
@@ -240,14 +246,14 @@
             } else {
                 RunReport::Unreachable
             };
-            self.own_events.push(Event::Run { run, report });
+            self.pending_events.push(Event::Run { run, report });
         }
     }
 
-    fn ask_target(&mut self, message: ToTargets) {
-        // Messages may be dropped: queries are repeated, and a run that is not cancelled ends at its
-        // cap.
-        let _ = self.hosted.outputs.targets.try_send(message);
+    fn send_to_targets(&mut self, message: ToTargets) {
+        // Messages may be dropped: queries are repeated, and a run that is not cancelled ends at
+        // its cap.
+        let _ = self.host.outputs.targets.try_send(message);
     }
 }
 
--- a/crates/damaskstiled/src/main.rs
+++ b/crates/damaskstiled/src/main.rs
@@ -6,9 +6,7 @@
 mod callers;
 mod completion;
 mod config;
-mod decide;
-mod duty;
-mod front;
+mod decider;
 mod member_status;
 mod metrics;
 mod operators;
@@ -16,9 +14,11 @@
 mod plain_answer;
 mod problem;
 mod recorder;
+mod shared;
 mod status;
 mod store;
 mod targets;
+mod threads;
 mod timings;
 
 use std::io::Read;
@@ -35,7 +35,7 @@
 use crate::config::Config;
 
 /// Time that callers have to read their last answers once the instance has stopped.
-const LAST_READS: Duration = Duration::from_secs(5);
+const CALLER_DRAIN_LIMIT: Duration = Duration::from_secs(5);
 
 /// Runs one instance of the damaskstile router fleet.
 #[derive(Debug, Parser)]
@@ -63,36 +63,36 @@
     let log = logs::logger(config.log_format, &config.instance, std::io::stderr());
     let clock = clock::Clock::start();
     let metrics = Arc::new(metrics::Metrics::new());
-    let (front, events) = front::Front::new(Arc::clone(&metrics));
-    let front = Arc::new(front);
+    let (shared, events) = shared::SharedState::new(Arc::clone(&metrics));
+    let shared = Arc::new(shared);
     let status = Arc::new(status::Status::default());
 
     let incarnation = random_u64().context("cannot read a random incarnation from /dev/urandom")?;
     let identity = Identity::new(&config.instance, incarnation, &config.data_centre);
-    let store = store::start(config, Arc::clone(&front))?;
-    let peers = peers::start(config, identity.clone(), Arc::clone(&front), &log)?;
-    let targets = targets::start(Arc::clone(&front), clock)?;
-    callers::start(config, Arc::clone(&front))?;
-    operators::start(config, Arc::clone(&front), Arc::clone(&status))?;
+    let store = store::start(config, Arc::clone(&shared))?;
+    let peers = peers::start(config, identity.clone(), Arc::clone(&shared), &log)?;
+    let targets = targets::start(Arc::clone(&shared), clock)?;
+    callers::start(config, Arc::clone(&shared))?;
+    operators::start(config, Arc::clone(&shared), Arc::clone(&status))?;
 
-    let outputs = decide::Outputs {
+    let outputs = decider::Outputs {
         store,
         peers,
         targets,
     };
-    let hosted = decide::Hosted {
+    let host = decider::HostContext {
         clock,
-        front: Arc::clone(&front),
+        shared: Arc::clone(&shared),
         status,
         outputs,
         log,
     };
-    let decider = decide::Decider::try_new(config, identity, hosted)?;
-    let thread = duty::start("decide", move || decider.run(events))?;
+    let decider = decider::Decider::try_new(config, identity, host)?;
+    let thread = threads::spawn("decide", move || decider.run(events))?;
     if thread.join().is_err() {
         anyhow::bail!("the decision thread panicked");
     }
-    front.wait_for_callers(LAST_READS);
+    shared.wait_for_callers(CALLER_DRAIN_LIMIT);
     Ok(())
 }
 
--- a/crates/damaskstiled/src/metrics.rs
+++ b/crates/damaskstiled/src/metrics.rs
@@ -24,16 +24,16 @@
     code: String,
 }
 
-type Times = Family<AccountLabels, Histogram>;
+type Histograms = Family<AccountLabels, Histogram>;
 
 /// All histograms and counters of the daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
-    pub(crate) reserve_wait: Times,
-    pub(crate) overhead: Times,
-    pub(crate) first_token: Times,
-    pub(crate) between_tokens: Times,
+    pub(crate) reserve_wait: Histograms,
+    pub(crate) overhead: Histograms,
+    pub(crate) first_token: Histograms,
+    pub(crate) between_tokens: Histograms,
     outcomes: Family<CodeLabels, Counter>,
 }
 
@@ -46,12 +46,12 @@
     /// Creates and registers all metrics.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("damaskstile");
-        let times = || Times::new_with_constructor(histogram);
+        let histograms = || Histograms::new_with_constructor(histogram);
         let metrics = Self {
-            reserve_wait: times(),
-            overhead: times(),
-            first_token: times(),
-            between_tokens: times(),
+            reserve_wait: histograms(),
+            overhead: histograms(),
+            first_token: histograms(),
+            between_tokens: histograms(),
             outcomes: Family::default(),
             registry: Mutex::new(Registry::default()),
         };
@@ -95,7 +95,7 @@
         text
     }
 
-    pub(crate) fn count(&self, outcome: &Outcome) {
+    pub(crate) fn count_outcome(&self, outcome: &Outcome) {
         let (outcome, code) = match outcome {
             Outcome::Answered(_) => ("answered", "answered"),
             Outcome::NotRun { code, .. } => ("not_run", code.as_str()),
--- a/crates/damaskstiled/src/operators.rs
+++ b/crates/damaskstiled/src/operators.rs
@@ -11,13 +11,13 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::config::Config;
-use crate::duty;
-use crate::front::Front;
-use crate::problem::{Answer, finish};
+use crate::problem::{HandlerResult, with_body};
+use crate::shared::SharedState;
 use crate::status::Status;
+use crate::threads;
 
 struct Operators {
-    front: Arc<Front>,
+    shared: Arc<SharedState>,
     status: Arc<Status>,
 }
 
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// Returns an error if the address cannot be bound or the thread cannot be started.
-pub fn start(config: &Config, front: Arc<Front>, status: Arc<Status>) -> anyhow::Result<()> {
+pub fn start(config: &Config, shared: Arc<SharedState>, status: Arc<Status>) -> anyhow::Result<()> {
     let mut api = ApiDescription::new();
     api.register(get_metrics)?;
     api.register(get_health)?;
@@ -36,16 +36,16 @@
         ..ConfigDropshot::default()
     };
     let quiet = Logger::root(slog::Discard, slog::o!());
-    let stopper = Arc::clone(&front);
+    let stopper = Arc::clone(&shared);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let server = runtime.block_on(async {
-        HttpServerStarter::new(&server_config, api, Operators { front, status }, &quiet)
+        HttpServerStarter::new(&server_config, api, Operators { shared, status }, &quiet)
             .map_err(|error| anyhow::anyhow!("cannot start the operators' server: {error}"))
             .map(HttpServerStarter::start)
     })?;
-    duty::start("operators", move || {
+    threads::spawn("operators", move || {
         runtime.block_on(async move {
             tokio::spawn(stop_on_signal(stopper));
             let _ = server.await;
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-async fn stop_on_signal(front: Arc<Front>) {
+async fn stop_on_signal(shared: Arc<SharedState>) {
     let (Ok(mut terminate), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
@@ -65,37 +65,37 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    front.submit(Event::Stop).await;
+    shared.submit(Event::Stop).await;
 }
 
 /// Returns the metrics in the `OpenMetrics` text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn get_metrics(rqctx: RequestContext<Operators>) -> Result<Response<Body>, HttpError> {
-    let text = rqctx.context().front.metrics.encode();
+    let text = rqctx.context().shared.metrics.encode();
     let response = Response::builder().header(
         "content-type",
         "application/openmetrics-text; version=1.0.0; charset=utf-8",
     );
-    finish(response, text)
+    with_body(response, text)
 }
 
 /// Health check of the load balancer: 200 while the instance accepts work, otherwise 503.
 #[endpoint { method = GET, path = "/healthz" }]
-async fn get_health(rqctx: RequestContext<Operators>) -> Answer {
+async fn get_health(rqctx: RequestContext<Operators>) -> HandlerResult {
     let is_ready = rqctx.context().status.latest().is_ready;
     let status = if is_ready {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     };
-    finish(Response::builder().status(status), "{}")
+    with_body(Response::builder().status(status), "{}")
 }
 
 /// Returns the latest status snapshot as JSON.
 #[endpoint { method = GET, path = "/v1/status" }]
-async fn get_status(rqctx: RequestContext<Operators>) -> Answer {
+async fn get_status(rqctx: RequestContext<Operators>) -> HandlerResult {
     let snapshot = rqctx.context().status.latest();
     let value = serde_json::to_value(&snapshot)
         .map_err(|error| HttpError::for_internal_error(error.to_string()))?;
-    crate::problem::json_answer(&value)
+    crate::problem::json_response(&value)
 }
--- a/crates/damaskstiled/src/peers.rs
+++ b/crates/damaskstiled/src/peers.rs
@@ -15,18 +15,18 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 use crate::config::Config;
-use crate::duty;
-use crate::front::Front;
+use crate::shared::SharedState;
+use crate::threads;
 use damaskstile_gateway::logs;
 
 /// Capacity of the queue to the peers thread.
-const PEERS_RING: usize = 4096;
+const PEERS_QUEUE_SIZE: usize = 4096;
 /// Capacity of the queue to one peer's connection.
-const PEER_RING: usize = 512;
+const PEER_QUEUE_SIZE: usize = 512;
 /// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time without a message to send after which a connection is closed.
-const IDLE_LIMIT: Duration = Duration::from_mins(1);
+const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// A message to a peer, with its destination.
 #[derive(Debug)]
@@ -45,27 +45,27 @@
 pub fn start(
     config: &Config,
     own: Identity,
-    front: Arc<Front>,
+    shared: Arc<SharedState>,
     log: &Logger,
 ) -> anyhow::Result<Sender<ToPeers>> {
     let listener = std::net::TcpListener::bind(config.peers_address)?;
     listener.set_nonblocking(true)?;
-    let (sender, receiver) = mpsc::channel(PEERS_RING);
+    let (sender, receiver) = mpsc::channel(PEERS_QUEUE_SIZE);
     let log = log.clone();
-    duty::start_async("peers", async move {
+    threads::spawn_async("peers", async move {
         if let Ok(listener) = TcpListener::from_std(listener) {
-            tokio::spawn(accept(listener, front, log));
+            tokio::spawn(accept(listener, shared, log));
         }
         distribute(own, receiver).await;
     })?;
     Ok(sender)
 }
 
-async fn accept(listener: TcpListener, front: Arc<Front>, log: Logger) {
+async fn accept(listener: TcpListener, shared: Arc<SharedState>, log: Logger) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(read_frames(stream, Arc::clone(&front), log.clone()));
+                tokio::spawn(read_frames(stream, Arc::clone(&shared), log.clone()));
             }
             Err(error) => {
                 let error = error.to_string();
@@ -85,7 +85,7 @@
         .new_codec()
 }
 
-async fn read_frames(stream: TcpStream, front: Arc<Front>, log: Logger) {
+async fn read_frames(stream: TcpStream, shared: Arc<SharedState>, log: Logger) {
     let mut frames = Framed::new(stream, codec());
     while let Some(frame) = frames.next().await {
         let decoded = match &frame {
@@ -99,7 +99,7 @@
                     incarnation,
                     message,
                 };
-                front.submit(event).await;
+                shared.submit(event).await;
             }
             Err(error) => {
                 // Frame boundaries are lost, so the connection is closed; the peer reconnects.
@@ -118,7 +118,7 @@
     while let Some(ToPeers { address, message }) = messages.recv().await {
         let is_open = peers.get(&address).is_some_and(|peer| !peer.is_closed());
         if !is_open {
-            let (sender, receiver) = mpsc::channel(PEER_RING);
+            let (sender, receiver) = mpsc::channel(PEER_QUEUE_SIZE);
             tokio::spawn(write_frames(own.clone(), address.clone(), receiver));
             peers.insert(address.clone(), sender);
         }
@@ -139,7 +139,7 @@
     };
     let _ = stream.set_nodelay(true);
     let mut frames = Framed::new(stream, codec());
-    while let Ok(Some(message)) = tokio::time::timeout(IDLE_LIMIT, messages.recv()).await {
+    while let Ok(Some(message)) = tokio::time::timeout(IDLE_TIMEOUT, messages.recv()).await {
         let bytes = encode_frame(&own.instance, own.incarnation, message);
         if frames.send(Bytes::from(bytes)).await.is_err() {
             return;
--- a/crates/damaskstiled/src/problem.rs
+++ b/crates/damaskstiled/src/problem.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 /// Result of an HTTP handler.
-pub type Answer = Result<Response<Body>, HttpError>;
+pub type HandlerResult = Result<Response<Body>, HttpError>;
 
 /// Returns the HTTP status of a refusal code.
 pub fn status(code: RefusalCode) -> StatusCode {
@@ -49,7 +49,7 @@
 
 impl Problem {
     /// Converts an outcome; returns `None` if the request was answered.
-    pub fn of(outcome: &Outcome, key: &str) -> Option<Self> {
+    pub fn from_outcome(outcome: &Outcome, key: &str) -> Option<Self> {
         let (name, code, retry_after) = match outcome {
             Outcome::Answered(_) => return None,
             Outcome::NotRun { code, retry_after } => ("not_run", *code, *retry_after),
@@ -91,7 +91,7 @@
     }
 
     /// Converts the problem to an HTTP response.
-    pub fn answer(&self, key: &str) -> Answer {
+    pub fn to_response(&self, key: &str) -> HandlerResult {
         let mut response = Response::builder()
             .status(self.status)
             .header("content-type", "application/problem+json");
@@ -101,21 +101,21 @@
         if let Some(seconds) = self.retry_after_s {
             response = response.header("retry-after", seconds.to_string());
         }
-        finish(response, self.body.to_string())
+        with_body(response, self.body.to_string())
     }
 }
 
 /// Completes a response with its body.
-pub fn finish(response: http::response::Builder, body: impl Into<Body>) -> Answer {
+pub fn with_body(response: http::response::Builder, body: impl Into<Body>) -> HandlerResult {
     response
         .body(body.into())
         .map_err(|error| HttpError::for_internal_error(error.to_string()))
 }
 
 /// Builds a 200 response with a JSON body.
-pub fn json_answer(value: &Value) -> Answer {
+pub fn json_response(value: &Value) -> HandlerResult {
     let response = Response::builder()
         .status(StatusCode::OK)
         .header("content-type", "application/json");
-    finish(response, value.to_string())
+    with_body(response, value.to_string())
 }
--- a/crates/damaskstiled/src/front.rs
+++ b/crates/damaskstiled/src/shared.rs
@@ -12,9 +12,9 @@
 use crate::metrics::Metrics;
 
 /// Capacity of the event queue to the decision thread.
-const EVENT_RING: usize = 4096;
+const EVENT_QUEUE_SIZE: usize = 4096;
 /// Part of the event queue that callers cannot fill, reserved for the store, peers and targets.
-const EVENTS_RESERVED: usize = 1024;
+const EVENT_QUEUE_RESERVED: usize = 1024;
 
 /// A message to the HTTP handler of a call.
 #[derive(Debug)]
@@ -22,16 +22,16 @@
     /// The request was accepted under this key.
     Accepted(RequestKey),
     /// A chunk of the answer.
-    Piece(String),
+    Chunk(String),
     /// The outcome; nothing follows it.
-    Answer(Outcome),
+    Finished(Outcome),
     /// What is known of the request that was looked up.
     Explained(Option<Explanation>),
 }
 
 /// Content of a request. It stays in the host; the instance only sees its hash and size.
 #[derive(Debug, Clone)]
-pub struct Kept {
+pub struct RawRequest {
     /// Method of a plain call.
     pub method: http::Method,
     /// Path and query of a plain call; empty for a chat completion.
@@ -45,32 +45,32 @@
 #[derive(Debug, Default)]
 struct Calls {
     callers: BTreeMap<RequestHandle, mpsc::UnboundedSender<ToCaller>>,
-    bodies: BTreeMap<RequestHandle, Kept>,
+    bodies: BTreeMap<RequestHandle, RawRequest>,
 }
 
 /// State shared by the threads of the daemon.
 #[derive(Debug)]
-pub struct Front {
+pub struct SharedState {
     events: mpsc::Sender<Event>,
     calls: Mutex<Calls>,
     next_handle: AtomicU64,
-    open_streams: AtomicUsize,
+    open_responses: AtomicUsize,
     /// Histograms and counters.
     pub metrics: Arc<Metrics>,
 }
 
-impl Front {
+impl SharedState {
     /// Creates the shared state and the receiver of the event queue.
     pub fn new(metrics: Arc<Metrics>) -> (Self, mpsc::Receiver<Event>) {
-        let (events, receiver) = mpsc::channel(EVENT_RING);
-        let front = Self {
+        let (events, receiver) = mpsc::channel(EVENT_QUEUE_SIZE);
+        let shared = Self {
             events,
             calls: Mutex::new(Calls::default()),
             next_handle: AtomicU64::new(1),
-            open_streams: AtomicUsize::new(0),
+            open_responses: AtomicUsize::new(0),
             metrics,
         };
-        (front, receiver)
+        (shared, receiver)
     }
 
     fn calls(&self) -> MutexGuard<'_, Calls> {
@@ -78,13 +78,16 @@
     }
 
     /// Opens a call and returns its handle and the receiver of its messages.
-    pub fn open(&self, kept: Option<Kept>) -> (RequestHandle, mpsc::UnboundedReceiver<ToCaller>) {
+    pub fn open(
+        &self,
+        raw: Option<RawRequest>,
+    ) -> (RequestHandle, mpsc::UnboundedReceiver<ToCaller>) {
         let handle = self.next_handle.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = mpsc::unbounded_channel();
         let mut calls = self.calls();
         calls.callers.insert(handle, sender);
-        if let Some(kept) = kept {
-            calls.bodies.insert(handle, kept);
+        if let Some(raw) = raw {
+            calls.bodies.insert(handle, raw);
         }
         (handle, receiver)
     }
@@ -93,7 +96,7 @@
     ///
     /// Returns whether the event was queued. If not, the instance never sees it.
     pub fn try_submit(&self, event: Event) -> bool {
-        self.events.capacity() > EVENTS_RESERVED && self.events.try_send(event).is_ok()
+        self.events.capacity() > EVENT_QUEUE_RESERVED && self.events.try_send(event).is_ok()
     }
 
     /// Queues an event, waiting while the queue is full.
@@ -103,13 +106,13 @@
     }
 
     /// Queues an event without waiting; it is dropped if the queue is full.
-    pub fn submit_now(&self, event: Event) {
+    pub fn submit_or_drop(&self, event: Event) {
         let _ = self.events.try_send(event);
     }
 
     /// Sends a message to a call's handler. The outcome or explanation also removes the handler.
-    pub fn tell(&self, handle: RequestHandle, message: ToCaller) {
-        let is_last = matches!(message, ToCaller::Answer(_) | ToCaller::Explained(_));
+    pub fn notify_caller(&self, handle: RequestHandle, message: ToCaller) {
+        let is_last = matches!(message, ToCaller::Finished(_) | ToCaller::Explained(_));
         let mut calls = self.calls();
         if let Some(caller) = calls.callers.get(&handle) {
             let _ = caller.send(message);
@@ -123,12 +126,12 @@
     pub fn close(&self, handle: RequestHandle) {
         let was_open = self.calls().callers.remove(&handle).is_some();
         if was_open {
-            self.submit_now(Event::CallerGone { request: handle });
+            self.submit_or_drop(Event::CallerGone { request: handle });
         }
     }
 
     /// Returns the content of a call's request.
-    pub fn body(&self, handle: RequestHandle) -> Option<Kept> {
+    pub fn body(&self, handle: RequestHandle) -> Option<RawRequest> {
         self.calls().bodies.get(&handle).cloned()
     }
 
@@ -138,19 +141,19 @@
     }
 
     /// Adds one to the responses that callers are reading.
-    pub fn stream_opened(&self) {
-        self.open_streams.fetch_add(1, Ordering::Relaxed);
+    pub fn response_opened(&self) {
+        self.open_responses.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Takes one from the responses that callers are reading.
-    pub fn stream_closed(&self) {
-        self.open_streams.fetch_sub(1, Ordering::Relaxed);
+    pub fn response_closed(&self) {
+        self.open_responses.fetch_sub(1, Ordering::Relaxed);
     }
 
     /// Blocks until all callers have read their responses or the limit has passed.
     pub fn wait_for_callers(&self, limit: Duration) {
         let until = Instant::now() + limit;
-        while self.open_streams.load(Ordering::Relaxed) > 0 && Instant::now() < until {
+        while self.open_responses.load(Ordering::Relaxed) > 0 && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(10));
         }
         // The last bytes may still be in the server's buffers; leave time to send them.
--- a/crates/damaskstiled/src/status.rs
+++ b/crates/damaskstiled/src/status.rs
@@ -41,7 +41,7 @@
     }
 
     /// Replaces the snapshot by the instance's current status.
-    pub fn renew(&self, instance: &Instance) {
+    pub fn update(&self, instance: &Instance) {
         let own = instance.membership().own();
         let members = instance
             .membership()
--- a/crates/damaskstiled/src/targets.rs
+++ b/crates/damaskstiled/src/targets.rs
@@ -13,18 +13,18 @@
 use tokio::task::AbortHandle;
 
 use crate::completion;
-use crate::duty;
-use crate::front::{Front, Kept};
 use crate::plain_answer::PlainAnswer;
+use crate::shared::{RawRequest, SharedState};
+use crate::threads;
 use damaskstile_gateway::clock::Clock;
 
 /// Capacity of the queue to the targets thread.
-const TARGETS_RING: usize = 4096;
+const TARGETS_QUEUE_SIZE: usize = 4096;
 /// Timeout of a cancellation or of a query for a run's state or a target's load.
-const ASK_LIMIT: Duration = Duration::from_millis(800);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest gap between two frames of an answer before the run counts as broken; for a plain service
 /// the time limit of the whole call.
-const IDLE_LIMIT: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A message to the targets thread.
 #[derive(Debug)]
@@ -53,92 +53,94 @@
 }
 
 /// Runs whose answers are being read, each with its target's address and its reader task.
-type Reading = Arc<Mutex<BTreeMap<RunId, (String, AbortHandle)>>>;
+type ActiveRuns = Arc<Mutex<BTreeMap<RunId, (String, AbortHandle)>>>;
 
 /// Starts the thread and returns the queue to it.
 ///
 /// # Errors
 ///
 /// Returns an error if the thread cannot be started.
-pub fn start(front: Arc<Front>, clock: Clock) -> anyhow::Result<Sender<ToTargets>> {
-    let (sender, receiver) = mpsc::channel(TARGETS_RING);
-    duty::start_async("targets", run(front, clock, receiver))?;
+pub fn start(shared: Arc<SharedState>, clock: Clock) -> anyhow::Result<Sender<ToTargets>> {
+    let (sender, receiver) = mpsc::channel(TARGETS_QUEUE_SIZE);
+    threads::spawn_async("targets", run(shared, clock, receiver))?;
     Ok(sender)
 }
 
-async fn run(front: Arc<Front>, clock: Clock, mut messages: Receiver<ToTargets>) {
-    let reading: Reading = Arc::default();
+async fn run(shared: Arc<SharedState>, clock: Clock, mut messages: Receiver<ToTargets>) {
+    let active_runs: ActiveRuns = Arc::default();
     while let Some(message) = messages.recv().await {
-        let front = Arc::clone(&front);
+        let shared = Arc::clone(&shared);
         match message {
             ToTargets::Dispatch(dispatch) => {
                 let run = dispatch.run.clone();
                 let address = dispatch.address.clone();
-                let ended = Arc::clone(&reading);
+                let runs = Arc::clone(&active_runs);
                 let task = tokio::spawn(async move {
                     let run = dispatch.run.clone();
-                    dispatch_run(&front, clock, *dispatch).await;
-                    lock(&ended).remove(&run);
+                    dispatch_run(&shared, clock, *dispatch).await;
+                    lock(&runs).remove(&run);
                 });
-                lock(&reading).insert(run, (address, task.abort_handle()));
+                lock(&active_runs).insert(run, (address, task.abort_handle()));
             }
             ToTargets::Cancel { run } => {
-                if let Some((address, task)) = lock(&reading).remove(&run) {
+                if let Some((address, task)) = lock(&active_runs).remove(&run) {
                     task.abort();
                     tokio::spawn(cancel(run, address));
                 }
             }
             ToTargets::Inquire { run, address } => {
-                tokio::spawn(inquire(front, run, address));
+                tokio::spawn(inquire(shared, run, address));
             }
             ToTargets::Probe { target, address } => {
-                tokio::spawn(probe(front, target, address));
+                tokio::spawn(probe(shared, target, address));
             }
         }
     }
 }
 
-fn lock(reading: &Reading) -> std::sync::MutexGuard<'_, BTreeMap<RunId, (String, AbortHandle)>> {
-    reading.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(
+    active_runs: &ActiveRuns,
+) -> std::sync::MutexGuard<'_, BTreeMap<RunId, (String, AbortHandle)>> {
+    active_runs.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-async fn report(front: &Front, run: &RunId, report: RunReport) {
+async fn report(shared: &SharedState, run: &RunId, report: RunReport) {
     let event = Event::Run {
         run: run.clone(),
         report,
     };
-    front.submit(event).await;
+    shared.submit(event).await;
 }
 
-async fn dispatch_run(front: &Front, clock: Clock, dispatch: Dispatch) {
+async fn dispatch_run(shared: &SharedState, clock: Clock, dispatch: Dispatch) {
     let run = dispatch.run.clone();
-    let Some(kept) = front.body(dispatch.request) else {
-        report(front, &run, RunReport::Unreachable).await;
+    let Some(raw) = shared.body(dispatch.request) else {
+        report(shared, &run, RunReport::Unreachable).await;
         return;
     };
     // The process may have been paused since the decision, and the target may be leaving by now.
     // Nothing has been sent yet, so the run is reported as unreachable.
     if clock.now() > dispatch.expires_at {
-        report(front, &run, RunReport::Unreachable).await;
+        report(shared, &run, RunReport::Unreachable).await;
         return;
     }
     let is_resumed = dispatch.resume_from > 0;
-    let answer = if kept.path.is_empty() {
-        complete(front, &dispatch, &kept).await
+    let answer = if raw.path.is_empty() {
+        complete(shared, &dispatch, &raw).await
     } else {
-        call_plain(front, &dispatch, &kept).await
+        call_plain(shared, &dispatch, &raw).await
     };
     let last = match answer {
         Ok(()) => return,
         Err(Error::NotConnected(_) | Error::Invalid(_)) if !is_resumed => RunReport::Unreachable,
-        Err(Error::Unexpected { status, .. }) if !is_resumed => refusal(status),
+        Err(Error::Unexpected { status, .. }) if !is_resumed => report_for_status(status),
         Err(_) => RunReport::Broken,
     };
-    report(front, &run, last).await;
+    report(shared, &run, last).await;
 }
 
 /// Maps an error status of a target to a report.
-fn refusal(status: u16) -> RunReport {
+fn report_for_status(status: u16) -> RunReport {
     match status {
         // The target did not accept the request.
         409 | 429 | 503 => RunReport::Refused,
@@ -161,8 +163,12 @@
         )
 }
 
-async fn complete(front: &Front, dispatch: &Dispatch, kept: &Kept) -> Result<(), Error> {
-    let body = completion::for_target(&kept.body, dispatch.cap_tokens)
+async fn complete(
+    shared: &SharedState,
+    dispatch: &Dispatch,
+    raw: &RawRequest,
+) -> Result<(), Error> {
+    let body = completion::target_body(&raw.body, dispatch.cap_tokens)
         .map_err(|error| Error::Invalid(error.to_string()))?;
     let call = Call::new(&dispatch.address, Method::POST, "/v1/chat/completions")
         .header("content-type", "application/json")
@@ -177,7 +183,7 @@
     let mut body = response.into_body();
     let mut reader = AnswerReader::new(dispatch.resume_from);
     loop {
-        let frame = tokio::time::timeout(IDLE_LIMIT, body.frame()).await;
+        let frame = tokio::time::timeout(IDLE_TIMEOUT, body.frame()).await;
         let Ok(Some(Ok(frame))) = frame else {
             return Err(Error::Broken(
                 "the stream ended or stalled before its last event".to_owned(),
@@ -186,8 +192,8 @@
         let Ok(bytes) = frame.into_data() else {
             continue;
         };
-        for piece in reader.push(&bytes) {
-            report(front, &dispatch.run, piece).await;
+        for chunk_report in reader.push(&bytes) {
+            report(shared, &dispatch.run, chunk_report).await;
         }
         if reader.is_done() {
             return Ok(());
@@ -195,12 +201,16 @@
     }
 }
 
-async fn call_plain(front: &Front, dispatch: &Dispatch, kept: &Kept) -> Result<(), Error> {
-    let path = format!("/{}", kept.path);
-    let call = Call::new(&dispatch.address, kept.method.clone(), &path)
-        .header("content-type", &kept.content_type)
-        .body(kept.body.clone());
-    let reply = send_whole(with_run_headers(call, dispatch), IDLE_LIMIT).await?;
+async fn call_plain(
+    shared: &SharedState,
+    dispatch: &Dispatch,
+    raw: &RawRequest,
+) -> Result<(), Error> {
+    let path = format!("/{}", raw.path);
+    let call = Call::new(&dispatch.address, raw.method.clone(), &path)
+        .header("content-type", &raw.content_type)
+        .body(raw.body.clone());
+    let reply = send_whole(with_run_headers(call, dispatch), IDLE_TIMEOUT).await?;
     let content_type = reply
         .headers
         .get(http::header::CONTENT_TYPE)
@@ -217,37 +227,37 @@
         tokens: 0,
         data,
     };
-    report(front, &dispatch.run, chunk).await;
+    report(shared, &dispatch.run, chunk).await;
     let finished = RunReport::Finished {
         chunks: 1,
         prompt_tokens: u64::MAX,
         output_tokens: 0,
     };
-    report(front, &dispatch.run, finished).await;
+    report(shared, &dispatch.run, finished).await;
     Ok(())
 }
 
 async fn cancel(run: RunId, address: String) {
     let call = Call::new(&address, Method::DELETE, &format!("/v1/runs/{run}"));
-    let _ = send_whole(call, ASK_LIMIT).await;
+    let _ = send_whole(call, QUERY_TIMEOUT).await;
 }
 
-async fn inquire(front: Arc<Front>, run: RunId, address: String) {
+async fn inquire(shared: Arc<SharedState>, run: RunId, address: String) {
     let call = Call::new(&address, Method::GET, &format!("/v1/runs/{run}"));
-    let state = match send_whole(call, ASK_LIMIT).await {
+    let state = match send_whole(call, QUERY_TIMEOUT).await {
         Ok(reply) if reply.status == StatusCode::OK => {
             serde_json::from_slice(&reply.body).unwrap_or(RunState::Unreachable)
         }
         _ => RunState::Unreachable,
     };
-    report(&front, &run, RunReport::State(state)).await;
+    report(&shared, &run, RunReport::State(state)).await;
 }
 
-async fn probe(front: Arc<Front>, target: TargetId, address: String) {
+async fn probe(shared: Arc<SharedState>, target: TargetId, address: String) {
     let call = Call::new(&address, Method::GET, "/status");
-    let status = match send_whole(call, ASK_LIMIT).await {
+    let status = match send_whole(call, QUERY_TIMEOUT).await {
         Ok(reply) if reply.status == StatusCode::OK => serde_json::from_slice(&reply.body).ok(),
         _ => None,
     };
-    front.submit(Event::TargetStatus { target, status }).await;
+    shared.submit(Event::TargetStatus { target, status }).await;
 }
--- a/crates/damaskstiled/src/duty.rs
+++ b/crates/damaskstiled/src/threads.rs
@@ -10,7 +10,7 @@
 /// # Errors
 ///
 /// Returns an error if the system cannot start the thread.
-pub fn start(name: &str, work: impl FnOnce() + Send + 'static) -> anyhow::Result<JoinHandle<()>> {
+pub fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> anyhow::Result<JoinHandle<()>> {
     std::thread::Builder::new()
         .name(name.to_owned())
         .spawn(work)
@@ -22,12 +22,12 @@
 /// # Errors
 ///
 /// Returns an error if the runtime or the thread cannot be started.
-pub fn start_async<F>(name: &str, work: F) -> anyhow::Result<JoinHandle<()>>
+pub fn spawn_async<F>(name: &str, work: F) -> anyhow::Result<JoinHandle<()>>
 where
     F: Future<Output = ()> + Send + 'static,
 {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    start(name, move || runtime.block_on(work))
+    spawn(name, move || runtime.block_on(work))
 }
--- a/crates/damaskstiled/src/timings.rs
+++ b/crates/damaskstiled/src/timings.rs
@@ -9,10 +9,10 @@
 use crate::metrics::{AccountLabels, Metrics};
 
 #[derive(Debug)]
-struct Timing {
+struct CallTiming {
     labels: AccountLabels,
     arrived: Instant,
-    last_piece: Option<Instant>,
+    last_chunk: Option<Instant>,
     is_sent: bool,
 }
 
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct Timings {
     metrics: Arc<Metrics>,
-    open: BTreeMap<RequestHandle, Timing>,
+    open: BTreeMap<RequestHandle, CallTiming>,
 }
 
 impl Timings {
@@ -32,27 +32,27 @@
     }
 
     /// Updates the call that an effect belongs to and records its latencies.
-    pub fn note(&mut self, effect: &Effect) {
+    pub fn observe(&mut self, effect: &Effect) {
         match effect {
             Effect::Accepted {
                 request, account, ..
             } => {
-                let timing = Timing {
+                let timing = CallTiming {
                     labels: AccountLabels {
                         account: account.clone(),
                     },
                     arrived: Instant::now(),
-                    last_piece: None,
+                    last_chunk: None,
                     is_sent: false,
                 };
                 self.open.insert(*request, timing);
             }
             Effect::Reserved { request } => self.reserved(*request),
             Effect::Dispatch(dispatch) => self.sent(dispatch.request),
-            Effect::Relay { request, .. } => self.piece(*request),
+            Effect::Relay { request, .. } => self.chunk(*request),
             Effect::Answer { request, outcome } => {
                 self.open.remove(request);
-                self.metrics.count(outcome);
+                self.metrics.count_outcome(outcome);
             }
             _ => {}
         }
@@ -79,18 +79,18 @@
         }
     }
 
-    fn piece(&mut self, request: RequestHandle) {
+    fn chunk(&mut self, request: RequestHandle) {
         let Some(timing) = self.open.get_mut(&request) else {
             return;
         };
         let now = Instant::now();
-        let (times, since) = match timing.last_piece {
+        let (times, since) = match timing.last_chunk {
             Some(last) => (&self.metrics.between_tokens, last),
             None => (&self.metrics.first_token, timing.arrived),
         };
         times
             .get_or_create(&timing.labels)
             .observe(now.duration_since(since).as_secs_f64());
-        timing.last_piece = Some(now);
+        timing.last_chunk = Some(now);
     }
 }
--- a/crates/damaskstiled/tests/fleet.rs
+++ b/crates/damaskstiled/tests/fleet.rs
@@ -66,12 +66,12 @@
     billed.sort();
     billed.dedup();
     assert_eq!(billed.len(), all, "a request is billed twice");
-    let (_, ran_tokens) = fleet.truth();
+    let (_, ran_tokens) = fleet.executed();
     assert!(ran_tokens <= fleet.ledger().await.committed_tokens());
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_paused_instance_spends_nothing_that_was_given_back() {
+async fn a_paused_instance_spends_no_tokens_of_closed_grants() {
     // Guards against running more tokens than were topped up. An instance is paused, its witnesses
     // close its grants and others spend the tokens; then it resumes without knowing. A grant that
     // is revoked by time alone would be spent twice.
@@ -88,7 +88,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
 
     // Assert
-    let (_, ran_tokens) = fleet.truth();
+    let (_, ran_tokens) = fleet.executed();
     let ledger = fleet.ledger().await;
     assert!(ran_tokens <= ledger.committed_tokens());
     assert!(ledger.committed_tokens() <= 3_000);
@@ -121,7 +121,7 @@
     let missing = fleet.wait_billed(&keys, Duration::from_secs(15)).await;
     assert_eq!(missing, Vec::<String>::new());
     let ledger = fleet.ledger().await;
-    assert_eq!(ledger.settled_tokens, fleet.truth().1);
+    assert_eq!(ledger.settled_tokens, fleet.executed().1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -155,7 +155,7 @@
     assert_eq!(keys.len(), answers.len(), "{answers:?}");
     let missing = fleet.wait_billed(&keys, Duration::from_secs(10)).await;
     assert_eq!(missing, Vec::<String>::new());
-    assert_eq!(fleet.ledger().await.settled_tokens, fleet.truth().1);
+    assert_eq!(fleet.ledger().await.settled_tokens, fleet.executed().1);
 }
 
 /// Stops an instance while it has open answers; new calls go to the others.
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_repeated_non_idempotent_call_runs_once_on_whichever_instance() {
+async fn a_repeated_non_idempotent_call_runs_once_across_instances() {
     // Arrange
     let fleet = Fleet::start("publish", &NAMES, 10_000).await;
     let keys: Vec<String> = (0..10).map(key).collect();
@@ -209,7 +209,7 @@
 
     // Assert
     assert_eq!(answered, keys.len());
-    let (mut ran, _) = fleet.truth();
+    let (mut ran, _) = fleet.executed();
     ran.sort();
     assert_eq!(ran, keys);
 }
--- a/crates/damaskstiled/tests/support/mod.rs
+++ b/crates/damaskstiled/tests/support/mod.rs
@@ -19,7 +19,7 @@
 /// Bearer token of the only client account.
 const TOKEN: &str = "test-token";
 /// Time limit for an instance to become ready.
-const READY_LIMIT: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Response that a caller received.
 #[derive(Debug, Clone)]
@@ -57,7 +57,7 @@
 /// First port for instances; all are below the system's range for outgoing connections.
 const FIRST_PORT: u16 = 11_000;
 /// Number of ports that are tried in turn before the first one again.
-const PORTS: u16 = 18_000;
+const PORT_COUNT: u16 = 18_000;
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
@@ -69,7 +69,7 @@
 fn free_port() -> u16 {
     loop {
         let number = NEXT_PORT.fetch_add(1, Ordering::Relaxed);
-        let port = FIRST_PORT + number % PORTS;
+        let port = FIRST_PORT + number % PORT_COUNT;
         if std::net::TcpListener::bind(("127.0.0.1", port)).is_ok() {
             return port;
         }
@@ -211,7 +211,7 @@
 
     /// Waits until an instance is ready.
     pub async fn wait_ready(&self, name: &str) {
-        let until = Instant::now() + READY_LIMIT;
+        let until = Instant::now() + READY_TIMEOUT;
         while Instant::now() < until {
             let call = Call::new(
                 &self.processes[name].operators,
@@ -328,7 +328,7 @@
     }
 
     /// Returns what the targets ran: the key of each run, and the sum of their tokens.
-    pub fn truth(&self) -> (Vec<String>, u64) {
+    pub fn executed(&self) -> (Vec<String>, u64) {
         let runs: Vec<_> = self
             .engines
             .values()
