--- a/crates/damaskstile-http/src/answers.rs
+++ b/crates/damaskstile-http/src/answers.rs
@@ -3,7 +3,7 @@
 use damaskstile_core::prelude::*;
 use serde::Deserialize;
 
-use crate::sse::SseLines;
+use crate::sse::SseDecoder;
 
 /// Token usage as reported by a target.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
@@ -25,7 +25,7 @@
 /// Incremental parser of a target's event stream.
 #[derive(Debug)]
 pub struct AnswerReader {
-    lines: SseLines,
+    decoder: SseDecoder,
     next_index: u64,
     usage: Option<Usage>,
     is_done: bool,
@@ -36,7 +36,7 @@
     #[must_use]
     pub fn new(first_index: u64) -> Self {
         Self {
-            lines: SseLines::new(),
+            decoder: SseDecoder::new(),
             next_index: first_index,
             usage: None,
             is_done: false,
@@ -56,7 +56,7 @@
     /// assert!(matches!(reports[1], RunReport::Finished { chunks: 1, .. }));
     /// ```
     pub fn push(&mut self, bytes: &[u8]) -> Vec<RunReport> {
-        let lines = self.lines.push(bytes);
+        let lines = self.decoder.push(bytes);
         let mut reports = Vec::new();
         for line in lines {
             if self.is_done {
@@ -64,24 +64,24 @@
             }
             if line == "[DONE]" {
                 self.is_done = true;
-                reports.push(self.finished());
+                reports.push(self.finished_report());
                 continue;
             }
             if let Ok(chunk) = serde_json::from_str::<Chunk>(&line) {
-                self.take(&chunk, line, &mut reports);
+                self.add_chunk(&chunk, line, &mut reports);
             } else {
                 self.is_done = true;
                 reports.push(RunReport::Broken);
             }
         }
-        if self.lines.is_overlong() && !self.is_done {
+        if self.decoder.is_overlong() && !self.is_done {
             self.is_done = true;
             reports.push(RunReport::Broken);
         }
         reports
     }
 
-    fn take(&mut self, chunk: &Chunk, line: String, reports: &mut Vec<RunReport>) {
+    fn add_chunk(&mut self, chunk: &Chunk, line: String, reports: &mut Vec<RunReport>) {
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
         }
@@ -96,7 +96,7 @@
         self.next_index += 1;
     }
 
-    fn finished(&self) -> RunReport {
+    fn finished_report(&self) -> RunReport {
         // If the target reported no usage, each chunk counts as one token, and the prompt as the
         // maximum; the instance caps it at its own count of the prompt.
         let usage = self.usage.unwrap_or(Usage {
--- a/crates/damaskstile-http/src/client.rs
+++ b/crates/damaskstile-http/src/client.rs
@@ -111,39 +111,39 @@
 /// # Errors
 ///
 /// `Invalid` if the call cannot be built, `NotConnected` if no byte was sent, `Broken` if some may
-/// have been, and `Silent` if the time limit passed.
+/// have been, and `TimedOut` if the time limit passed.
 pub async fn send_whole(call: Call, limit: Duration) -> Result<Reply> {
     let exchange = async {
         let (head, body) = send(call).await?.into_parts();
-        read_whole(head, body, limit).await
+        collect_body(head, body, limit).await
     };
     tokio::time::timeout(limit, exchange)
         .await
-        .unwrap_or_else(|_| Err(Error::Silent))
+        .unwrap_or_else(|_| Err(Error::TimedOut))
 }
 
 /// Reads a response body into memory; each gap between two frames must be within the limit.
-pub(crate) async fn read_whole(
+pub(crate) async fn collect_body(
     head: response::Parts,
     body: Incoming,
-    pause_limit: Duration,
+    gap_limit: Duration,
 ) -> Result<Reply> {
     let mut body = http_body_util::Limited::new(body, BODY_BYTES_MAX);
-    let mut whole = BytesMut::new();
+    let mut collected = BytesMut::new();
     loop {
-        let frame = tokio::time::timeout(pause_limit, body.frame()).await;
-        let Some(frame) = frame.map_err(|_| Error::Silent)? else {
+        let frame = tokio::time::timeout(gap_limit, body.frame()).await;
+        let Some(frame) = frame.map_err(|_| Error::TimedOut)? else {
             break;
         };
         let frame = frame.map_err(|error| Error::Broken(error.to_string()))?;
         if let Ok(bytes) = frame.into_data() {
-            whole.extend_from_slice(&bytes);
+            collected.extend_from_slice(&bytes);
         }
     }
     Ok(Reply {
         status: head.status,
         headers: head.headers,
-        body: whole.freeze(),
+        body: collected.freeze(),
     })
 }
 
--- a/crates/damaskstile-http/src/errors.rs
+++ b/crates/damaskstile-http/src/errors.rs
@@ -12,7 +12,7 @@
     /// The call failed after some or all of it may have been sent.
     Broken(String),
     /// The call timed out; some or all of it may have been sent.
-    Silent,
+    TimedOut,
     /// The server answered with an unexpected status.
     Unexpected {
         /// HTTP status.
@@ -31,7 +31,7 @@
             Self::Invalid(what) => write!(f, "invalid call: {what}"),
             Self::NotConnected(error) => write!(f, "connection failed: {error}"),
             Self::Broken(what) => write!(f, "call failed after it may have been sent: {what}"),
-            Self::Silent => write!(f, "call timed out: no answer in time"),
+            Self::TimedOut => write!(f, "call timed out: no answer in time"),
             Self::Unexpected { status, body } => write!(f, "status {status}: {body}"),
         }
     }
--- a/crates/damaskstile-http/src/lib.rs
+++ b/crates/damaskstile-http/src/lib.rs
@@ -3,14 +3,14 @@
 pub mod answers;
 pub mod client;
 pub mod errors;
-pub mod kept;
 pub mod platform;
+pub mod pooled;
 pub mod socket;
 pub mod sse;
 
 pub use answers::AnswerReader;
 pub use client::{Call, Reply, send, send_whole};
 pub use errors::{Error, Result};
-pub use kept::KeptClient;
 pub use platform::Platform;
-pub use sse::SseLines;
+pub use pooled::KeptClient;
+pub use sse::SseDecoder;
--- a/crates/damaskstile-http/src/pooled.rs
+++ b/crates/damaskstile-http/src/pooled.rs
@@ -10,27 +10,27 @@
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper_util::rt::TokioIo;
 
-use crate::client::{Call, Reply, build, read_whole};
+use crate::client::{Call, Reply, build, collect_body};
 use crate::errors::{Error, Result};
 use crate::socket::connect;
 
 /// Longest gap between two frames of a response; many times the delay of a packet on a link that
 /// other traffic fills.
-const PROGRESS_LIMIT: Duration = Duration::from_millis(800);
+const READ_TIMEOUT: Duration = Duration::from_millis(800);
 /// Timeout of a whole call, unless the caller's limit is longer. Changes must be in force within
 /// seconds, so a response that takes longer than this would carry outdated data.
-const WHOLE_LIMIT: Duration = Duration::from_secs(5);
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 type Sender = SendRequest<Full<Bytes>>;
 
 /// Maximum number of idle connections; few calls are made at a time.
-const KEPT_MAX: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 /// HTTP client for one address that reuses its connections.
 ///
-/// A call fails with `Broken` if the server closes the connection while the call is sent, and it may
-/// still have taken effect. So use it only for calls that can be repeated safely or whose effect can
-/// be looked up.
+/// A call fails with `Broken` if the server closes the connection while the call is sent, and it
+/// may still have taken effect. So use it only for calls that can be repeated safely or whose
+/// effect can be looked up.
 #[derive(Debug)]
 pub struct KeptClient {
     address: String,
@@ -64,39 +64,39 @@
     /// long as no gap between two frames exceeds 800 ms, up to 5 s in all or `limit` if longer.
     ///
     /// With one limit for the whole response, hundreds of clients that read a large object at once
-    /// would all time out, discard what they have and start again, and this load would keep the next
-    /// attempts from finishing too. The symptom is calls that time out one after another while the
+    /// would all time out, discard what they have and start again, and this load would keep the
+    /// next attempts from finishing too. The symptom is calls that time out one after another while the
     /// server is up.
     ///
     /// # Errors
     ///
     /// `Invalid` if the call cannot be built, `NotConnected` if no byte was sent, `Broken` if some
-    /// may have been, and `Silent` if one of the limits passed.
+    /// may have been, and `TimedOut` if one of the limits passed.
     pub async fn call(&self, call: &Call, limit: Duration) -> Result<Reply> {
-        let exchange = tokio::time::timeout(WHOLE_LIMIT.max(limit), self.exchange(call, limit));
+        let exchange = tokio::time::timeout(TOTAL_TIMEOUT.max(limit), self.exchange(call, limit));
         match exchange.await {
-            Ok(Err(Error::Silent)) | Err(_) => {}
+            Ok(Err(Error::TimedOut)) | Err(_) => {}
             Ok(reply) => return reply,
         }
         // The idle connections may be dead as well, and each would cost a call its time limit.
         self.drop_idle();
-        Err(Error::Silent)
+        Err(Error::TimedOut)
     }
 
     async fn exchange(&self, call: &Call, limit: Duration) -> Result<Reply> {
-        let beginning = tokio::time::timeout(limit, self.begin(call));
-        let (sender, head, body) = beginning.await.map_err(|_| Error::Silent)??;
-        let reply = read_whole(head, body, PROGRESS_LIMIT).await?;
-        self.keep(sender);
+        let starting = tokio::time::timeout(limit, self.start(call));
+        let (sender, head, body) = starting.await.map_err(|_| Error::TimedOut)??;
+        let reply = collect_body(head, body, READ_TIMEOUT).await?;
+        self.return_idle(sender);
         Ok(reply)
     }
 
     /// Sends a call and waits for the head of the response.
-    async fn begin(&self, call: &Call) -> Result<(Sender, response::Parts, Incoming)> {
+    async fn start(&self, call: &Call) -> Result<(Sender, response::Parts, Incoming)> {
         let request = build(call)?;
-        let mut sender = match self.take() {
+        let mut sender = match self.take_idle() {
             Some(sender) => sender,
-            None => self.open().await?,
+            None => self.open_connection().await?,
         };
         let (head, body) = match sender.try_send_request(request).await {
             Ok(answer) => answer.into_parts(),
@@ -104,16 +104,16 @@
                 let Some(request) = error.take_message() else {
                     return Err(error.into_error().into());
                 };
-                // The connection was closed before the call was written to it, so it is safe to send
-                // the call again on a new one.
-                sender = self.open().await?;
+                // The connection was closed before the call was written to it, so it is safe to
+                // send the call again on a new one.
+                sender = self.open_connection().await?;
                 sender.send_request(request).await?.into_parts()
             }
         };
         Ok((sender, head, body))
     }
 
-    async fn open(&self) -> Result<Sender> {
+    async fn open_connection(&self) -> Result<Sender> {
         let stream = connect(&self.address).await.map_err(Error::NotConnected)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         tokio::spawn(async move {
@@ -128,14 +128,14 @@
         idle.clear();
     }
 
-    fn take(&self) -> Option<Sender> {
+    fn take_idle(&self) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         std::iter::from_fn(|| idle.pop()).find(|sender| !sender.is_closed())
     }
 
-    fn keep(&self, sender: Sender) {
+    fn return_idle(&self, sender: Sender) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        if idle.len() < KEPT_MAX && !sender.is_closed() {
+        if idle.len() < MAX_IDLE_CONNECTIONS && !sender.is_closed() {
             idle.push(sender);
         }
     }
--- a/crates/damaskstile-http/src/socket.rs
+++ b/crates/damaskstile-http/src/socket.rs
@@ -11,11 +11,11 @@
 /// Time that sent bytes may stay unacknowledged before the connection is closed. A target that has
 /// lost power or its network sends nothing at all; without this limit a call would wait until its
 /// deadline.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
+const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(1_500);
 /// Interval between two keep-alive probes. The system takes whole seconds only, and at least one.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without traffic after which the first keep-alive probe is sent.
-const KEEPALIVE_AFTER: Duration = Duration::from_secs(1);
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
 /// Connects to an address, with keep-alive and a limit on unacknowledged data.
 ///
@@ -30,9 +30,9 @@
     // Tokens are sent as small packets, which Nagle's algorithm would delay.
     stream.set_nodelay(true)?;
     let socket = SockRef::from(&stream);
-    socket.set_tcp_user_timeout(Some(SILENCE_LIMIT))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_AFTER)
+        .with_time(KEEPALIVE_IDLE)
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
     socket.set_tcp_keepalive(&keepalive)?;
--- a/crates/damaskstile-http/tests/answers.rs
+++ b/crates/damaskstile-http/tests/answers.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_line_that_is_no_chunk_breaks_the_stream() {
+fn a_line_that_is_not_a_chunk_breaks_the_stream() {
     let mut reader = AnswerReader::new(0);
 
     let reports = reader.push(b"data: {\"choices\":[{}]}\n\ndata: nonsense\n\ndata: [DONE]\n\n");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_resumed_stream_counts_on() {
+fn a_resumed_stream_continues_the_chunk_index() {
     let mut reader = AnswerReader::new(4);
 
     let reports = reader.push(stream(1).as_bytes());
--- a/crates/damaskstile-http/tests/kept.rs
+++ b/crates/damaskstile-http/tests/kept.rs
@@ -13,9 +13,9 @@
 /// Time limit of a call in these tests.
 const LIMIT: Duration = Duration::from_millis(500);
 /// Number of connections on which the server answers only the first call.
-const SILENT: usize = 3;
+const DEAD_CONNECTIONS: usize = 3;
 
-/// Starts an HTTP server whose first `SILENT` connections answer one call and nothing after it.
+/// Starts an HTTP server whose first `DEAD_CONNECTIONS` connections answer one call and nothing after it.
 async fn server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -23,17 +23,17 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let number = opened.fetch_add(1, Ordering::Relaxed);
-            tokio::spawn(answer(stream, number < SILENT));
+            tokio::spawn(answer(stream, number < DEAD_CONNECTIONS));
         }
     });
     address
 }
 
-async fn answer(mut stream: TcpStream, is_once: bool) {
+async fn answer(mut stream: TcpStream, answers_once: bool) {
     let mut buffer = [0; 1024];
     let mut answered = 0;
     while let Ok(1..) = stream.read(&mut buffer).await {
-        if is_once && answered > 0 {
+        if answers_once && answered > 0 {
             continue;
         }
         // Delays the response, so that concurrent calls overlap and each opens a new connection.
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn a_call_without_an_answer_leaves_no_idle_connection_of_its_time() {
+async fn a_call_that_times_out_closes_all_idle_connections() {
     // Guards against several calls in a row timing out after an outage, although new connections
     // work. All idle connections go dead at once, without a reset; if only the connection of the
     // failed call is closed, the next call uses another dead one.
@@ -54,7 +54,7 @@
     let address = server().await;
     let client = KeptClient::new(&address.to_string());
     let call = Call::new("store", Method::GET, "/a");
-    let first = (0..SILENT).map(|_| client.call(&call, LIMIT));
+    let first = (0..DEAD_CONNECTIONS).map(|_| client.call(&call, LIMIT));
     for reply in futures_util::future::join_all(first).await {
         reply.unwrap();
     }
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_comes_slowly_is_waited_for_and_not_asked_for_again() {
+async fn a_slow_response_that_makes_progress_is_read_to_its_end() {
     // Guards against a livelock after all instances were killed: hundreds read the ledger at once,
     // the store's link needs 1.4 s to serve all, and each reader discards its partial response
     // after 1.2 s and starts again, which keeps the link saturated. It came about when the limit
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_stops_coming_is_given_up() {
+async fn a_response_that_stalls_times_out() {
     // Arrange
     let address = slow_server(2, Duration::from_secs(30)).await;
     let client = KeptClient::new(&address.to_string());
