--- a/crates/damaskstile-http/src/answers.rs
+++ b/crates/damaskstile-http/src/answers.rs
@@ -1,11 +1,11 @@
-//! `answers` reads a target's answer and reports its pieces.
+//! Converts a target's event stream to run reports.
 
 use damaskstile_core::prelude::*;
 use serde::Deserialize;
 
-use crate::sse::SseLines;
+use crate::sse::SseDecoder;
 
-/// `Usage` is a target's count of tokens.
+/// Token usage as reported by a target.
 #[derive(Debug, Clone, Copy, Default, Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
@@ -22,28 +22,31 @@
     usage: Option<Usage>,
 }
 
-/// `AnswerReader` turns the bytes of a target's stream into reports.
+/// Incremental parser of a target's event stream.
 #[derive(Debug)]
 pub struct AnswerReader {
-    lines: SseLines,
+    decoder: SseDecoder,
     next_index: u64,
     usage: Option<Usage>,
     is_done: bool,
 }
 
 impl AnswerReader {
-    /// Makes a reader of a stream that begins with this chunk.
+    /// Creates a reader whose first chunk has the given index; it is above 0 for a resumed run.
     #[must_use]
     pub fn new(first_index: u64) -> Self {
         Self {
-            lines: SseLines::new(),
+            decoder: SseDecoder::new(),
             next_index: first_index,
             usage: None,
             is_done: false,
         }
     }
 
-    /// Takes in bytes and returns the reports that they make up.
+    /// Adds bytes and returns the reports that they complete.
+    ///
+    /// A data line that is not a valid chunk, or is too long, breaks the stream: the last report is
+    /// `RunReport::Broken`. Bytes after the end of the stream are ignored.
     ///
     /// ```
     /// use damaskstile_core::report::RunReport;
@@ -53,7 +56,7 @@
     /// assert!(matches!(reports[1], RunReport::Finished { chunks: 1, .. }));
     /// ```
     pub fn push(&mut self, bytes: &[u8]) -> Vec<RunReport> {
-        let lines = self.lines.push(bytes);
+        let lines = self.decoder.push(bytes);
         let mut reports = Vec::new();
         for line in lines {
             if self.is_done {
@@ -61,24 +64,24 @@
             }
             if line == "[DONE]" {
                 self.is_done = true;
-                reports.push(self.finished());
+                reports.push(self.finished_report());
                 continue;
             }
             if let Ok(chunk) = serde_json::from_str::<Chunk>(&line) {
-                self.take(&chunk, line, &mut reports);
+                self.add_chunk(&chunk, line, &mut reports);
             } else {
                 self.is_done = true;
                 reports.push(RunReport::Broken);
             }
         }
-        if self.lines.is_overlong() && !self.is_done {
+        if self.decoder.is_overlong() && !self.is_done {
             self.is_done = true;
             reports.push(RunReport::Broken);
         }
         reports
     }
 
-    fn take(&mut self, chunk: &Chunk, line: String, reports: &mut Vec<RunReport>) {
+    fn add_chunk(&mut self, chunk: &Chunk, line: String, reports: &mut Vec<RunReport>) {
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
         }
@@ -93,8 +96,9 @@
         self.next_index += 1;
     }
 
-    fn finished(&self) -> RunReport {
-        // Without a count by the target, each piece counts as a token and the prompt in full.
+    fn finished_report(&self) -> RunReport {
+        // If the target reported no usage, each chunk counts as one token, and the prompt as the
+        // maximum; the instance caps it at its own count of the prompt.
         let usage = self.usage.unwrap_or(Usage {
             prompt_tokens: u64::MAX,
             completion_tokens: self.next_index,
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Tells whether the stream has said its last word.
+    /// Returns whether the stream has finished or is broken.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.is_done
--- a/crates/damaskstile-http/tests/answers.rs
+++ b/crates/damaskstile-http/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Tests of targets' streams: whatever comes in, an answer is whole or it is said to be broken.
+//! Tests of `AnswerReader`: for any input, an answer is either complete or reported as broken.
 
 use damaskstile_core::report::RunReport;
 use damaskstile_http::AnswerReader;
@@ -59,7 +59,7 @@
     #[test]
     fn a_stream_that_ends_early_is_never_finished(chunks in 1..6_usize, cut in 2..400_usize) {
         let text = stream(chunks);
-        // Without the last line's end, the mark of the end has not come.
+        // At least the end of the `[DONE]` line is cut off, so the stream is incomplete.
         let end = text.len().saturating_sub(cut);
         let mut reader = AnswerReader::new(0);
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_line_that_is_no_chunk_breaks_the_stream() {
+fn a_line_that_is_not_a_chunk_breaks_the_stream() {
     let mut reader = AnswerReader::new(0);
 
     let reports = reader.push(b"data: {\"choices\":[{}]}\n\ndata: nonsense\n\ndata: [DONE]\n\n");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_resumed_stream_counts_on() {
+fn a_resumed_stream_continues_the_chunk_index() {
     let mut reader = AnswerReader::new(4);
 
     let reports = reader.push(stream(1).as_bytes());
