--- a/crates/damaskctl/src/accounts.rs
+++ b/crates/damaskctl/src/accounts.rs
@@ -1,4 +1,4 @@
-//! `accounts` creates and lists client accounts.
+//! Commands that create and list client accounts and rotate their tokens.
 
 use clap::Subcommand;
 use damaskstile::core::hex::to_hex;
@@ -18,31 +18,31 @@
     Create {
         /// Name of the account.
         name: String,
-        /// Budget that it draws on.
+        /// Budget that the account draws on.
         #[arg(long)]
         budget: String,
-        /// Token; made at random where absent.
+        /// Token; a random one is generated if omitted.
         #[arg(long)]
         token: Option<String>,
     },
     /// Lists the client accounts.
     List,
-    /// Adds a token, for a change of tokens without a gap.
+    /// Adds a token, so that tokens can be rotated without downtime.
     AddToken {
         /// Name of the account.
         name: String,
-        /// Token; made at random where absent.
+        /// Token; a random one is generated if omitted.
         #[arg(long)]
         token: Option<String>,
     },
-    /// Removes all tokens but the newest.
+    /// Removes all tokens except the newest.
     DropOldTokens {
         /// Name of the account.
         name: String,
     },
 }
 
-/// Carries out a command.
+/// Runs an `account` subcommand.
 pub async fn run(context: &Context, command: AccountCommand) -> Result<(), Failure> {
     match command {
         AccountCommand::Create {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns the hash under which a token is stored.
+/// Returns the SHA-256 of a token in hex, the form in which tokens are stored.
 pub fn token_sha256(token: &str) -> String {
     to_hex(&Sha256::digest(token.as_bytes()))
 }
@@ -66,7 +66,11 @@
     let mut bytes = [0_u8; 24];
     std::fs::File::open("/dev/urandom")
         .and_then(|mut source| source.read_exact(&mut bytes))
-        .map_err(|error| Failure::Refused(format!("no randomness for a token: {error}")))?;
+        .map_err(|error| {
+            Failure::Refused(format!(
+                "cannot read /dev/urandom to generate a token: {error}"
+            ))
+        })?;
     Ok(format!("dm-{}", to_hex(&bytes)))
 }
 
@@ -78,7 +82,9 @@
 ) -> Result<(), Failure> {
     let mut tree = tree::read(context).await?;
     if tree.settings.account.contains_key(name) {
-        return Err(Failure::Refused(format!("client account {name} exists")));
+        return Err(Failure::Refused(format!(
+            "client account {name} already exists"
+        )));
     }
     let is_made = token.is_none();
     let token = match token {
--- a/crates/damaskctl/src/audit.rs
+++ b/crates/damaskctl/src/audit.rs
@@ -1,10 +1,10 @@
-//! `audit` compares bills, settled sums and grants of one budget.
+//! Consistency check of one budget: bills and entries against the sums and grants of its ledger.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use damaskstile::budgets::{Entry, Ledger};
 
-/// Returns every difference, in words.
+/// Returns a description of every inconsistency; an empty list if there is none.
 pub fn differences(ledger: &Ledger, entries: &[Entry]) -> Vec<String> {
     let mut found = Vec::new();
     if let Err(error) = ledger.check() {
@@ -19,7 +19,7 @@
     let entered: u64 = entries.iter().map(Entry::cost_tokens).sum();
     if entered != ledger.settled_tokens {
         found.push(format!(
-            "entries sum up to {entered} tokens, settled are {}",
+            "entries sum to {entered} tokens, but the ledger has {} settled",
             ledger.settled_tokens
         ));
     }
@@ -27,19 +27,22 @@
     let billed_tokens: u64 = billed.clone().map(Entry::cost_tokens).sum();
     if billed_tokens != ledger.billed_tokens {
         found.push(format!(
-            "bills sum up to {billed_tokens} tokens, billed are {}",
+            "bills sum to {billed_tokens} tokens, but the ledger has {} billed",
             ledger.billed_tokens
         ));
     }
     let bills = u64::try_from(billed.count()).unwrap_or(u64::MAX);
     if bills != ledger.bills {
-        found.push(format!("{bills} bills found, {} counted", ledger.bills));
+        found.push(format!(
+            "{bills} bills found, but the ledger counts {}",
+            ledger.bills
+        ));
     }
     let spent: u64 = ledger.grants.values().map(|grant| grant.spent_tokens).sum();
     let settled_by_grants = ledger.closed_tokens + spent;
     if settled_by_grants != ledger.settled_tokens {
         found.push(format!(
-            "grants have spent {settled_by_grants} tokens, settled are {}",
+            "open and closed grants have spent {settled_by_grants} tokens, but the ledger has {} settled",
             ledger.settled_tokens
         ));
     }
@@ -50,7 +53,7 @@
     let mut bills: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     for entry in entries {
         if !runs.insert(&entry.run) {
-            found.push(format!("run {} is entered twice", entry.run));
+            found.push(format!("run {} has more than one entry", entry.run));
         }
         if entry.is_billed {
             *bills.entry((&entry.account, &entry.key)).or_default() += 1;
--- a/crates/damaskctl/src/bills.rs
+++ b/crates/damaskctl/src/bills.rs
@@ -1,4 +1,4 @@
-//! `bills` lists and audits bills.
+//! Commands that list and audit the bills of budgets.
 
 use clap::Subcommand;
 use damaskstile::budgets::{Entry, Ledger};
@@ -17,18 +17,18 @@
     List {
         /// Name of the budget.
         budget: String,
-        /// Shows also runs that were not billed, because another run of the request was.
+        /// Also shows runs that were not billed because another run of the same request was.
         #[arg(long)]
         all: bool,
     },
-    /// Compares bills, settled sums and grants, and names every difference.
+    /// Compares bills, settled sums and grants, and lists every difference.
     Audit {
-        /// Name of the budget; all where absent.
+        /// Name of the budget; all budgets if omitted.
         budget: Option<String>,
     },
 }
 
-/// Carries out a command.
+/// Runs a `bill` subcommand.
 pub async fn run(context: &Context, command: BillCommand) -> Result<(), Failure> {
     match command {
         BillCommand::List { budget, all } => list(context, &budget, all).await,
@@ -36,7 +36,11 @@
     }
 }
 
-/// Reads all entries of a budget: those in stored pages, then those in the ledger.
+/// Reads all entries of a budget: first those in stored pages, then those still in the ledger.
+///
+/// # Errors
+///
+/// Returns [`Failure::Different`] if a page that the ledger counts is missing from the store.
 pub async fn entries(
     context: &Context,
     budget: &str,
@@ -46,7 +50,9 @@
     for page in 0..ledger.next_page {
         let object = context.platform.read(&page_key(budget, page)).await?;
         let object = object.ok_or_else(|| {
-            Failure::Different(format!("budget {budget}: page {page} is missing"))
+            Failure::Different(format!(
+                "budget {budget}: page {page} of its bills is missing from the store"
+            ))
         })?;
         let page: Vec<Entry> = serde_json::from_str(&object.value)?;
         entries.extend(page);
--- a/crates/damaskctl/src/budgets.rs
+++ b/crates/damaskctl/src/budgets.rs
@@ -1,4 +1,4 @@
-//! `budgets` creates, tops up and shows prepaid budgets.
+//! Commands that create, top up and show prepaid budgets.
 
 use clap::Subcommand;
 use damaskstile::budgets::Ledger;
@@ -10,7 +10,8 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Times that a top-up is tried when instances change the ledger meanwhile.
+/// Maximum number of attempts at a top-up. An attempt fails if an instance writes to the ledger
+/// between the read and the write, or if the answer is lost.
 const TRIES: u32 = 50;
 
 /// Commands for budgets.
@@ -20,7 +21,7 @@
     Create {
         /// Name of the budget.
         name: String,
-        /// Tokens to begin with.
+        /// Initial number of prepaid tokens.
         #[arg(long, default_value_t = 0)]
         tokens: u64,
     },
@@ -31,11 +32,11 @@
         /// Tokens to add.
         #[arg(long)]
         tokens: u64,
-        /// Id of the payment. A repeat with the same id adds nothing.
+        /// Id of the payment. Repeating a top-up with the same id adds nothing.
         #[arg(long)]
         id: String,
     },
-    /// Shows a budget: topped up, settled, held by whom, free.
+    /// Shows the tokens of a budget: topped up, settled, held (by instance) and free.
     Show {
         /// Name of the budget.
         name: String,
@@ -44,7 +45,7 @@
     List,
 }
 
-/// Carries out a command.
+/// Runs a `budget` subcommand.
 pub async fn run(context: &Context, command: BudgetCommand) -> Result<(), Failure> {
     match command {
         BudgetCommand::Create { name, tokens } => create(context, &name, tokens).await,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Reads a ledger with its version.
+/// Reads the ledger of a budget, with its version in the store.
 pub async fn read(context: &Context, name: &str) -> Result<(Version, Ledger), Failure> {
     let object = context.platform.read(&ledger_key(name)).await?;
     let object = object.ok_or_else(|| Failure::NotFound(format!("budget {name}")))?;
@@ -74,7 +75,7 @@
             println!("created");
             Ok(())
         }
-        _ => Err(Failure::Refused(format!("budget {name} exists"))),
+        _ => Err(Failure::Refused(format!("budget {name} already exists"))),
     }
 }
 
@@ -87,9 +88,10 @@
 async fn top_up(context: &Context, name: &str, tokens: u64, id: &str) -> Result<(), Failure> {
     for _ in 0..TRIES {
         let (version, mut ledger) = read(context, name).await?;
-        // A lost answer is resolved by the id: where it stands, the top-up has taken effect.
+        // If the answer to an earlier attempt was lost, the ledger shows whether that attempt took
+        // effect: it then contains the id of the payment.
         if !ledger.top_up(id, tokens) {
-            println!("top-up {id} stands already");
+            println!("top-up {id} has already been applied");
             return Ok(());
         }
         let value = to_json(&ledger)?;
@@ -103,7 +105,7 @@
         }
     }
     Err(Failure::NoAnswer(format!(
-        "top-up {id}: repeat the command with the same id"
+        "top-up {id}: not confirmed after {TRIES} attempts; repeat the command with the same id"
     )))
 }
 
--- a/crates/damaskctl/src/context.rs
+++ b/crates/damaskctl/src/context.rs
@@ -1,4 +1,4 @@
-//! `context` holds what all commands work with.
+//! State shared by all commands, and JSON requests to instances and targets.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -9,21 +9,21 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Time that a call to an instance or a target may take.
+/// Timeout of a request to an instance or a target.
 const CALL_LIMIT: Duration = Duration::from_secs(3);
 
-/// `Context` holds what all commands work with.
+/// State shared by all commands: the platform's client and the options common to them.
 #[derive(Debug)]
 pub struct Context {
-    /// The platform.
+    /// Client of the platform's API.
     pub platform: Platform,
-    /// Name that changes are signed with.
+    /// Name recorded as the author of changes.
     pub author: String,
     is_json: bool,
 }
 
 impl Context {
-    /// Makes the context.
+    /// Makes the context for a platform at the given address (IP and port).
     pub fn new(platform: &str, author: &str, is_json: bool) -> Self {
         Self {
             platform: Platform::new(platform),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Prints a result, as a table or as JSON.
+    /// Prints `value` as JSON if `--json` was given, otherwise `table`.
     pub fn print<T: Serialize>(&self, value: &T, table: &Table) -> Result<(), Failure> {
         if self.is_json {
             println!("{}", serde_json::to_string_pretty(value)?);
@@ -51,7 +51,12 @@
     }
 }
 
-/// Reads a JSON value from an instance or a target.
+/// Sends a GET request to an instance or a target and returns its JSON body.
+///
+/// # Errors
+///
+/// Returns [`Failure::NotFound`] for status 404, [`Failure::NoAnswer`] for any other status that is
+/// not a success and if there is no answer within the timeout.
 pub async fn get_json(
     address: &str,
     path: &str,
@@ -75,7 +80,12 @@
     Ok(serde_json::from_slice(&reply.body)?)
 }
 
-/// Sends a JSON value to a target.
+/// Sends a JSON value to a target in a PUT request.
+///
+/// # Errors
+///
+/// Returns [`Failure::Conflict`] for status 409, [`Failure::NoAnswer`] for any other status that is
+/// not a success and if there is no answer within the timeout.
 pub async fn put_json(address: &str, path: &str, value: &Value) -> Result<(), Failure> {
     let call = Call::new(address, http::Method::PUT, path)
         .header("content-type", "application/json")
--- a/crates/damaskctl/src/exit.rs
+++ b/crates/damaskctl/src/exit.rs
@@ -1,24 +1,25 @@
-//! `exit` holds the failures of commands, each with its exit code.
+//! Failures of commands and their exit codes.
 
 use std::fmt;
 
-/// `Failure` tells why a command was not carried out.
+/// Reason why a command failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// The input was refused.
+    /// The input was rejected.
     Refused(String),
-    /// Another operator changed the same thing first.
+    /// Another operator changed the same object first.
     Conflict(String),
-    /// The platform or an instance gave no answer; a change may have taken effect.
+    /// The platform, an instance or a target gave no usable answer; a change may have taken effect.
     NoAnswer(String),
-    /// There is no such thing.
+    /// The named object does not exist.
     NotFound(String),
-    /// The comparison shows differences.
+    /// A comparison found differences, or stored data is inconsistent.
     Different(String),
 }
 
 impl Failure {
-    /// Returns the exit code; 2 is left to wrong usage.
+    /// Returns the exit code of the process. Code 2 is not used here: `clap` exits with it on wrong
+    /// usage.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Refused(_) => 1,
--- a/crates/damaskctl/src/explain.rs
+++ b/crates/damaskctl/src/explain.rs
@@ -1,4 +1,5 @@
-//! `explain` finds out from the logs of instances what became of a call, of budgets and of time.
+//! Analysis of the logs of instances: the course of one call, or tables over all lines (token use,
+//! latency, load and others).
 
 mod budgets;
 mod call;
@@ -19,78 +20,81 @@
 use crate::context::Context;
 use crate::exit::Failure;
 
-/// Arguments of `explain`: a call's id with logs, or one of the tables.
+/// Arguments of `explain`: either the id of a call and log files, or one of the tables.
 #[derive(Debug, Args)]
 #[command(args_conflicts_with_subcommands = true, subcommand_negates_reqs = true)]
 pub struct ExplainArgs {
-    /// The caller's id of the call.
+    /// Id of the call, as given by the caller.
     #[arg(required = true)]
     id: Option<String>,
-    /// Files with the logs of instances.
+    /// Log files of instances.
     #[arg(required = true)]
     logs: Vec<PathBuf>,
     #[command(subcommand)]
     table: Option<ExplainTable>,
 }
 
-/// `ExplainTable` is a table made of all lines.
+/// Tables that are computed over all log lines.
 #[derive(Debug, Subcommand)]
 enum ExplainTable {
-    /// Where the tokens of each account went.
+    /// How the tokens of each account were used.
     Budgets {
-        /// Files with the logs of instances.
+        /// Log files of instances.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Under which contents targets ended, and which of them were refused.
+    /// Request contents under which targets crashed, and which of them were quarantined.
     Contents {
-        /// Files with the logs of instances.
+        /// Log files of instances.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Who lent the tokens of each account, when first and last, and who asked in vain.
+    /// Which instances lent tokens of each account, when first and last, and how often instances
+    /// were asked in vain.
     Lenders {
-        /// Files with the logs of instances.
+        /// Log files of instances.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Which instances got more than they bear, for how long, and what they were busy with.
+    /// Which instances were overloaded, for how long, and what they spent their time on.
     Load {
-        /// Files with the logs of instances.
+        /// Log files of instances.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Which data centres were emptied, since when, and which targets were cold.
+    /// Which data centres were evacuated, and which targets were cold or advertised a limit, in the
+    /// order of time.
     Places {
-        /// Files with the logs of instances.
+        /// Log files of instances.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Bytes that instances sent to each other, by what they were for.
+    /// Bytes that instances sent to each other, by purpose.
     Traffic {
-        /// Files with the logs of instances.
+        /// Log files of instances.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Calls to the store, by what they were for and how they ended.
+    /// Calls of instances to the store, by kind and outcome.
     Store {
-        /// Files with the logs of instances.
+        /// Log files of instances.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// How long callers waited on each route, and what ran at their targets then.
+    /// How long callers waited on each route, and what their targets ran meanwhile.
     Latency {
-        /// Files with the logs of instances.
+        /// Log files of instances.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
 }
 
-/// Prints what was asked for.
+/// Prints the lines on a call, or a table.
 ///
 /// # Errors
 ///
-/// Returns what could not be read; what could was printed before.
+/// Returns a list of the files and lines that could not be read; the output from the others was
+/// printed before. Returns [`Failure::NotFound`] if no line has the id of the call.
 pub fn run(context: &Context, args: &ExplainArgs) -> Result<(), Failure> {
     let (Some(id), None) = (&args.id, &args.table) else {
         return match &args.table {
@@ -102,7 +106,9 @@
             Some(ExplainTable::Traffic { logs }) => traffic::run(context, logs),
             Some(ExplainTable::Store { logs }) => store::run(context, logs),
             Some(ExplainTable::Latency { logs }) => latency::run(context, logs),
-            None => Err(Failure::Refused("no id of a call".to_owned())),
+            None => Err(Failure::Refused(
+                "expected the id of a call, or the name of a table".to_owned(),
+            )),
         };
     };
     call::run(context, id, &args.logs)
--- a/crates/damaskctl/src/explain/budgets.rs
+++ b/crates/damaskctl/src/explain/budgets.rs
@@ -1,4 +1,4 @@
-//! `budgets` adds up where the tokens of each account went.
+//! Table of how the tokens of each account were used, summed over all log lines.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Numbers of the events that are read here.
+/// Codes of the log events that this table is computed from.
 mod event {
     pub const CALL_ANSWERED: u64 = 107;
     pub const CALL_REFUSED: u64 = 108;
@@ -24,10 +24,11 @@
     pub const STARTED: u64 = 700;
 }
 
-/// Holdings older than this at the end of the logs are those of an instance that has ended.
+/// Maximum age of holdings at the end of the logs. Instances log their holdings every 5 s, so an
+/// instance with older ones has ended or holds nothing any more.
 const HOLDINGS_AGE_MAX_MS: u64 = 12_000;
 
-/// `Spent` is where the tokens of one account went.
+/// How the tokens of one account were used. All sums are in tokens.
 #[derive(Debug, Clone, Default)]
 struct Spent {
     bought: u64,
@@ -36,10 +37,11 @@
     broken_off: u64,
     caller_left: u64,
     written_off: u64,
-    /// Part of what was written off that calls had used, by lines of the ended incarnation.
+    /// Part of the written-off tokens that calls had used according to log lines of the ended
+    /// incarnation or its borrowers. Not included in `written_off`.
     written_off_known: u64,
     refused_calls: u64,
-    /// What instances hold at the end of the logs: reserved and free, by instance.
+    /// Reserved and free tokens held at the end of the logs, by instance.
     held: BTreeMap<String, (u64, u64)>,
 }
 
@@ -52,7 +54,7 @@
         self.held.values().map(|(_, free)| free).sum()
     }
 
-    /// Returns the instance with most free tokens.
+    /// Returns the instance with the most free tokens, or `-` if no instance has any.
     fn richest(&self) -> &str {
         let richest = self.held.iter().max_by_key(|(_, (_, free))| *free);
         richest
@@ -60,6 +62,8 @@
             .map_or("-", |(instance, _)| instance)
     }
 
+    /// Returns the bought tokens that the logs do not account for: they are in the store, or were
+    /// used by calls whose lines are missing.
     fn not_seen(&self) -> u64 {
         let seen = self.answered + self.failed + self.broken_off + self.caller_left;
         self.bought
@@ -69,14 +73,16 @@
 
 type ByAccount = BTreeMap<String, u64>;
 
-/// `Adder` goes through the lines in the order of time.
+/// Sums up log lines, which must be added in the order of time.
 #[derive(Debug, Default)]
 struct Adder {
     accounts: BTreeMap<String, Spent>,
-    /// Used since an instance's last write that took effect, by instance.
+    /// Tokens used since the last ledger write of an instance that took effect, by instance.
     unwritten: BTreeMap<String, ByAccount>,
-    /// The same of incarnations that have ended and were not settled yet.
+    /// Tokens used since the last ledger write of incarnations that have ended and whose orphaned
+    /// holdings are not settled yet, by instance.
     left_behind: BTreeMap<String, ByAccount>,
+    /// Time of the last line on holdings, by instance.
     held_at_ms: BTreeMap<String, u64>,
 }
 
@@ -115,7 +121,7 @@
             event::CALLER_LEFT => spent.caller_left += used,
             _ => spent.broken_off += used,
         }
-        // What a call borrowed is written to the ledger by its lender.
+        // Borrowed tokens are written to the ledger by the lender, not by the instance of the call.
         let holder = line.field("lent_by").unwrap_or(&line.instance);
         let unwritten = self.unwritten.entry(holder.to_owned()).or_default();
         *unwritten.entry(account.to_owned()).or_default() += used;
@@ -141,7 +147,7 @@
             };
             let known = left.remove(account).unwrap_or(0).min(written_off);
             let spent = self.accounts.entry(account.to_owned()).or_default();
-            // What calls had used is counted with them.
+            // The known part is already counted by how the calls ended.
             spent.written_off += written_off - known;
             spent.written_off_known += known;
         }
@@ -168,7 +174,8 @@
         }
     }
 
-    /// Drops what instances held that wrote no more lines by the end.
+    /// Removes the holdings of instances that logged none for `HOLDINGS_AGE_MAX_MS` before the end
+    /// of the logs.
     fn drop_old_holdings(&mut self, end_ms: u64) {
         for (instance, at_ms) in &self.held_at_ms {
             if end_ms.saturating_sub(*at_ms) > HOLDINGS_AGE_MAX_MS {
@@ -180,14 +187,14 @@
     }
 }
 
-/// Splits `account:spent/granted`.
+/// Parses `account:spent/granted` and returns the account and its spent tokens.
 fn parse_settled(part: &str) -> Option<(&str, u64)> {
     let (account, numbers) = part.split_once(':')?;
     let (spent, _granted) = numbers.split_once('/')?;
     Some((account, spent.parse().ok()?))
 }
 
-/// Prints where the tokens of each account went.
+/// Prints how the tokens of each account were used.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     let mut adder = Adder::default();
--- a/crates/damaskctl/src/explain/call.rs
+++ b/crates/damaskctl/src/explain/call.rs
@@ -1,4 +1,4 @@
-//! `call` tells what became of one call, with what its instance believed then.
+//! Course of one call, each line preceded by what its instance had last logged on other matters.
 
 use std::path::PathBuf;
 
@@ -9,12 +9,17 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Lines on what the instance believed that are shown before each line on the call.
+/// Maximum number of other lines of the same instance shown before each line on the call.
 const BELIEFS_MAX: usize = 6;
-/// First number of the events on single calls, and the first one past them.
+/// Codes of the events on single calls.
 const CALL_EVENTS: std::ops::Range<u64> = 100..200;
 
-/// Prints the lines on a call, each with what its instance had last learnt before it.
+/// Prints the lines on a call, each after the last lines of its instance that are not on calls:
+/// they show the state that the instance acted on.
+///
+/// # Errors
+///
+/// Returns [`Failure::NotFound`] if no line has the id, and a list of what could not be read.
 pub fn run(context: &Context, id: &str, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     let lines = &logs.lines;
@@ -35,10 +40,10 @@
         return logs.finish();
     }
     logs.finish()?;
-    Err(Failure::NotFound(format!("no line names {id}")))
+    Err(Failure::NotFound(format!("no log line with id={id}")))
 }
 
-/// Returns the last lines of an instance that are not on single calls.
+/// Returns the last lines of an instance that are not on single calls, in the order of time.
 fn beliefs<'a>(before: &'a [Line], instance: &str) -> Vec<&'a Line> {
     let mut found: Vec<&Line> = before
         .iter()
--- a/crates/damaskctl/src/explain/contents.rs
+++ b/crates/damaskctl/src/explain/contents.rs
@@ -1,4 +1,5 @@
-//! `contents` tells under which contents targets ended, and what became of them.
+//! Table of the request contents that the logs name: how many targets crashed under each, and
+//! whether it was quarantined or released.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -10,22 +11,23 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Number of the event of a refused call.
+/// Code of the event of a refused call.
 const CALL_REFUSED: u64 = 108;
-/// Number of the event of a content that is refused from then on.
+/// Code of the event of a content that is quarantined: calls with it are refused from then on.
 const CONTENT_BARRED: u64 = 113;
-/// Number of the event of a content that is served again.
+/// Code of the event of a content that is released from quarantine and served again.
 const CONTENT_RELEASED: u64 = 114;
-/// Number of the event of a run that broke.
+/// Code of the event of a run whose connection to its target broke.
 const RUN_BROKEN: u64 = 605;
 
-/// `Seen` is what was seen of one content.
+/// What the logs show of one content.
 #[derive(Debug, Clone, Default)]
 struct Seen {
     account: String,
-    /// Targets that ended under it.
+    /// Targets that crashed while they ran it.
     ended: BTreeSet<String>,
-    /// Runs that broke at targets that did not end, or of which that is not known.
+    /// Runs that broke although the target did not crash, or of which it is not known whether it
+    /// did.
     broken_else: u64,
     calls: BTreeSet<String>,
     instances: BTreeSet<String>,
@@ -34,7 +36,7 @@
     released_at: String,
 }
 
-/// Prints under which contents targets ended, those with most first.
+/// Prints the contents that log lines name, those with the most crashed targets first.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     let mut contents: BTreeMap<String, Seen> = BTreeMap::new();
--- a/crates/damaskctl/src/explain/counts.rs
+++ b/crates/damaskctl/src/explain/counts.rs
@@ -1,28 +1,30 @@
-//! `counts` adds up counts that instances tell now and then, since their starts.
+//! Sums over the counters that instances log from time to time. A counter starts at 0 with each
+//! incarnation.
 
 use std::collections::BTreeMap;
 
 use super::lines::Line;
 
-/// Number of the event of a start.
+/// Code of the event of an instance's start.
 const STARTED: u64 = 700;
 
-/// Counts by what was counted, as an instance last told them.
+/// Counters of one incarnation by name, as it last logged them.
 type Counts = BTreeMap<String, u64>;
 
-/// `Sum` is what all instances told of one count.
+/// Sum of one counter over all incarnations.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Sum {
-    /// Sum over all instances.
+    /// Sum over all incarnations.
     pub(super) total: u64,
-    /// Runs of instances that told of it.
+    /// Number of incarnations that logged the counter.
     pub(super) instances: u64,
-    /// The greatest count, and whose it is.
+    /// Greatest count of a single incarnation, and its instance.
     pub(super) most: (u64, String),
 }
 
-/// Adds up what instances told in lines of an event. Each line holds all counts since the start of its instance, so only
-/// the last one of each run of an instance counts.
+/// Adds up the counters in the lines of an event; `prefix` is the start of their fields, such as
+/// `calls=`. Each line holds all counts since the start of its incarnation, so only the last line
+/// of each incarnation counts.
 pub(super) fn add_up(lines: &[Line], event: u64, prefix: &str) -> BTreeMap<String, Sum> {
     let mut runs: Vec<(String, Counts)> = Vec::new();
     let mut current: BTreeMap<String, Counts> = BTreeMap::new();
@@ -53,7 +55,8 @@
     sums
 }
 
-/// Reads `calls=list targets/answered:3,probe/lost:1`; names may hold spaces.
+/// Parses fields such as `calls=list targets/answered:3,probe/lost:1`. Names may contain spaces, so
+/// [`Line::field`] cannot be used.
 fn parse(line: &Line, prefix: &str) -> Counts {
     let text = line.fields.strip_prefix(prefix).unwrap_or("");
     let parts = text.split(',').filter_map(|part| part.rsplit_once(':'));
--- a/crates/damaskctl/src/explain/latency.rs
+++ b/crates/damaskctl/src/explain/latency.rs
@@ -1,4 +1,4 @@
-//! `latency` tells how long callers waited on each route, and what ran at their targets then.
+//! Table of the time to the first token on each route, and of what the targets ran meanwhile.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,21 +10,28 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Numbers of the events with which calls end that brought a first token.
+/// Range of the codes of all events that end a call. Calls without a first token, and other events
+/// in the range, are left out by [`Wait::try_new`] for lack of its fields.
 const ENDS: std::ops::RangeInclusive<u64> = 107..=112;
 
-/// `Wait` is one call that brought a first token.
+/// Timing of one call whose answer had a first token.
 #[derive(Debug, Clone)]
 struct Wait {
     route: String,
     target: String,
-    /// When it was sent, as the line's time less what came after.
+    /// When the call was sent to its target: the time of the line, minus the duration of the call,
+    /// plus the time before the send.
     sent_at_ms: u64,
+    /// Time from the send to the first token.
     first_ms: u64,
+    /// Time to the first token that the choice of the target estimated.
     expected_ms: u64,
+    /// Longest gap between two pieces of the answer.
     pause_ms: u64,
-    /// Tokens of the prompt that its target had to read.
+    /// Tokens of the prompt expected not to be in the target's cache, so that it has to prefill
+    /// them.
     read_tokens: u64,
+    /// Estimated number of calls running at the target when this one was sent.
     running: u64,
 }
 
@@ -45,6 +52,7 @@
         })
     }
 
+    /// Returns whether both calls waited for their first tokens at the same time.
     fn overlaps(&self, other: &Self) -> bool {
         let end_ms = self.sent_at_ms + self.first_ms;
         let other_end_ms = other.sent_at_ms + other.first_ms;
@@ -52,7 +60,7 @@
     }
 }
 
-/// Prints one row a route.
+/// Prints one row for each route.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     let ends = logs.lines.iter().filter(|line| ENDS.contains(&line.event));
@@ -66,8 +74,8 @@
     logs.finish()
 }
 
-/// Returns for each call the tokens of other prompts that its target read while the call waited for
-/// its first token, whichever instance sent them.
+/// Returns for each call the prompt tokens of all calls, of any instance, that waited for their
+/// first token at the same target at the same time.
 fn read_beside(waits: &[Wait]) -> Vec<u64> {
     let mut targets: BTreeMap<&str, Vec<&Wait>> = BTreeMap::new();
     for wait in waits {
@@ -91,7 +99,7 @@
         .collect()
 }
 
-/// `Spread` sorts numbers to find those of the middle and of the end.
+/// Sorted numbers, for percentiles.
 #[derive(Debug)]
 struct Spread(Vec<u64>);
 
@@ -101,12 +109,13 @@
         Self(numbers)
     }
 
-    /// Returns the number below which so many in a hundred are.
+    /// Returns a percentile, or 0 if there are no numbers.
     fn at(&self, percent: usize) -> u64 {
         let index = (self.0.len() * percent / 100).min(self.0.len().saturating_sub(1));
         self.0.get(index).copied().unwrap_or(0)
     }
 
+    /// Returns the 50th, 90th and 99th percentile, separated by `/`.
     fn text(&self) -> String {
         format!("{}/{}/{}", self.at(50), self.at(90), self.at(99))
     }
--- a/crates/damaskctl/src/explain/lenders.rs
+++ b/crates/damaskctl/src/explain/lenders.rs
@@ -1,4 +1,4 @@
-//! `lenders` tells which instances lent the tokens of each account.
+//! Table of the instances that lent tokens of each account, or were asked for them in vain.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -10,21 +10,22 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Numbers of the events of calls that ended.
+/// Codes of the events that end a call.
 const CALLS: [u64; 5] = [107, 108, 109, 110, 112];
 
-/// `Lent` is what an instance lent of one account.
+/// What one instance lent of one account.
 #[derive(Debug, Clone, Default)]
 struct Lent {
     calls: u64,
     used_tokens: u64,
     borrowers: BTreeSet<String>,
-    /// Calls that asked it and were refused for want of tokens.
+    /// Calls that asked this instance last and were refused for lack of tokens.
     in_vain: u64,
     first: String,
     last: String,
 }
 
+/// Loans by account and lender.
 type ByLender = BTreeMap<(String, String), Lent>;
 
 /// Prints which instances lent the tokens of each account.
--- a/crates/damaskctl/src/explain/lines.rs
+++ b/crates/damaskctl/src/explain/lines.rs
@@ -1,4 +1,4 @@
-//! `lines` reads the logs of instances and tells what of them is none.
+//! Reader of the log files of instances, which also reports lines that it cannot read.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -7,26 +7,28 @@
 
 use crate::exit::Failure;
 
-/// Faults of one file that are shown one by one; the rest is counted.
+/// Maximum number of unreadable lines of one file that are reported one by one; the rest is
+/// counted.
 const FAULTS_MAX: usize = 5;
 
-/// `Line` is one event of an instance's logs.
+/// One event in the log of an instance.
 #[derive(Debug, Clone)]
 pub struct Line {
-    /// When it was written, as text that sorts by time.
+    /// Time of writing in UTC, in a format that sorts by time as text.
     pub ts: String,
     /// The instance that wrote it.
     pub instance: String,
-    /// Number of the event.
+    /// Code of the event.
     pub event: u64,
     /// Name of the event.
     pub name: String,
-    /// What the event is about, as `name=value` with spaces between.
+    /// Fields of the event as `name=value`, separated by spaces.
     pub fields: String,
 }
 
 impl Line {
-    /// Returns the last value of a field: of a call that was sent twice, that of the last send.
+    /// Returns the last value of a field. A call that was sent more than once has some fields for
+    /// each send; those of the last send count.
     pub fn field(&self, name: &str) -> Option<&str> {
         let pairs = self.fields.split(' ').rev();
         pairs
@@ -34,13 +36,14 @@
             .find_map(|(found, value)| (found == name).then_some(value))
     }
 
-    /// Returns the last value of a field that is a number.
+    /// Returns the last value of a field as a number, or `None` if it is absent or not a number.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.field(name)?.parse().ok()
     }
 
-    /// Returns when it was written in milliseconds within its day and month; times of two lines
-    /// are compared by it, and logs span less than a month.
+    /// Returns the time of writing in milliseconds, counted within its month: year and month are
+    /// ignored. It serves for differences between lines of the same month only, as logs span less
+    /// than a month.
     pub fn at_ms(&self) -> Option<u64> {
         let (date, time) = self.ts.trim_end_matches('Z').split_once('T')?;
         let day: u64 = date.rsplit('-').next()?.parse().ok()?;
@@ -55,18 +58,18 @@
     }
 }
 
-/// `Logs` is what several files hold.
+/// Events of several log files.
 #[derive(Debug, Default)]
 pub struct Logs {
-    /// Events in the order of their times.
+    /// Events in the order of time.
     pub lines: Vec<Line>,
     faults: Vec<String>,
 }
 
 impl Logs {
-    /// Reads files. What stands before the JSON of a line, as some collectors put a time and a host
-    /// there, is passed over; a line without JSON is no event. Whatever else is wrong is noted with
-    /// file and line, and the rest is still read.
+    /// Reads log files. Text before the JSON object of a line is skipped, since some collectors
+    /// prefix lines with a time and a host; lines without a JSON object are ignored. Other problems
+    /// are kept for [`Logs::finish`] with file and line number, and the rest is still read.
     pub fn read(paths: &[PathBuf]) -> Self {
         let mut logs = Self::default();
         for path in paths {
@@ -103,20 +106,20 @@
         if faults > FAULTS_MAX {
             let more = faults - FAULTS_MAX;
             self.faults
-                .push(format!("{}: {more} more such lines", path.display()));
+                .push(format!("{}: {more} more unreadable lines", path.display()));
         }
         if self.lines.len() == before {
             self.faults
-                .push(format!("{}: no line of an instance", path.display()));
+                .push(format!("{}: no log lines of an instance", path.display()));
         }
         Ok(())
     }
 
-    /// Ends a command that has printed what it could.
+    /// Reports problems of reading, after a command has printed what could be read.
     ///
     /// # Errors
     ///
-    /// Returns all that could not be read.
+    /// Returns [`Failure::Refused`] with a list of all files and lines that could not be read.
     pub fn finish(&self) -> Result<(), Failure> {
         if self.faults.is_empty() {
             return Ok(());
@@ -125,6 +128,8 @@
     }
 }
 
+/// Parses one line of a file. Returns `None` for lines to be ignored, and an error for lines that
+/// cannot be read.
 fn parse(line: &str) -> Result<Option<Line>, &'static str> {
     let Some(start) = line.find('{') else {
         return Ok(None);
@@ -132,18 +137,19 @@
     let json = line[start..].trim_end();
     let value: Value = serde_json::from_str(json).map_err(|error| {
         if error.is_eof() {
-            "a truncated line"
+            "truncated line"
         } else {
-            "no line of an instance: not JSON"
+            "not a log line of an instance: invalid JSON"
         }
     })?;
     let text = |name: &str| value[name].as_str().map(str::to_owned);
     let (Some(ts), Some(instance), Some(event)) =
         (text("ts"), text("instance"), value["event"].as_u64())
     else {
-        // What the instance's logger itself says, as of lines that were left out, has no number.
+        // Messages of the instance's logger itself, for example on dropped lines, have no event
+        // code.
         let is_loggers = text("ts").is_some() && text("instance").is_some();
-        let fault = "no line of an instance: `ts`, `instance` or `event` is missing";
+        let fault = "not a log line of an instance: `ts`, `instance` or `event` is missing";
         return if is_loggers { Ok(None) } else { Err(fault) };
     };
     Ok(Some(Line {
--- a/crates/damaskctl/src/explain/load.rs
+++ b/crates/damaskctl/src/explain/load.rs
@@ -1,4 +1,5 @@
-//! `load` tells which instances got more than they bear, for how long, and what they were busy with.
+//! Table of the instances that were overloaded or lagging: for how long, and what they spent their
+//! time on.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,19 +11,23 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Number of the event of a readiness that changed.
+/// Code of the event of a change of readiness.
 const READINESS_CHANGED: u64 = 704;
-/// Number of the event that tells what a loaded instance was busy with.
+/// Code of the event with which an overloaded or lagging instance logs what it spent its time on.
 const INSTANCE_LOADED: u64 = 705;
 
-/// What the lines of one instance tell.
+/// What the logs show of the load of one instance.
 #[derive(Debug, Default)]
 struct Load {
     overloads: u64,
+    /// Start of the current overload, if any.
     overloaded_since_ms: Option<u64>,
     overloaded_ms: u64,
+    /// Longest scheduling delay of the event loop.
     late_ms_max: u64,
+    /// Longest time that a connect took.
     connect_ms_max: u64,
+    /// Time spent by background task and other kinds of work.
     busy_ms: BTreeMap<String, u64>,
 }
 
@@ -50,14 +55,14 @@
         }
     }
 
-    /// Returns the duty that took most of the time that the lines tell of.
+    /// Returns the kind of work that took the most time, with that time, or `-` if none is known.
     fn busiest(&self) -> (&str, u64) {
         let most = self.busy_ms.iter().max_by_key(|(_, ms)| **ms);
         most.map_or(("-", 0), |(duty, ms)| (duty, *ms))
     }
 }
 
-/// Returns the parts of a field as `name:number`.
+/// Parses a field such as `connect:410,body:12` into names and numbers. Other parts are skipped.
 fn pairs(field: Option<&str>) -> impl Iterator<Item = (&str, u64)> {
     let parts = field.unwrap_or_default().split(',');
     parts.filter_map(|part| {
@@ -66,7 +71,8 @@
     })
 }
 
-/// Prints the instances that were overloaded or late, the longest overloaded first.
+/// Prints the instances that were overloaded or lagging, the longest overloaded first. An instance
+/// that is still overloaded at the end of the logs counts as overloaded until then.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     let mut loads: BTreeMap<&str, Load> = BTreeMap::new();
--- a/crates/damaskctl/src/explain/places.rs
+++ b/crates/damaskctl/src/explain/places.rs
@@ -1,5 +1,5 @@
-//! `places` tells which data centres were emptied, since when, and which targets were cold or named
-//! a limit of calls.
+//! List of evacuated data centres, cold targets and targets with an advertised call limit, in the
+//! order of time.
 
 use std::path::PathBuf;
 
@@ -10,17 +10,17 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Number of the event of a target that is cold.
+/// Code of the event of a target that is cold.
 const TARGET_COLD: u64 = 607;
-/// Number of the event of a target that names a limit, or none any more.
+/// Code of the event of a target that advertises a limit of calls per second, or no longer does.
 const TARGET_LIMITED: u64 = 610;
-/// Number of the event of a data centre that is emptied.
+/// Code of the event of a data centre that is evacuated.
 const DATA_CENTRE_EMPTIED: u64 = 608;
-/// Number of the event of one that is taken back.
+/// Code of the event of a data centre whose evacuation ends.
 const DATA_CENTRE_TAKEN_BACK: u64 = 609;
 
-/// Prints what each instance heard of emptied data centres, cold targets and targets that name a
-/// limit, and from whom.
+/// Prints what each instance learned of evacuated data centres, cold targets and advertised limits,
+/// and from which source.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     let mut table = Table::new(&["ts", "instance", "what", "name", "from"]);
--- a/crates/damaskctl/src/explain/store.rs
+++ b/crates/damaskctl/src/explain/store.rs
@@ -1,4 +1,4 @@
-//! `store` adds up the calls that instances made to the store.
+//! Table of the calls that instances made to the store, by kind and outcome.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -11,9 +11,10 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Number of the event that tells an instance's calls since its start.
+/// Code of the event with which an instance logs its calls to the store since its start.
 const STORE_CALLS_NOTED: u64 = 509;
-/// Prints the calls to the store of all instances.
+
+/// Prints the sums of calls to the store over all instances.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     print(context, &add_up(&logs.lines, STORE_CALLS_NOTED, "calls="))?;
--- a/crates/damaskctl/src/explain/traffic.rs
+++ b/crates/damaskctl/src/explain/traffic.rs
@@ -1,4 +1,4 @@
-//! `traffic` adds up the bytes that instances sent to each other, by what they were for.
+//! Table of the bytes that instances sent to each other, by purpose.
 
 use std::path::PathBuf;
 
@@ -10,10 +10,10 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Number of the event that tells an instance's bytes since its start.
+/// Code of the event with which an instance logs the bytes that it sent to peers since its start.
 const PEER_BYTES_NOTED: u64 = 405;
 
-/// Prints the bytes that all instances sent to peers.
+/// Prints the sums of bytes sent to peers over all instances.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     let sums = add_up(&logs.lines, PEER_BYTES_NOTED, "bytes=");
--- a/crates/damaskctl/src/instances.rs
+++ b/crates/damaskctl/src/instances.rs
@@ -1,4 +1,4 @@
-//! `instances` lists the instances as one of them sees the others.
+//! Command that lists the instances of the fleet as one of them sees the others.
 
 use clap::Subcommand;
 
@@ -11,13 +11,13 @@
 pub enum InstanceCommand {
     /// Lists the instances.
     List {
-        /// Operators' address of any instance.
+        /// Operators' address of any instance, as IP and port.
         #[arg(long)]
         instance: String,
     },
 }
 
-/// Carries out a command.
+/// Runs an `instance` subcommand.
 pub async fn run(context: &Context, command: InstanceCommand) -> Result<(), Failure> {
     let InstanceCommand::List { instance } = command;
     let status = get_json(&instance, "/v1/status", &[]).await?;
--- a/crates/damaskctl/src/main.rs
+++ b/crates/damaskctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `damaskctl` is the operators' command line.
+//! Command-line tool for operators of a damaskstile fleet.
 
 mod accounts;
 mod audit;
@@ -25,15 +25,16 @@
 
 /// Manages a damaskstile fleet.
 ///
-/// Exit codes: 0 done, 1 refused input, 2 wrong usage, 3 another operator was faster,
-/// 4 the platform or an instance gave no answer, 5 not found, 6 differences or broken statements.
+/// Exit codes: 0 success, 1 input refused, 2 wrong usage, 3 conflict with another operator's
+/// change, 4 no usable answer from the platform, an instance or a target, 5 not found, 6
+/// differences or inconsistent data found.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
     /// Address of the platform, as IP and port.
     #[arg(long, env = "DAMASKSTILE_PLATFORM", default_value = "127.0.0.1:8500")]
     platform: String,
-    /// Name that changes are signed with.
+    /// Name recorded as the author of changes.
     #[arg(long, env = "USER", default_value = "operator")]
     author: String,
     /// Prints JSON instead of tables.
@@ -54,7 +55,7 @@
     /// Services.
     #[command(subcommand)]
     Service(services::ServiceCommand),
-    /// The tree of settings.
+    /// Settings of the fleet.
     #[command(subcommand)]
     Settings(settings::SettingsCommand),
     /// Targets.
@@ -69,10 +70,10 @@
     /// Bills.
     #[command(subcommand)]
     Bill(bills::BillCommand),
-    /// Tells from logs what became of a call, with what its instance believed then; or where
-    /// budgets and time went.
+    /// Shows from log files the course of a call, with the state that its instance acted on, or a
+    /// table such as the use of budgets or latencies.
     Explain(explain::ExplainArgs),
-    /// Replays a recorded trace against its stated outcomes.
+    /// Replays a recorded trace and checks the expectations stated in it.
     Replay {
         /// File with the trace.
         trace: PathBuf,
--- a/crates/damaskctl/src/requests.rs
+++ b/crates/damaskctl/src/requests.rs
@@ -1,4 +1,4 @@
-//! `requests` explains single requests and replays traces.
+//! Commands that show the state of a single request and replay traces.
 
 use std::io::BufReader;
 use std::path::Path;
@@ -12,11 +12,11 @@
 /// Commands for requests.
 #[derive(Debug, Subcommand)]
 pub enum RequestCommand {
-    /// Tells what became of a request.
+    /// Shows the state and outcome of a request.
     Explain {
         /// Key of the request.
         key: String,
-        /// Callers' address of any instance; the one that served it knows most.
+        /// Callers' address of any instance; the one that served the request knows the most.
         #[arg(long)]
         instance: String,
         /// Token of the client account.
@@ -25,7 +25,7 @@
     },
 }
 
-/// Carries out a command.
+/// Runs a `request` subcommand.
 pub async fn run(context: &Context, command: RequestCommand) -> Result<(), Failure> {
     let RequestCommand::Explain {
         key,
@@ -53,7 +53,12 @@
     context.print(&value, &table)
 }
 
-/// Replays a trace.
+/// Replays a trace and prints how many of its expectations held.
+///
+/// # Errors
+///
+/// Returns [`Failure::Different`] with a list of the expectations that did not hold, and
+/// [`Failure::Refused`] if the trace cannot be read.
 pub fn replay(context: &Context, path: &Path) -> Result<(), Failure> {
     let file = std::fs::File::open(path)
         .map_err(|error| Failure::Refused(format!("{}: {error}", path.display())))?;
--- a/crates/damaskctl/src/services.rs
+++ b/crates/damaskctl/src/services.rs
@@ -1,4 +1,4 @@
-//! `services` defines and lists services.
+//! Commands that define and list services.
 
 use clap::{Subcommand, ValueEnum};
 use damaskstile::fleet::settings::{ServiceKind, ServiceSettings};
@@ -8,7 +8,7 @@
 use crate::table::Table;
 use crate::tree;
 
-/// Kinds of services on the command line.
+/// Kinds of services, as values of `--kind`.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 pub enum Kind {
     /// Model engines.
@@ -20,17 +20,17 @@
 /// Commands for services.
 #[derive(Debug, Subcommand)]
 pub enum ServiceCommand {
-    /// Defines a service, or changes it.
+    /// Defines a service, or replaces its definition.
     Set {
         /// Name of the service.
         name: String,
-        /// What stands behind it.
+        /// Kind of the service's targets.
         #[arg(long, value_enum, default_value = "model")]
         kind: Kind,
-        /// Price of a plain service's call, in tokens.
+        /// Price of a call to a plain service, in tokens.
         #[arg(long, default_value_t = 1)]
         price_tokens: u64,
-        /// Whether its calls must never be run twice.
+        /// Marks the service's calls as non-idempotent: they must never run twice.
         #[arg(long)]
         non_idempotent: bool,
     },
@@ -38,7 +38,7 @@
     List,
 }
 
-/// Carries out a command.
+/// Runs a `service` subcommand.
 pub async fn run(context: &Context, command: ServiceCommand) -> Result<(), Failure> {
     let mut tree = tree::read(context).await?;
     match command {
--- a/crates/damaskctl/src/settings.rs
+++ b/crates/damaskctl/src/settings.rs
@@ -1,4 +1,4 @@
-//! `settings` shows and changes the tree of settings.
+//! Commands that show and change the settings of the fleet and list their versions.
 
 use std::path::PathBuf;
 
@@ -13,32 +13,32 @@
 use crate::table::Table;
 use crate::tree;
 
-/// Commands for the tree of settings.
+/// Commands for the settings of the fleet.
 #[derive(Debug, Subcommand)]
 pub enum SettingsCommand {
-    /// Shows the whole tree.
+    /// Shows all settings, in TOML.
     Show,
-    /// Shows the values in force for a client account, with the level that each comes from.
+    /// Shows the effective values for a client account, with the level that each comes from.
     Get {
-        /// Client account.
+        /// Name of the client account.
         account: String,
-        /// Service.
+        /// Name of the service; if omitted, values set for services are left out.
         #[arg(default_value = "")]
         service: String,
     },
-    /// Sets one value, such as `fleet.max_output_tokens=500`.
+    /// Sets a single value, for example `fleet.max_output_tokens=500`.
     Set {
-        /// Path and value, joined by `=`.
+        /// Path and value, as PATH=VALUE.
         assignment: String,
-        /// Version that the change is meant for; the latest where absent.
+        /// Version that the change applies to; the latest if omitted.
         #[arg(long)]
         expected_version: Option<Version>,
     },
-    /// Replaces the whole tree by a file's.
+    /// Replaces all settings with those in a file.
     Apply {
-        /// File with the tree, in TOML.
+        /// File with all settings, in TOML.
         file: PathBuf,
-        /// Version that the file was made from.
+        /// Version that the file was made from; the latest if omitted.
         #[arg(long)]
         expected_version: Option<Version>,
     },
@@ -46,14 +46,14 @@
     Diff {
         /// Older version.
         old: Version,
-        /// Newer version; the latest where absent.
+        /// Newer version; the latest if omitted.
         new: Option<Version>,
     },
     /// Lists all versions.
     History,
 }
 
-/// Carries out a command.
+/// Runs a `settings` subcommand.
 pub async fn run(context: &Context, command: SettingsCommand) -> Result<(), Failure> {
     match command {
         SettingsCommand::Show => show(context).await,
@@ -102,6 +102,12 @@
     context.print(&effective, &table)
 }
 
+/// Reads the latest settings as the base of a change.
+///
+/// # Errors
+///
+/// Returns [`Failure::Conflict`] with what changed since, if the latest version is not the expected
+/// one.
 async fn base(context: &Context, expected: Option<Version>) -> Result<tree::Tree, Failure> {
     let tree = tree::read(context).await?;
     match expected {
@@ -140,12 +146,14 @@
     Ok(())
 }
 
+/// Parses a TOML value; text that is not valid TOML is taken as a string.
 fn parse_value(text: &str) -> toml::Value {
     let parsed = format!("value = {text}").parse::<toml::Table>();
     let value = parsed.ok().and_then(|mut table| table.remove("value"));
     value.unwrap_or_else(|| toml::Value::String(text.to_owned()))
 }
 
+/// Sets a value at a dotted path and creates the tables on the way.
 fn set_path(table: &mut toml::Table, path: &str, value: toml::Value) -> Result<(), Failure> {
     match path.split_once('.') {
         None => {
@@ -181,6 +189,7 @@
         .map_err(|failure| in_file(file, failure))
 }
 
+/// Prefixes the message of a refusal with the name of the file.
 fn in_file(file: &std::path::Path, failure: Failure) -> Failure {
     match failure {
         Failure::Refused(what) => Failure::Refused(format!("{}: {what}", file.display())),
@@ -188,6 +197,7 @@
     }
 }
 
+/// Reads a version of the settings, from the current object or from the history.
 async fn version_text(context: &Context, version: Version) -> Result<StoredSettings, Failure> {
     let latest = tree::read(context).await?;
     if latest.version == version {
@@ -196,7 +206,7 @@
     let key = settings_history_key(version);
     match context.platform.read(&key).await? {
         Some(object) => Ok(serde_json::from_str(&object.value)?),
-        None => Err(Failure::NotFound(format!("version {version}"))),
+        None => Err(Failure::NotFound(format!("settings version {version}"))),
     }
 }
 
--- a/crates/damaskctl/src/table.rs
+++ b/crates/damaskctl/src/table.rs
@@ -1,15 +1,15 @@
-//! `table` prints rows for a person.
+//! Tables of text for the terminal.
 
 use std::fmt;
 
-/// `Table` is a head and rows of text.
+/// A header and rows of text, displayed in aligned columns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Makes a table with a head and no rows.
+    /// Makes a table with a header and no rows.
     pub fn new(head: &[&str]) -> Self {
         let head = head.iter().map(|name| (*name).to_owned()).collect();
         Self { rows: vec![head] }
--- a/crates/damaskctl/src/targets.rs
+++ b/crates/damaskctl/src/targets.rs
@@ -1,4 +1,4 @@
-//! `targets` lists targets and gives them orders.
+//! Commands that list targets and send them orders.
 
 use clap::Subcommand;
 use damaskstile::core::prelude::*;
@@ -11,26 +11,27 @@
 /// Commands for targets.
 #[derive(Debug, Subcommand)]
 pub enum TargetCommand {
-    /// Lists the targets, with their own word on themselves.
+    /// Lists the targets, each with the state that the platform lists and the one that it reports
+    /// itself.
     List,
-    /// Tells a target to leave: it finishes what it runs and takes nothing new.
+    /// Drains a target: it finishes its running requests and accepts no new ones.
     Drain {
         /// Name of the target.
         name: String,
     },
-    /// Gives a target an order, such as `load_model`.
+    /// Sends an order to a target, for example `load_model`.
     Order {
         /// Name of the target.
         name: String,
-        /// What to do.
+        /// Name of the order.
         order: String,
-        /// What to do it with.
+        /// Argument of the order.
         #[arg(default_value = "")]
         argument: String,
     },
 }
 
-/// Carries out a command.
+/// Runs a `target` subcommand.
 pub async fn run(context: &Context, command: TargetCommand) -> Result<(), Failure> {
     match command {
         TargetCommand::List => list(context).await,
@@ -74,10 +75,12 @@
     if is_leaving { "leaving" } else { "live" }
 }
 
-/// Gives an order: it is stored first, and the version of the store is its fencing number.
+/// Sends an order to a target. The order is stored first, and its version in the store is sent
+/// along as the fencing number.
 ///
-/// Of two operators who race only one can store; the other is told. A target that checks fencing
-/// numbers also refuses an order that was stored earlier and arrives later.
+/// If two operators race, only one of them can store an order; the other gets
+/// [`Failure::Conflict`]. A target that checks fencing numbers also refuses an order that was
+/// stored earlier and arrives later.
 async fn order(context: &Context, name: &str, what: &str, argument: &str) -> Result<(), Failure> {
     let targets = context.platform.targets().await?;
     let info = targets
@@ -105,6 +108,8 @@
             Ok(())
         }
         StoreAnswer::Conflict(Some(object)) => Err(Failure::Conflict(object.value)),
-        _ => Err(Failure::NoAnswer("unexpected answer".to_owned())),
+        _ => Err(Failure::NoAnswer(
+            "unexpected answer of the store to the write of the order".to_owned(),
+        )),
     }
 }
--- a/crates/damaskctl/src/tree.rs
+++ b/crates/damaskctl/src/tree.rs
@@ -1,4 +1,4 @@
-//! `tree` reads and changes the stored tree of settings.
+//! Reads and changes the settings tree in the store, and compares versions of it.
 
 use damaskstile::core::prelude::*;
 use damaskstile::fleet::Settings;
@@ -8,18 +8,18 @@
 use crate::context::Context;
 use crate::exit::Failure;
 
-/// `Tree` is the stored tree at a version.
+/// One version of the settings tree.
 #[derive(Debug)]
 pub struct Tree {
-    /// Version; 0 where nothing is stored yet.
+    /// Version in the store; 0 if nothing is stored yet.
     pub version: Version,
-    /// The value as stored.
+    /// The stored object: the settings as text, with author, note and time.
     pub stored: StoredSettings,
-    /// The tree.
+    /// The parsed settings.
     pub settings: Settings,
 }
 
-/// Reads the tree as it stands.
+/// Reads the latest version; empty default settings if nothing is stored yet.
 pub async fn read(context: &Context) -> Result<Tree, Failure> {
     match context.platform.read(SETTINGS_KEY).await? {
         Some(object) => parse(&object),
@@ -36,7 +36,7 @@
     }
 }
 
-/// Reads a tree out of an object.
+/// Parses a stored object.
 pub fn parse(object: &Object) -> Result<Tree, Failure> {
     let stored: StoredSettings = serde_json::from_str(&object.value)?;
     let settings = Settings::try_from_toml(&stored.text)?;
@@ -47,10 +47,15 @@
     })
 }
 
-/// Stores a changed tree, if nobody has changed it since it was read.
+/// Checks and stores new settings, unless they were changed since `base` was read.
 ///
-/// The version that is replaced goes to the history first. So the history has every version that
-/// ever stood, wherever this command is interrupted.
+/// The replaced version is written to the history first, so that the history is complete wherever
+/// this command is interrupted.
+///
+/// # Errors
+///
+/// Returns [`Failure::Refused`] if the text is invalid, [`Failure::Conflict`] if the settings were
+/// changed meanwhile, and [`Failure::NoAnswer`] if it is unknown whether the change took effect.
 pub async fn write(
     context: &Context,
     base: &Tree,
@@ -80,12 +85,14 @@
             Ok(version)
         }
         Ok(StoreAnswer::Conflict(Some(object))) => Err(conflict(base, &object)),
-        Ok(_) => Err(Failure::NoAnswer("unexpected answer".to_owned())),
+        Ok(_) => Err(Failure::NoAnswer(
+            "unexpected answer of the store to the write of the settings".to_owned(),
+        )),
         Err(error) => resolve_lost(context, &stored, &error).await,
     }
 }
 
-/// Finds out whether a change was accepted whose answer was lost.
+/// Determines whether a change took effect after the answer to its write was lost.
 async fn resolve_lost(
     context: &Context,
     stored: &StoredSettings,
@@ -104,7 +111,7 @@
         return Ok(object.version);
     }
     Err(Failure::NoAnswer(format!(
-        "{error}; the change may or may not stand, see `settings history`"
+        "{error}; the change may or may not have been applied, see `settings history`"
     )))
 }
 
@@ -124,7 +131,7 @@
     }
 }
 
-/// Lists the lines that only one of two texts has.
+/// Lists the values that differ between two versions: removed ones with `-`, added ones with `+`.
 pub fn diff(old: &str, new: &str) -> Vec<String> {
     let flat_old = flatten(old);
     let flat_new = flatten(new);
@@ -139,7 +146,8 @@
     gone.chain(come).collect()
 }
 
-/// Writes each value with its whole path, so that lines can be compared.
+/// Returns each value of a TOML text as a line with its full path, so that lines can be compared.
+/// Text that is not valid TOML is split into its lines.
 fn flatten(text: &str) -> Vec<String> {
     let Ok(table) = text.parse::<toml::Table>() else {
         return text.lines().map(str::to_owned).collect();
--- a/crates/damaskctl/tests/explain.rs
+++ b/crates/damaskctl/tests/explain.rs
@@ -1,8 +1,8 @@
-//! From a call's id to its cause, over the logs of several instances.
+//! `explain ID` on the logs of several instances.
 
 use std::process::Command;
 
-/// Lines as two instances write them, the first with what a collector puts before them.
+/// Log lines of two instances; those of the first have the prefix of a log collector.
 const LOGS: [&str; 2] = [
     r#"7.1 host {"msg":"StoreLost","level":"WARN","ts":"2026-01-01T00:00:01Z","instance":"a","fields":"cause=silence","event":506}
 7.2 host {"msg":"CallRefused","level":"INFO","ts":"2026-01-01T00:00:02Z","instance":"a","fields":"id=c1 shortage=elsewhere status=503","event":108}
@@ -14,6 +14,7 @@
 "#,
 ];
 
+/// Runs `explain ID` on the logs and returns its exit code and output.
 fn explain(id: &str) -> (Option<i32>, String) {
     let dir = std::env::temp_dir().join(format!("damaskctl-explain-{id}"));
     std::fs::create_dir_all(&dir).unwrap();
--- a/crates/damaskctl/tests/explain_tables.rs
+++ b/crates/damaskctl/tests/explain_tables.rs
@@ -1,11 +1,11 @@
-//! Where budgets and time went, over recorded lines of instances.
+//! Tables of `explain` on recorded log lines of instances.
 
 use std::path::PathBuf;
 use std::process::Command;
 
 use serde_json::Value;
 
-/// Lines of two instances; the second ends without a word and starts anew.
+/// Log lines of two instances; the second ends without a log line and is restarted.
 const LOGS: [&str; 2] = [
     r#"{"msg":"RoundWritten","level":"INFO","ts":"2026-01-01T00:00:01.000Z","instance":"a","fields":"on=1 round=1","event":211}
 0.5 host {"msg":"CallAnswered","level":"INFO","ts":"2026-01-01T00:00:02.000Z","instance":"a","fields":"account=office ahead=0 cost_ms=20 events=10 first_byte_ms=300 id=c1 outcome=answered pause_ms=90 reserved=1200 route=chat running=2 sent_ms=0 target=t1 took_ms=1000 uncached=900 used=1050","event":107}
@@ -25,7 +25,8 @@
 "#,
 ];
 
-/// Runs a table over files with the given contents, and over one more path.
+/// Runs `explain TABLE` on files with the given contents and on further paths; returns the exit
+/// code, the rows and the error output.
 fn explain(name: &str, table: &str, logs: &[&str], more: &[&str]) -> (Option<i32>, Value, String) {
     let dir = std::env::temp_dir().join(format!("damaskctl-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
@@ -66,7 +67,8 @@
     // Act
     let (_, rows, _) = explain("estates", "budgets", &LOGS, &[]);
 
-    // Assert: 400 of the 2,000 are in the line of a call that ended after the round.
+    // Assert: 400 of the 2,000 written-off tokens are in the line of a call that ended after the
+    // last ledger write.
     assert_eq!(rows[0]["written_off_tokens"], 2_000);
     assert_eq!(rows[0]["written_off_known_tokens"], 400);
     assert_eq!(rows[1]["account"], "other");
@@ -78,7 +80,7 @@
     // Act
     let (_, rows, _) = explain("held", "budgets", &LOGS, &[]);
 
-    // Assert: what the second instance held was settled.
+    // Assert: the holdings of the second instance were settled, so only the first holds tokens.
     assert_eq!(rows[0]["reserved_tokens"], 300);
     assert_eq!(rows[0]["free_tokens"], 4_000);
     assert_eq!(rows[0]["most_free_at"], "a");
@@ -120,16 +122,19 @@
     // Assert
     assert_eq!(code, Some(1));
     assert_eq!(rows[0]["answered_tokens"], 1_050 + 300 + 400);
-    assert!(errors.contains("0.log:9: a truncated line"), "{errors}");
+    assert!(errors.contains("0.log:9: truncated line"), "{errors}");
     assert!(
-        errors.contains("1.log:1: no line of an instance"),
+        errors.contains("1.log:1: not a log line of an instance"),
         "{errors}"
     );
     assert!(
-        errors.contains("1.log:2: no line of an instance"),
+        errors.contains("1.log:2: not a log line of an instance"),
+        "{errors}"
+    );
+    assert!(
+        errors.contains("1.log: no log lines of an instance"),
         "{errors}"
     );
-    assert!(errors.contains("1.log: no line of an instance"), "{errors}");
     assert!(
         errors.contains("/nowhere/at/all.log: No such file"),
         "{errors}"
@@ -146,11 +151,11 @@
 
     // Assert
     assert_eq!(code, Some(1));
-    assert!(errors.contains("995 more such lines"), "{errors}");
+    assert!(errors.contains("995 more unreadable lines"), "{errors}");
     assert!(errors.lines().count() < 10, "{errors}");
 }
 
-/// Lines of an instance that borrows, and of its lender, which starts anew.
+/// Log lines of an instance that borrows, and of its lender, which is restarted.
 const LENDING: [&str; 2] = [
     r#"{"msg":"CallAnswered","level":"INFO","ts":"2026-01-01T00:00:02.000Z","instance":"a","fields":"account=office asked=b events=2 id=c1 lent_by=b outcome=answered reserved=700 used=600","event":107}
 {"msg":"CallRefused","level":"INFO","ts":"2026-01-01T00:00:03.000Z","instance":"a","fields":"account=office asked=b asked=c id=c2 needed=900 outcome=budget_unreachable shortage=in_store","event":108}
@@ -188,11 +193,13 @@
     // Act
     let (_, rows, _) = explain("borrowed", "budgets", &LENDING, &[]);
 
-    // Assert: the lender's successor wrote off what the call is known to have used.
+    // Assert: the lender's next incarnation wrote off 2,000 tokens, of which the call is known to
+    // have used 600.
     assert_eq!(rows[0]["written_off_known_tokens"], 600);
 }
 
-/// Lines of two instances on a content that ended two targets and on one that ran beside it.
+/// Log lines of two instances on a content under which two targets crashed, and on another content
+/// that ran on one of them at the same time.
 const ENDS: [&str; 2] = [
     r#"{"msg":"RunBroken","level":"WARN","ts":"2026-01-01T00:00:01.000Z","instance":"a","fields":"account=one content=beef id=c1 ran_ms=60 state=ended target=t1","event":605}
 {"msg":"RunBroken","level":"WARN","ts":"2026-01-01T00:00:01.001Z","instance":"a","fields":"account=two content=cafe id=c2 ran_ms=900 state=ended target=t1","event":605}
@@ -209,7 +216,7 @@
     // Act
     let (code, rows, errors) = explain("contents", "contents", &ENDS, &[]);
 
-    // Assert: the one with most ends comes first.
+    // Assert: the content with the most crashed targets comes first.
     assert_eq!((code, errors.as_str()), (Some(0), ""));
     let of = |index: usize, name: &str| rows[index][name].clone();
     assert_eq!(
@@ -237,7 +244,7 @@
     // Act
     let (code, rows, _) = explain("store", "store", &LENDING, &[]);
 
-    // Assert: of each run the last line counts.
+    // Assert: only the last line of each incarnation counts.
     assert_eq!(code, Some(0));
     assert_eq!(rows[0]["call"], "list targets");
     assert_eq!(
@@ -250,7 +257,7 @@
     );
 }
 
-/// Lines of an instance that was overloaded twice, and of one that never was.
+/// Log lines of an instance that was overloaded twice, and of one that never was.
 const LOADED: [&str; 2] = [
     r#"{"msg":"ReadinessChanged","level":"INFO","ts":"2026-01-01T00:00:01.000Z","instance":"a","fields":"before=ready now=overloaded","event":704}
 {"msg":"InstanceLoaded","level":"WARN","ts":"2026-01-01T00:00:02.000Z","instance":"a","fields":"busy_ms=callers:600,hear:30 calls=90 longest_ms=body:12,connect:410 late_ms=40 span_ms=1000 waits_ms=in:0,out:250,processor:0","event":705}
@@ -268,7 +275,7 @@
     // Act
     let (code, rows, errors) = explain("load", "load", &LOADED, &[]);
 
-    // Assert: one that is overloaded still counts until the logs end.
+    // Assert: the second overload lasts until the end of the logs.
     assert_eq!((code, errors.as_str()), (Some(0), ""));
     assert_eq!(rows.as_array().map(Vec::len), Some(1));
     let row = &rows[0];
