--- a/crates/damaskctl/src/accounts.rs
+++ b/crates/damaskctl/src/accounts.rs
@@ -61,7 +61,7 @@
     to_hex(&Sha256::digest(token.as_bytes()))
 }
 
-fn new_token() -> Result<String, Failure> {
+fn generate_token() -> Result<String, Failure> {
     use std::io::Read;
     let mut bytes = [0_u8; 24];
     std::fs::File::open("/dev/urandom")
@@ -86,10 +86,10 @@
             "client account {name} already exists"
         )));
     }
-    let is_made = token.is_none();
+    let is_generated = token.is_none();
     let token = match token {
         Some(token) => token,
-        None => new_token()?,
+        None => generate_token()?,
     };
     let account = AccountSettings {
         budget: budget.to_owned(),
@@ -99,7 +99,7 @@
     tree.settings.account.insert(name.to_owned(), account);
     let text = tree.settings.to_toml()?;
     tree::write(context, &tree, text, &format!("create account {name}")).await?;
-    if is_made {
+    if is_generated {
         println!("token: {token}");
     }
     Ok(())
@@ -120,7 +120,7 @@
     let mut tree = tree::read(context).await?;
     let token = match token {
         Some(token) => token,
-        None => new_token()?,
+        None => generate_token()?,
     };
     account_mut(&mut tree, name)?
         .token_sha256
--- a/crates/damaskctl/src/audit.rs
+++ b/crates/damaskctl/src/audit.rs
@@ -11,15 +11,15 @@
         found.push(error.to_string());
     }
     compare_sums(ledger, entries, &mut found);
-    find_repeats(entries, &mut found);
+    find_duplicates(entries, &mut found);
     found
 }
 
 fn compare_sums(ledger: &Ledger, entries: &[Entry], found: &mut Vec<String>) {
-    let entered: u64 = entries.iter().map(Entry::cost_tokens).sum();
-    if entered != ledger.settled_tokens {
+    let entered_tokens: u64 = entries.iter().map(Entry::cost_tokens).sum();
+    if entered_tokens != ledger.settled_tokens {
         found.push(format!(
-            "entries sum to {entered} tokens, but the ledger has {} settled",
+            "entries sum to {entered_tokens} tokens, but the ledger has {} settled",
             ledger.settled_tokens
         ));
     }
@@ -42,13 +42,13 @@
     let settled_by_grants = ledger.closed_tokens + spent;
     if settled_by_grants != ledger.settled_tokens {
         found.push(format!(
-            "open and closed grants have spent {settled_by_grants} tokens, but the ledger has {} settled",
+            "grants have spent {settled_by_grants} tokens, but the ledger has {} settled",
             ledger.settled_tokens
         ));
     }
 }
 
-fn find_repeats(entries: &[Entry], found: &mut Vec<String>) {
+fn find_duplicates(entries: &[Entry], found: &mut Vec<String>) {
     let mut runs = BTreeSet::new();
     let mut bills: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     for entry in entries {
--- a/crates/damaskctl/src/budgets.rs
+++ b/crates/damaskctl/src/budgets.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of attempts at a top-up. An attempt fails if an instance writes to the ledger
 /// between the read and the write, or if the answer is lost.
-const TRIES: u32 = 50;
+const ATTEMPTS_MAX: u32 = 50;
 
 /// Commands for budgets.
 #[derive(Debug, Subcommand)]
@@ -86,7 +86,7 @@
 }
 
 async fn top_up(context: &Context, name: &str, tokens: u64, id: &str) -> Result<(), Failure> {
-    for _ in 0..TRIES {
+    for _ in 0..ATTEMPTS_MAX {
         let (version, mut ledger) = read(context, name).await?;
         // If the answer to an earlier attempt was lost, the ledger shows whether that attempt took
         // effect: it then contains the id of the payment.
@@ -105,7 +105,7 @@
         }
     }
     Err(Failure::NoAnswer(format!(
-        "top-up {id}: not confirmed after {TRIES} attempts; repeat the command with the same id"
+        "top-up {id}: not confirmed after {ATTEMPTS_MAX} attempts; repeat the command with the same id"
     )))
 }
 
--- a/crates/damaskctl/src/context.rs
+++ b/crates/damaskctl/src/context.rs
@@ -10,7 +10,7 @@
 use crate::table::Table;
 
 /// Timeout of a request to an instance or a target.
-const CALL_LIMIT: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// State shared by all commands: the platform's client and the options common to them.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
     for (name, value) in headers {
         call = call.header(name, value);
     }
-    let reply = send_whole(call, CALL_LIMIT).await?;
+    let reply = send_whole(call, CALL_TIMEOUT).await?;
     if reply.status == http::StatusCode::NOT_FOUND {
         return Err(Failure::NotFound(reply.text()));
     }
@@ -90,7 +90,7 @@
     let call = Call::new(address, http::Method::PUT, path)
         .header("content-type", "application/json")
         .body(value.to_string());
-    let reply = send_whole(call, CALL_LIMIT).await?;
+    let reply = send_whole(call, CALL_TIMEOUT).await?;
     match reply.status.as_u16() {
         200..=299 => Ok(()),
         409 => Err(Failure::Conflict(reply.text())),
--- a/crates/damaskctl/src/exit.rs
+++ b/crates/damaskctl/src/exit.rs
@@ -34,11 +34,11 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused(what) => write!(f, "refused: {what}"),
-            Self::Conflict(what) => write!(f, "another change came first: {what}"),
-            Self::NoAnswer(what) => write!(f, "no answer: {what}"),
-            Self::NotFound(what) => write!(f, "not found: {what}"),
-            Self::Different(what) => write!(f, "{what}"),
+            Self::Refused(message) => write!(f, "refused: {message}"),
+            Self::Conflict(message) => write!(f, "another change came first: {message}"),
+            Self::NoAnswer(message) => write!(f, "no answer: {message}"),
+            Self::NotFound(message) => write!(f, "not found: {message}"),
+            Self::Different(message) => write!(f, "{message}"),
         }
     }
 }
--- a/crates/damaskctl/src/explain/budgets.rs
+++ b/crates/damaskctl/src/explain/budgets.rs
@@ -11,7 +11,7 @@
 use crate::table::Table;
 
 /// Codes of the log events that this table is computed from.
-mod event {
+mod event_code {
     pub const CALL_ANSWERED: u64 = 107;
     pub const CALL_REFUSED: u64 = 108;
     pub const CALL_FAILED: u64 = 109;
@@ -30,7 +30,7 @@
 
 /// How the tokens of one account were used. All sums are in tokens.
 #[derive(Debug, Clone, Default)]
-struct Spent {
+struct TokenUse {
     bought: u64,
     answered: u64,
     failed: u64,
@@ -45,7 +45,7 @@
     held: BTreeMap<String, (u64, u64)>,
 }
 
-impl Spent {
+impl TokenUse {
     fn reserved(&self) -> u64 {
         self.held.values().map(|(reserved, _)| reserved).sum()
     }
@@ -55,47 +55,48 @@
     }
 
     /// Returns the instance with the most free tokens, or `-` if no instance has any.
-    fn richest(&self) -> &str {
-        let richest = self.held.iter().max_by_key(|(_, (_, free))| *free);
-        richest
-            .filter(|(_, (_, free))| *free > 0)
+    fn instance_with_most_free(&self) -> &str {
+        let most = self.held.iter().max_by_key(|(_, (_, free))| *free);
+        most.filter(|(_, (_, free))| *free > 0)
             .map_or("-", |(instance, _)| instance)
     }
 
     /// Returns the bought tokens that the logs do not account for: they are in the store, or were
     /// used by calls whose lines are missing.
-    fn not_seen(&self) -> u64 {
+    fn unaccounted(&self) -> u64 {
         let seen = self.answered + self.failed + self.broken_off + self.caller_left;
         self.bought
             .saturating_sub(seen + self.written_off + self.reserved() + self.free())
     }
 }
 
-type ByAccount = BTreeMap<String, u64>;
+type TokensByAccount = BTreeMap<String, u64>;
 
 /// Sums up log lines, which must be added in the order of time.
 #[derive(Debug, Default)]
-struct Adder {
-    accounts: BTreeMap<String, Spent>,
+struct UseCounter {
+    accounts: BTreeMap<String, TokenUse>,
     /// Tokens used since the last ledger write of an instance that took effect, by instance.
-    unwritten: BTreeMap<String, ByAccount>,
+    unwritten: BTreeMap<String, TokensByAccount>,
     /// Tokens used since the last ledger write of incarnations that have ended and whose orphaned
     /// holdings are not settled yet, by instance.
-    left_behind: BTreeMap<String, ByAccount>,
+    orphaned: BTreeMap<String, TokensByAccount>,
     /// Time of the last line on holdings, by instance.
-    held_at_ms: BTreeMap<String, u64>,
+    holdings_logged_at_ms: BTreeMap<String, u64>,
 }
 
-impl Adder {
+impl UseCounter {
     fn add(&mut self, line: &Line) {
         match line.event {
-            event::CALL_ANSWERED..=event::CALLER_LEFT | event::CALL_CUT => self.add_call(line),
-            event::ROUND_WRITTEN | event::REPORT_ENTERED => {
+            event_code::CALL_ANSWERED..=event_code::CALLER_LEFT | event_code::CALL_CUT => {
+                self.add_call(line);
+            }
+            event_code::ROUND_WRITTEN | event_code::REPORT_ENTERED => {
                 self.unwritten.remove(&line.instance);
             }
-            event::STARTED => self.end_incarnation(&line.instance),
-            event::ESTATE_SETTLED => self.settle(line),
-            event::HOLDINGS_NOTED => self.note_holdings(line),
+            event_code::STARTED => self.end_incarnation(&line.instance),
+            event_code::ESTATE_SETTLED => self.settle_orphaned(line),
+            event_code::HOLDINGS_NOTED => self.replace_holdings(line),
             _ => {}
         }
     }
@@ -106,7 +107,7 @@
             return;
         }
         let spent = self.accounts.entry(account.to_owned()).or_default();
-        if line.event == event::CALL_REFUSED {
+        if line.event == event_code::CALL_REFUSED {
             if line.field("shortage").is_some() {
                 spent.refused_calls += 1;
                 spent.bought = spent.bought.max(line.number("bought").unwrap_or(0));
@@ -116,9 +117,9 @@
         let used = line.number("used").unwrap_or(0);
         let is_broken_off = line.field("outcome") == Some("broken_off");
         match line.event {
-            event::CALL_ANSWERED => spent.answered += used,
-            event::CALL_FAILED if !is_broken_off => spent.failed += used,
-            event::CALLER_LEFT => spent.caller_left += used,
+            event_code::CALL_ANSWERED => spent.answered += used,
+            event_code::CALL_FAILED if !is_broken_off => spent.failed += used,
+            event_code::CALLER_LEFT => spent.caller_left += used,
             _ => spent.broken_off += used,
         }
         // Borrowed tokens are written to the ledger by the lender, not by the instance of the call.
@@ -128,24 +129,24 @@
     }
 
     fn end_incarnation(&mut self, instance: &str) {
-        let left = self.left_behind.entry(instance.to_owned()).or_default();
+        let orphaned = self.orphaned.entry(instance.to_owned()).or_default();
         for (account, used) in self.unwritten.remove(instance).unwrap_or_default() {
-            *left.entry(account).or_default() += used;
+            *orphaned.entry(account).or_default() += used;
         }
         for spent in self.accounts.values_mut() {
             spent.held.remove(instance);
         }
     }
 
-    fn settle(&mut self, line: &Line) {
+    fn settle_orphaned(&mut self, line: &Line) {
         let estate = line.field("estate").unwrap_or_default();
         let instance = estate.split('/').next().unwrap_or_default().to_owned();
-        let mut left = self.left_behind.remove(&instance).unwrap_or_default();
+        let mut orphaned = self.orphaned.remove(&instance).unwrap_or_default();
         for part in line.field("spent_of_granted").unwrap_or("").split(',') {
             let Some((account, written_off)) = parse_settled(part) else {
                 continue;
             };
-            let known = left.remove(account).unwrap_or(0).min(written_off);
+            let known = orphaned.remove(account).unwrap_or(0).min(written_off);
             let spent = self.accounts.entry(account.to_owned()).or_default();
             // The known part is already counted by how the calls ended.
             spent.written_off += written_off - known;
@@ -153,7 +154,7 @@
         }
     }
 
-    fn note_holdings(&mut self, line: &Line) {
+    fn replace_holdings(&mut self, line: &Line) {
         for spent in self.accounts.values_mut() {
             spent.held.remove(&line.instance);
         }
@@ -170,14 +171,15 @@
             spent.held.insert(line.instance.clone(), (reserved, free));
         }
         if let Some(at_ms) = line.at_ms() {
-            self.held_at_ms.insert(line.instance.clone(), at_ms);
+            self.holdings_logged_at_ms
+                .insert(line.instance.clone(), at_ms);
         }
     }
 
     /// Removes the holdings of instances that logged none for `HOLDINGS_AGE_MAX_MS` before the end
     /// of the logs.
-    fn drop_old_holdings(&mut self, end_ms: u64) {
-        for (instance, at_ms) in &self.held_at_ms {
+    fn drop_outdated_holdings(&mut self, end_ms: u64) {
+        for (instance, at_ms) in &self.holdings_logged_at_ms {
             if end_ms.saturating_sub(*at_ms) > HOLDINGS_AGE_MAX_MS {
                 for spent in self.accounts.values_mut() {
                     spent.held.remove(instance);
@@ -197,15 +199,15 @@
 /// Prints how the tokens of each account were used.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
-    let mut adder = Adder::default();
-    logs.lines.iter().for_each(|line| adder.add(line));
+    let mut counter = UseCounter::default();
+    logs.lines.iter().for_each(|line| counter.add(line));
     let end_ms = logs.lines.iter().filter_map(Line::at_ms).max().unwrap_or(0);
-    adder.drop_old_holdings(end_ms);
-    print(context, &adder.accounts)?;
+    counter.drop_outdated_holdings(end_ms);
+    print(context, &counter.accounts)?;
     logs.finish()
 }
 
-fn print(context: &Context, accounts: &BTreeMap<String, Spent>) -> Result<(), Failure> {
+fn print(context: &Context, accounts: &BTreeMap<String, TokenUse>) -> Result<(), Failure> {
     let mut table = Table::new(&[
         "account",
         "bought",
@@ -221,7 +223,7 @@
         "in_store_or_not_seen",
         "refused_calls",
     ]);
-    let mut shown = Vec::new();
+    let mut json_rows = Vec::new();
     for (account, spent) in accounts {
         table.row(&[
             account,
@@ -234,20 +236,21 @@
             &spent.written_off_known,
             &spent.reserved(),
             &spent.free(),
-            &spent.richest(),
-            &spent.not_seen(),
+            &spent.instance_with_most_free(),
+            &spent.unaccounted(),
             &spent.refused_calls,
         ]);
-        shown.push(serde_json::json!({
+        json_rows.push(serde_json::json!({
             "account": account, "bought_tokens": spent.bought,
             "answered_tokens": spent.answered, "failed_tokens": spent.failed,
             "broken_off_tokens": spent.broken_off, "caller_left_tokens": spent.caller_left,
             "written_off_tokens": spent.written_off + spent.written_off_known,
             "written_off_known_tokens": spent.written_off_known,
             "reserved_tokens": spent.reserved(), "free_tokens": spent.free(),
-            "most_free_at": spent.richest(), "not_seen_tokens": spent.not_seen(),
+            "most_free_at": spent.instance_with_most_free(),
+            "not_seen_tokens": spent.unaccounted(),
             "refused_calls": spent.refused_calls,
         }));
     }
-    context.print(&Value::Array(shown), &table)
+    context.print(&Value::Array(json_rows), &table)
 }
--- a/crates/damaskctl/src/explain/call.rs
+++ b/crates/damaskctl/src/explain/call.rs
@@ -10,9 +10,9 @@
 use crate::table::Table;
 
 /// Maximum number of other lines of the same instance shown before each line on the call.
-const BELIEFS_MAX: usize = 6;
+const CONTEXT_LINES_MAX: usize = 6;
 /// Codes of the events on single calls.
-const CALL_EVENTS: std::ops::Range<u64> = 100..200;
+const CALL_EVENT_CODES: std::ops::Range<u64> = 100..200;
 
 /// Prints the lines on a call, each after the last lines of its instance that are not on calls:
 /// they show the state that the instance acted on.
@@ -25,18 +25,18 @@
     let lines = &logs.lines;
     let wanted = format!("id={id}");
     let mut table = Table::new(&["time", "instance", "event", "fields"]);
-    let mut shown = Vec::new();
+    let mut json_rows = Vec::new();
     for (index, line) in lines.iter().enumerate() {
         if !line.fields.split(' ').any(|field| field == wanted) {
             continue;
         }
-        for belief in beliefs(&lines[..index], &line.instance) {
-            add(&mut table, &mut shown, belief);
+        for context_line in context_lines(&lines[..index], &line.instance) {
+            add(&mut table, &mut json_rows, context_line);
         }
-        add(&mut table, &mut shown, line);
+        add(&mut table, &mut json_rows, line);
     }
-    if !shown.is_empty() {
-        context.print(&Value::Array(shown), &table)?;
+    if !json_rows.is_empty() {
+        context.print(&Value::Array(json_rows), &table)?;
         return logs.finish();
     }
     logs.finish()?;
@@ -44,21 +44,21 @@
 }
 
 /// Returns the last lines of an instance that are not on single calls, in the order of time.
-fn beliefs<'a>(before: &'a [Line], instance: &str) -> Vec<&'a Line> {
+fn context_lines<'a>(before: &'a [Line], instance: &str) -> Vec<&'a Line> {
     let mut found: Vec<&Line> = before
         .iter()
         .rev()
-        .filter(|line| line.instance == instance && !CALL_EVENTS.contains(&line.event))
-        .take(BELIEFS_MAX)
+        .filter(|line| line.instance == instance && !CALL_EVENT_CODES.contains(&line.event))
+        .take(CONTEXT_LINES_MAX)
         .collect();
     found.reverse();
     found
 }
 
-fn add(table: &mut Table, shown: &mut Vec<Value>, line: &Line) {
+fn add(table: &mut Table, json_rows: &mut Vec<Value>, line: &Line) {
     let event = format!("{} {}", line.event, line.name);
     table.row(&[&line.ts, &line.instance, &event, &line.fields]);
-    shown.push(serde_json::json!({
+    json_rows.push(serde_json::json!({
         "ts": line.ts, "instance": line.instance, "event": line.event,
         "name": line.name, "fields": line.fields,
     }));
--- a/crates/damaskctl/src/explain/contents.rs
+++ b/crates/damaskctl/src/explain/contents.rs
@@ -22,13 +22,13 @@
 
 /// What the logs show of one content.
 #[derive(Debug, Clone, Default)]
-struct Seen {
+struct ContentSummary {
     account: String,
     /// Targets that crashed while they ran it.
-    ended: BTreeSet<String>,
+    ended_targets: BTreeSet<String>,
     /// Runs that broke although the target did not crash, or of which it is not known whether it
     /// did.
-    broken_else: u64,
+    other_broken_runs: u64,
     calls: BTreeSet<String>,
     instances: BTreeSet<String>,
     refused_calls: u64,
@@ -39,7 +39,7 @@
 /// Prints the contents that log lines name, those with the most crashed targets first.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
-    let mut contents: BTreeMap<String, Seen> = BTreeMap::new();
+    let mut contents: BTreeMap<String, ContentSummary> = BTreeMap::new();
     for line in &logs.lines {
         add(&mut contents, line);
     }
@@ -47,34 +47,36 @@
     logs.finish()
 }
 
-fn add(contents: &mut BTreeMap<String, Seen>, line: &Line) {
+fn add(contents: &mut BTreeMap<String, ContentSummary>, line: &Line) {
     let Some(content) = line.field("content") else {
         return;
     };
-    let seen = contents.entry(content.to_owned()).or_default();
+    let summary = contents.entry(content.to_owned()).or_default();
     if let Some(account) = line.field("account") {
-        account.clone_into(&mut seen.account);
+        account.clone_into(&mut summary.account);
     }
     match line.event {
         RUN_BROKEN => {
-            seen.calls.extend(line.field("id").map(str::to_owned));
-            seen.instances.insert(line.instance.clone());
+            summary.calls.extend(line.field("id").map(str::to_owned));
+            summary.instances.insert(line.instance.clone());
             if line.field("state") == Some("ended") {
-                seen.ended.extend(line.field("target").map(str::to_owned));
+                summary
+                    .ended_targets
+                    .extend(line.field("target").map(str::to_owned));
             } else {
-                seen.broken_else += 1;
+                summary.other_broken_runs += 1;
             }
         }
-        CONTENT_BARRED if seen.refused_since.is_empty() => {
-            seen.refused_since.clone_from(&line.ts);
+        CONTENT_BARRED if summary.refused_since.is_empty() => {
+            summary.refused_since.clone_from(&line.ts);
         }
-        CONTENT_RELEASED => seen.released_at.clone_from(&line.ts),
-        CALL_REFUSED => seen.refused_calls += 1,
+        CONTENT_RELEASED => summary.released_at.clone_from(&line.ts),
+        CALL_REFUSED => summary.refused_calls += 1,
         _ => {}
     }
 }
 
-fn print(context: &Context, contents: &BTreeMap<String, Seen>) -> Result<(), Failure> {
+fn print(context: &Context, contents: &BTreeMap<String, ContentSummary>) -> Result<(), Failure> {
     let mut table = Table::new(&[
         "content",
         "account",
@@ -87,26 +89,27 @@
         "released_at",
     ]);
     let mut ordered: Vec<_> = contents.iter().collect();
-    ordered.sort_by_key(|(_, seen)| std::cmp::Reverse(seen.ended.len()));
-    let mut shown = Vec::new();
-    for (content, seen) in ordered {
+    ordered.sort_by_key(|(_, summary)| std::cmp::Reverse(summary.ended_targets.len()));
+    let mut json_rows = Vec::new();
+    for (content, summary) in ordered {
         table.row(&[
             content,
-            &seen.account,
-            &seen.ended.len(),
-            &seen.broken_else,
-            &seen.calls.len(),
-            &seen.instances.len(),
-            &seen.refused_calls,
-            &seen.refused_since,
-            &seen.released_at,
+            &summary.account,
+            &summary.ended_targets.len(),
+            &summary.other_broken_runs,
+            &summary.calls.len(),
+            &summary.instances.len(),
+            &summary.refused_calls,
+            &summary.refused_since,
+            &summary.released_at,
         ]);
-        shown.push(serde_json::json!({
-            "content": content, "account": seen.account, "ended_targets": seen.ended.len(),
-            "broken_else": seen.broken_else, "calls": seen.calls.len(),
-            "instances": seen.instances.len(), "refused_calls": seen.refused_calls,
-            "refused_since": seen.refused_since, "released_at": seen.released_at,
+        json_rows.push(serde_json::json!({
+            "content": content, "account": summary.account,
+            "ended_targets": summary.ended_targets.len(),
+            "broken_else": summary.other_broken_runs, "calls": summary.calls.len(),
+            "instances": summary.instances.len(), "refused_calls": summary.refused_calls,
+            "refused_since": summary.refused_since, "released_at": summary.released_at,
         }));
     }
-    context.print(&Value::Array(shown), &table)
+    context.print(&Value::Array(json_rows), &table)
 }
--- a/crates/damaskctl/src/explain/counts.rs
+++ b/crates/damaskctl/src/explain/counts.rs
@@ -9,7 +9,7 @@
 const STARTED: u64 = 700;
 
 /// Counters of one incarnation by name, as it last logged them.
-type Counts = BTreeMap<String, u64>;
+type Counters = BTreeMap<String, u64>;
 
 /// Sum of one counter over all incarnations.
 #[derive(Debug, Clone, Default)]
@@ -17,38 +17,38 @@
     /// Sum over all incarnations.
     pub(super) total: u64,
     /// Number of incarnations that logged the counter.
-    pub(super) instances: u64,
+    pub(super) incarnations: u64,
     /// Greatest count of a single incarnation, and its instance.
-    pub(super) most: (u64, String),
+    pub(super) greatest: (u64, String),
 }
 
 /// Adds up the counters in the lines of an event; `prefix` is the start of their fields, such as
 /// `calls=`. Each line holds all counts since the start of its incarnation, so only the last line
 /// of each incarnation counts.
 pub(super) fn add_up(lines: &[Line], event: u64, prefix: &str) -> BTreeMap<String, Sum> {
-    let mut runs: Vec<(String, Counts)> = Vec::new();
-    let mut current: BTreeMap<String, Counts> = BTreeMap::new();
+    let mut incarnations: Vec<(String, Counters)> = Vec::new();
+    let mut running: BTreeMap<String, Counters> = BTreeMap::new();
     for line in lines {
         match line.event {
             STARTED => {
-                let ended = current.remove_entry(&line.instance);
-                runs.extend(ended);
+                let ended = running.remove_entry(&line.instance);
+                incarnations.extend(ended);
             }
             other if other == event => {
-                current.insert(line.instance.clone(), parse(line, prefix));
+                running.insert(line.instance.clone(), parse(line, prefix));
             }
             _ => {}
         }
     }
-    runs.extend(current);
+    incarnations.extend(running);
     let mut sums: BTreeMap<String, Sum> = BTreeMap::new();
-    for (instance, counts) in runs {
+    for (instance, counts) in incarnations {
         for (name, count) in counts {
             let sum = sums.entry(name).or_default();
             sum.total += count;
-            sum.instances += 1;
-            if count > sum.most.0 {
-                sum.most = (count, instance.clone());
+            sum.incarnations += 1;
+            if count > sum.greatest.0 {
+                sum.greatest = (count, instance.clone());
             }
         }
     }
@@ -57,7 +57,7 @@
 
 /// Parses fields such as `calls=list targets/answered:3,probe/lost:1`. Names may contain spaces, so
 /// [`Line::field`] cannot be used.
-fn parse(line: &Line, prefix: &str) -> Counts {
+fn parse(line: &Line, prefix: &str) -> Counters {
     let text = line.fields.strip_prefix(prefix).unwrap_or("");
     let parts = text.split(',').filter_map(|part| part.rsplit_once(':'));
     parts
--- a/crates/damaskctl/src/explain/latency.rs
+++ b/crates/damaskctl/src/explain/latency.rs
@@ -11,51 +11,51 @@
 use crate::table::Table;
 
 /// Range of the codes of all events that end a call. Calls without a first token, and other events
-/// in the range, are left out by [`Wait::try_new`] for lack of its fields.
-const ENDS: std::ops::RangeInclusive<u64> = 107..=112;
+/// in the range, are left out by [`CallTiming::try_new`] for lack of its fields.
+const CALL_END_CODES: std::ops::RangeInclusive<u64> = 107..=112;
 
 /// Timing of one call whose answer had a first token.
 #[derive(Debug, Clone)]
-struct Wait {
+struct CallTiming {
     route: String,
     target: String,
     /// When the call was sent to its target: the time of the line, minus the duration of the call,
     /// plus the time before the send.
     sent_at_ms: u64,
     /// Time from the send to the first token.
-    first_ms: u64,
+    first_token_ms: u64,
     /// Time to the first token that the choice of the target estimated.
     expected_ms: u64,
     /// Longest gap between two pieces of the answer.
     pause_ms: u64,
     /// Tokens of the prompt expected not to be in the target's cache, so that it has to prefill
     /// them.
-    read_tokens: u64,
+    prefill_tokens: u64,
     /// Estimated number of calls running at the target when this one was sent.
     running: u64,
 }
 
-impl Wait {
+impl CallTiming {
     fn try_new(line: &Line) -> Option<Self> {
         let took_ms = line.number("took_ms")?;
         let sent_ms = line.number("sent_ms")?;
-        let first_ms = line.number("first_byte_ms")?.checked_sub(sent_ms)?;
+        let first_token_ms = line.number("first_byte_ms")?.checked_sub(sent_ms)?;
         Some(Self {
             route: line.field("route")?.to_owned(),
             target: line.field("target")?.to_owned(),
             sent_at_ms: (line.at_ms()? + sent_ms).checked_sub(took_ms)?,
-            first_ms,
+            first_token_ms,
             expected_ms: line.number("cost_ms")?,
             pause_ms: line.number("pause_ms").unwrap_or(0),
-            read_tokens: line.number("uncached").unwrap_or(0),
+            prefill_tokens: line.number("uncached").unwrap_or(0),
             running: line.number("running").unwrap_or(0),
         })
     }
 
     /// Returns whether both calls waited for their first tokens at the same time.
     fn overlaps(&self, other: &Self) -> bool {
-        let end_ms = self.sent_at_ms + self.first_ms;
-        let other_end_ms = other.sent_at_ms + other.first_ms;
+        let end_ms = self.sent_at_ms + self.first_token_ms;
+        let other_end_ms = other.sent_at_ms + other.first_token_ms;
         self.sent_at_ms < other_end_ms && other.sent_at_ms < end_ms
     }
 }
@@ -63,12 +63,18 @@
 /// Prints one row for each route.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
-    let ends = logs.lines.iter().filter(|line| ENDS.contains(&line.event));
-    let waits: Vec<Wait> = ends.filter_map(Wait::try_new).collect();
-    let beside = read_beside(&waits);
-    let mut routes: BTreeMap<&str, Vec<(&Wait, u64)>> = BTreeMap::new();
-    for (wait, beside) in waits.iter().zip(&beside) {
-        routes.entry(&wait.route).or_default().push((wait, *beside));
+    let ends = logs
+        .lines
+        .iter()
+        .filter(|line| CALL_END_CODES.contains(&line.event));
+    let calls: Vec<CallTiming> = ends.filter_map(CallTiming::try_new).collect();
+    let overlapping = overlapping_prefill_tokens(&calls);
+    let mut routes: BTreeMap<&str, Vec<(&CallTiming, u64)>> = BTreeMap::new();
+    for (call, overlapping) in calls.iter().zip(&overlapping) {
+        routes
+            .entry(&call.route)
+            .or_default()
+            .push((call, *overlapping));
     }
     print(context, routes)?;
     logs.finish()
@@ -76,24 +82,24 @@
 
 /// Returns for each call the prompt tokens of all calls, of any instance, that waited for their
 /// first token at the same target at the same time.
-fn read_beside(waits: &[Wait]) -> Vec<u64> {
-    let mut targets: BTreeMap<&str, Vec<&Wait>> = BTreeMap::new();
-    for wait in waits {
-        targets.entry(&wait.target).or_default().push(wait);
+fn overlapping_prefill_tokens(calls: &[CallTiming]) -> Vec<u64> {
+    let mut targets: BTreeMap<&str, Vec<&CallTiming>> = BTreeMap::new();
+    for call in calls {
+        targets.entry(&call.target).or_default().push(call);
     }
-    for waits in targets.values_mut() {
-        waits.sort_by_key(|wait| wait.sent_at_ms);
+    for calls in targets.values_mut() {
+        calls.sort_by_key(|call| call.sent_at_ms);
     }
-    waits
+    calls
         .iter()
-        .map(|wait| {
-            let others = &targets[wait.target.as_str()];
-            let end_ms = wait.sent_at_ms + wait.first_ms;
+        .map(|call| {
+            let others = &targets[call.target.as_str()];
+            let end_ms = call.sent_at_ms + call.first_token_ms;
             let until = others.partition_point(|other| other.sent_at_ms < end_ms);
             others[..until]
                 .iter()
-                .filter(|other| !std::ptr::eq(**other, wait) && wait.overlaps(other))
-                .map(|other| other.read_tokens)
+                .filter(|other| !std::ptr::eq(**other, call) && call.overlaps(other))
+                .map(|other| other.prefill_tokens)
                 .sum()
         })
         .collect()
@@ -101,9 +107,9 @@
 
 /// Sorted numbers, for percentiles.
 #[derive(Debug)]
-struct Spread(Vec<u64>);
+struct Percentiles(Vec<u64>);
 
-impl Spread {
+impl Percentiles {
     fn new(mut numbers: Vec<u64>) -> Self {
         numbers.sort_unstable();
         Self(numbers)
@@ -121,7 +127,10 @@
     }
 }
 
-fn print(context: &Context, routes: BTreeMap<&str, Vec<(&Wait, u64)>>) -> Result<(), Failure> {
+fn print(
+    context: &Context,
+    routes: BTreeMap<&str, Vec<(&CallTiming, u64)>>,
+) -> Result<(), Failure> {
     let mut table = Table::new(&[
         "route",
         "calls",
@@ -132,33 +141,38 @@
         "read_beside_tokens_50/90/99",
         "the_same_of_the_slowest_tenth",
     ]);
-    let mut shown = Vec::new();
+    let mut json_rows = Vec::new();
     for (route, mut calls) in routes {
-        calls.sort_by_key(|(wait, _)| wait.first_ms);
+        calls.sort_by_key(|(call, _)| call.first_token_ms);
         let slowest = &calls[calls.len() - calls.len().div_ceil(10)..];
-        let spread = |of: &dyn Fn(&Wait) -> u64| {
-            Spread::new(calls.iter().map(|(wait, _)| of(wait)).collect())
+        let percentiles = |of: &dyn Fn(&CallTiming) -> u64| {
+            Percentiles::new(calls.iter().map(|(call, _)| of(call)).collect())
+        };
+        let overlapping = |calls: &[(&CallTiming, u64)]| {
+            Percentiles::new(calls.iter().map(|(_, overlapping)| *overlapping).collect())
         };
-        let beside =
-            |calls: &[(&Wait, u64)]| Spread::new(calls.iter().map(|(_, beside)| *beside).collect());
         let columns = [
-            ("first_token_ms", spread(&|wait| wait.first_ms)),
-            ("expected_ms", spread(&|wait| wait.expected_ms)),
-            ("pause_ms", spread(&|wait| wait.pause_ms)),
-            ("running", spread(&|wait| wait.running)),
-            ("read_beside_tokens", beside(&calls)),
-            ("read_beside_slowest_tokens", beside(slowest)),
+            ("first_token_ms", percentiles(&|call| call.first_token_ms)),
+            ("expected_ms", percentiles(&|call| call.expected_ms)),
+            ("pause_ms", percentiles(&|call| call.pause_ms)),
+            ("running", percentiles(&|call| call.running)),
+            ("read_beside_tokens", overlapping(&calls)),
+            ("read_beside_slowest_tokens", overlapping(slowest)),
         ];
-        let texts: Vec<String> = columns.iter().map(|(_, spread)| spread.text()).collect();
+        let texts: Vec<String> = columns
+            .iter()
+            .map(|(_, percentiles)| percentiles.text())
+            .collect();
         let number = calls.len();
         let mut cells: Vec<&dyn std::fmt::Display> = vec![&route, &number];
         cells.extend(texts.iter().map(|text| text as &dyn std::fmt::Display));
         table.row(&cells);
         let mut row = serde_json::json!({ "route": route, "calls": number });
-        for (name, spread) in &columns {
-            row[*name] = serde_json::json!([spread.at(50), spread.at(90), spread.at(99)]);
+        for (name, percentiles) in &columns {
+            row[*name] =
+                serde_json::json!([percentiles.at(50), percentiles.at(90), percentiles.at(99)]);
         }
-        shown.push(row);
+        json_rows.push(row);
     }
-    context.print(&Value::Array(shown), &table)
+    context.print(&Value::Array(json_rows), &table)
 }
--- a/crates/damaskctl/src/explain/lenders.rs
+++ b/crates/damaskctl/src/explain/lenders.rs
@@ -11,54 +11,57 @@
 use crate::table::Table;
 
 /// Codes of the events that end a call.
-const CALLS: [u64; 5] = [107, 108, 109, 110, 112];
+const CALL_END_CODES: [u64; 5] = [107, 108, 109, 110, 112];
 
 /// What one instance lent of one account.
 #[derive(Debug, Clone, Default)]
-struct Lent {
+struct LenderSummary {
     calls: u64,
     used_tokens: u64,
     borrowers: BTreeSet<String>,
     /// Calls that asked this instance last and were refused for lack of tokens.
-    in_vain: u64,
+    refused_calls: u64,
     first: String,
     last: String,
 }
 
 /// Loans by account and lender.
-type ByLender = BTreeMap<(String, String), Lent>;
+type LenderSummaries = BTreeMap<(String, String), LenderSummary>;
 
 /// Prints which instances lent the tokens of each account.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
-    let mut lenders = ByLender::new();
-    let calls = logs.lines.iter().filter(|line| CALLS.contains(&line.event));
+    let mut lenders = LenderSummaries::new();
+    let calls = logs
+        .lines
+        .iter()
+        .filter(|line| CALL_END_CODES.contains(&line.event));
     calls.for_each(|line| add(&mut lenders, line));
     print(context, &lenders)?;
     logs.finish()
 }
 
-fn add(lenders: &mut ByLender, line: &Line) {
+fn add(lenders: &mut LenderSummaries, line: &Line) {
     let (Some(account), Some(asked)) = (line.field("account"), line.field("asked")) else {
         return;
     };
     let lent_by = line.field("lent_by");
     let key = (account.to_owned(), lent_by.unwrap_or(asked).to_owned());
-    let lent = lenders.entry(key).or_default();
+    let summary = lenders.entry(key).or_default();
     if lent_by.is_some() {
-        lent.calls += 1;
-        lent.used_tokens += line.number("used").unwrap_or(0);
-        lent.borrowers.insert(line.instance.clone());
+        summary.calls += 1;
+        summary.used_tokens += line.number("used").unwrap_or(0);
+        summary.borrowers.insert(line.instance.clone());
     } else if line.field("shortage").is_some() {
-        lent.in_vain += 1;
+        summary.refused_calls += 1;
     }
-    if lent.first.is_empty() {
-        lent.first.clone_from(&line.ts);
+    if summary.first.is_empty() {
+        summary.first.clone_from(&line.ts);
     }
-    lent.last.clone_from(&line.ts);
+    summary.last.clone_from(&line.ts);
 }
 
-fn print(context: &Context, lenders: &ByLender) -> Result<(), Failure> {
+fn print(context: &Context, lenders: &LenderSummaries) -> Result<(), Failure> {
     let mut table = Table::new(&[
         "account",
         "lender",
@@ -69,23 +72,23 @@
         "first",
         "last",
     ]);
-    let mut shown = Vec::new();
-    for ((account, lender), lent) in lenders {
+    let mut json_rows = Vec::new();
+    for ((account, lender), summary) in lenders {
         table.row(&[
             account,
             lender,
-            &lent.calls,
-            &lent.used_tokens,
-            &lent.borrowers.len(),
-            &lent.in_vain,
-            &lent.first,
-            &lent.last,
+            &summary.calls,
+            &summary.used_tokens,
+            &summary.borrowers.len(),
+            &summary.refused_calls,
+            &summary.first,
+            &summary.last,
         ]);
-        shown.push(serde_json::json!({
-            "account": account, "lender": lender, "calls": lent.calls,
-            "used_tokens": lent.used_tokens, "borrowers": lent.borrowers.len(),
-            "asked_in_vain": lent.in_vain, "first": lent.first, "last": lent.last,
+        json_rows.push(serde_json::json!({
+            "account": account, "lender": lender, "calls": summary.calls,
+            "used_tokens": summary.used_tokens, "borrowers": summary.borrowers.len(),
+            "asked_in_vain": summary.refused_calls, "first": summary.first, "last": summary.last,
         }));
     }
-    context.print(&Value::Array(shown), &table)
+    context.print(&Value::Array(json_rows), &table)
 }
--- a/crates/damaskctl/src/explain/load.rs
+++ b/crates/damaskctl/src/explain/load.rs
@@ -32,7 +32,7 @@
 }
 
 impl Load {
-    fn take_readiness(&mut self, line: &Line) {
+    fn add_readiness(&mut self, line: &Line) {
         let at_ms = line.at_ms().unwrap_or_default();
         if line.field("now") == Some("overloaded") {
             self.overloads += 1;
@@ -42,28 +42,28 @@
         }
     }
 
-    fn take_load(&mut self, line: &Line) {
+    fn add_load(&mut self, line: &Line) {
         let late_ms = line.number("late_ms").unwrap_or_default();
         self.late_ms_max = self.late_ms_max.max(late_ms);
-        for (what, ms) in pairs(line.field("longest_ms")) {
+        for (what, ms) in parse_pairs(line.field("longest_ms")) {
             if what == "connect" {
                 self.connect_ms_max = self.connect_ms_max.max(ms);
             }
         }
-        for (duty, ms) in pairs(line.field("busy_ms")) {
-            *self.busy_ms.entry(duty.to_owned()).or_default() += ms;
+        for (task, ms) in parse_pairs(line.field("busy_ms")) {
+            *self.busy_ms.entry(task.to_owned()).or_default() += ms;
         }
     }
 
     /// Returns the kind of work that took the most time, with that time, or `-` if none is known.
     fn busiest(&self) -> (&str, u64) {
         let most = self.busy_ms.iter().max_by_key(|(_, ms)| **ms);
-        most.map_or(("-", 0), |(duty, ms)| (duty, *ms))
+        most.map_or(("-", 0), |(task, ms)| (task, *ms))
     }
 }
 
 /// Parses a field such as `connect:410,body:12` into names and numbers. Other parts are skipped.
-fn pairs(field: Option<&str>) -> impl Iterator<Item = (&str, u64)> {
+fn parse_pairs(field: Option<&str>) -> impl Iterator<Item = (&str, u64)> {
     let parts = field.unwrap_or_default().split(',');
     parts.filter_map(|part| {
         let (name, number) = part.split_once(':')?;
@@ -80,11 +80,8 @@
     for line in &logs.lines {
         last_ms = line.at_ms().unwrap_or(last_ms);
         match line.event {
-            READINESS_CHANGED => loads
-                .entry(&line.instance)
-                .or_default()
-                .take_readiness(line),
-            INSTANCE_LOADED => loads.entry(&line.instance).or_default().take_load(line),
+            READINESS_CHANGED => loads.entry(&line.instance).or_default().add_readiness(line),
+            INSTANCE_LOADED => loads.entry(&line.instance).or_default().add_load(line),
             _ => {}
         }
     }
@@ -105,7 +102,7 @@
         "busiest",
         "busiest_ms",
     ]);
-    let mut shown = Vec::new();
+    let mut json_rows = Vec::new();
     for (instance, load) in &loads {
         let (busiest, busiest_ms) = load.busiest();
         table.row(&[
@@ -117,12 +114,12 @@
             &busiest,
             &busiest_ms,
         ]);
-        shown.push(serde_json::json!({
+        json_rows.push(serde_json::json!({
             "instance": instance, "overloads": load.overloads,
             "overloaded_ms": load.overloaded_ms, "late_ms_max": load.late_ms_max,
             "connect_ms_max": load.connect_ms_max, "busiest": busiest, "busiest_ms": busiest_ms,
         }));
     }
-    context.print(&Value::Array(shown), &table)?;
+    context.print(&Value::Array(json_rows), &table)?;
     logs.finish()
 }
--- a/crates/damaskctl/src/explain/places.rs
+++ b/crates/damaskctl/src/explain/places.rs
@@ -24,7 +24,7 @@
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     let mut table = Table::new(&["ts", "instance", "what", "name", "from"]);
-    let mut shown = Vec::new();
+    let mut json_rows = Vec::new();
     for line in &logs.lines {
         let (what, field) = match line.event {
             TARGET_COLD => ("cold", "target"),
@@ -37,10 +37,10 @@
         let name = line.field(field).unwrap_or("-");
         let source = line.field("source").unwrap_or("store");
         table.row(&[&line.ts, &line.instance, &what, &name, &source]);
-        shown.push(serde_json::json!({
+        json_rows.push(serde_json::json!({
             "ts": line.ts, "instance": line.instance, "what": what, "name": name, "from": source,
         }));
     }
-    context.print(&Value::Array(shown), &table)?;
+    context.print(&Value::Array(json_rows), &table)?;
     logs.finish()
 }
--- a/crates/damaskctl/src/explain/store.rs
+++ b/crates/damaskctl/src/explain/store.rs
@@ -23,22 +23,22 @@
 
 fn print(context: &Context, calls: &BTreeMap<String, Sum>) -> Result<(), Failure> {
     let mut table = Table::new(&["call", "outcome", "calls", "instances", "most", "most_at"]);
-    let mut shown = Vec::new();
+    let mut json_rows = Vec::new();
     for (name, calls) in calls {
         let (call, outcome) = name.rsplit_once('/').unwrap_or((name, "-"));
-        let (most, most_at) = &calls.most;
+        let (most, most_at) = &calls.greatest;
         table.row(&[
             &call,
             &outcome,
             &calls.total,
-            &calls.instances,
+            &calls.incarnations,
             most,
             most_at,
         ]);
-        shown.push(serde_json::json!({
+        json_rows.push(serde_json::json!({
             "call": call, "outcome": outcome, "calls": calls.total,
-            "instances": calls.instances, "most": most, "most_at": most_at,
+            "instances": calls.incarnations, "most": most, "most_at": most_at,
         }));
     }
-    context.print(&Value::Array(shown), &table)
+    context.print(&Value::Array(json_rows), &table)
 }
--- a/crates/damaskctl/src/explain/traffic.rs
+++ b/crates/damaskctl/src/explain/traffic.rs
@@ -18,15 +18,15 @@
     let logs = Logs::read(paths);
     let sums = add_up(&logs.lines, PEER_BYTES_NOTED, "bytes=");
     let mut table = Table::new(&["duty", "bytes", "instances", "most", "most_at"]);
-    let mut shown = Vec::new();
+    let mut json_rows = Vec::new();
     for (duty, sum) in &sums {
-        let (most, most_at) = &sum.most;
-        table.row(&[duty, &sum.total, &sum.instances, most, most_at]);
-        shown.push(serde_json::json!({
-            "duty": duty, "bytes": sum.total, "instances": sum.instances,
+        let (most, most_at) = &sum.greatest;
+        table.row(&[duty, &sum.total, &sum.incarnations, most, most_at]);
+        json_rows.push(serde_json::json!({
+            "duty": duty, "bytes": sum.total, "instances": sum.incarnations,
             "most": most, "most_at": most_at,
         }));
     }
-    context.print(&Value::Array(shown), &table)?;
+    context.print(&Value::Array(json_rows), &table)?;
     logs.finish()
 }
--- a/crates/damaskctl/src/settings.rs
+++ b/crates/damaskctl/src/settings.rs
@@ -108,7 +108,7 @@
 ///
 /// Returns [`Failure::Conflict`] with what changed since, if the latest version is not the expected
 /// one.
-async fn base(context: &Context, expected: Option<Version>) -> Result<tree::Tree, Failure> {
+async fn read_base(context: &Context, expected: Option<Version>) -> Result<tree::Tree, Failure> {
     let tree = tree::read(context).await?;
     match expected {
         Some(expected) if expected != tree.version => {
@@ -133,7 +133,7 @@
             "found `{assignment}`, expected PATH=VALUE"
         )));
     };
-    let base = base(context, expected).await?;
+    let base = read_base(context, expected).await?;
     let mut document: toml::Table = base
         .stored
         .text
@@ -181,7 +181,7 @@
 ) -> Result<(), Failure> {
     let text = std::fs::read_to_string(file)
         .map_err(|error| Failure::Refused(format!("{}: {error}", file.display())))?;
-    let base = base(context, expected).await?;
+    let base = read_base(context, expected).await?;
     let note = format!("apply {}", file.display());
     let written = tree::write(context, &base, text, &note).await;
     written
--- a/crates/damaskctl/src/targets.rs
+++ b/crates/damaskctl/src/targets.rs
@@ -38,9 +38,9 @@
         TargetCommand::Drain { name } => order(context, &name, "drain", "").await,
         TargetCommand::Order {
             name,
-            order: what,
+            order: order_name,
             argument,
-        } => order(context, &name, &what, &argument).await,
+        } => order(context, &name, &order_name, &argument).await,
     }
 }
 
@@ -49,12 +49,13 @@
     let mut table = Table::new(&["target", "service", "address", "listed", "own_word", "load"]);
     let mut values = Vec::new();
     for info in targets {
-        let own = get_json(&info.address, "/status", &[]).await.ok();
-        let status: Option<TargetStatus> = own.and_then(|value| serde_json::from_value(value).ok());
-        let listed = leaving_word(info.is_leaving);
-        let own_word = status
+        let answer = get_json(&info.address, "/status", &[]).await.ok();
+        let status: Option<TargetStatus> =
+            answer.and_then(|value| serde_json::from_value(value).ok());
+        let listed = state_name(info.is_leaving);
+        let reported = status
             .as_ref()
-            .map_or("no answer", |status| leaving_word(status.is_leaving));
+            .map_or("no answer", |status| state_name(status.is_leaving));
         let load = status.as_ref().map_or(String::new(), |status| {
             format!("{}/{}", status.in_flight_requests, status.slots_requests)
         });
@@ -63,7 +64,7 @@
             &info.service,
             &info.address,
             &listed,
-            &own_word,
+            &reported,
             &load,
         ]);
         values.push(json!({"target": info, "status": status}));
@@ -71,7 +72,7 @@
     context.print(&values, &table)
 }
 
-fn leaving_word(is_leaving: bool) -> &'static str {
+fn state_name(is_leaving: bool) -> &'static str {
     if is_leaving { "leaving" } else { "live" }
 }
 
@@ -81,17 +82,22 @@
 /// If two operators race, only one of them can store an order; the other gets
 /// [`Failure::Conflict`]. A target that checks fencing numbers also refuses an order that was
 /// stored earlier and arrives later.
-async fn order(context: &Context, name: &str, what: &str, argument: &str) -> Result<(), Failure> {
+async fn order(
+    context: &Context,
+    name: &str,
+    order_name: &str,
+    argument: &str,
+) -> Result<(), Failure> {
     let targets = context.platform.targets().await?;
     let info = targets
         .into_iter()
         .find(|info| info.target == name)
         .ok_or_else(|| Failure::NotFound(format!("target {name}")))?;
     let key = format!("orders/{name}");
-    let standing = context.platform.read(&key).await?;
-    let version = standing.as_ref().map_or(0, |object| object.version);
+    let current = context.platform.read(&key).await?;
+    let version = current.as_ref().map_or(0, |object| object.version);
     let value = json!({
-        "order": what,
+        "order": order_name,
         "argument": argument,
         "author": context.author,
         "at_unix_ms": Context::unix_ms(),
@@ -102,7 +108,7 @@
         .await?
     {
         StoreAnswer::Written { version } => {
-            let sent = json!({"fencing": version, "order": what, "argument": argument});
+            let sent = json!({"fencing": version, "order": order_name, "argument": argument});
             put_json(&info.address, "/orders", &sent).await?;
             println!("order {version} done");
             Ok(())
--- a/crates/damaskctl/src/tree.rs
+++ b/crates/damaskctl/src/tree.rs
@@ -88,12 +88,12 @@
         Ok(_) => Err(Failure::NoAnswer(
             "unexpected answer of the store to the write of the settings".to_owned(),
         )),
-        Err(error) => resolve_lost(context, &stored, &error).await,
+        Err(error) => resolve_lost_answer(context, &stored, &error).await,
     }
 }
 
 /// Determines whether a change took effect after the answer to its write was lost.
-async fn resolve_lost(
+async fn resolve_lost_answer(
     context: &Context,
     stored: &StoredSettings,
     error: &damaskstile_http::Error,
@@ -135,15 +135,15 @@
 pub fn diff(old: &str, new: &str) -> Vec<String> {
     let flat_old = flatten(old);
     let flat_new = flatten(new);
-    let gone = flat_old
+    let removed = flat_old
         .iter()
         .filter(|line| !flat_new.contains(line))
         .map(|line| format!("- {line}"));
-    let come = flat_new
+    let added = flat_new
         .iter()
         .filter(|line| !flat_old.contains(line))
         .map(|line| format!("+ {line}"));
-    gone.chain(come).collect()
+    removed.chain(added).collect()
 }
 
 /// Returns each value of a TOML text as a line with its full path, so that lines can be compared.
--- a/crates/damaskctl/tests/explain.rs
+++ b/crates/damaskctl/tests/explain.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_line_on_a_call_comes_with_what_its_instance_had_learnt() {
+fn each_line_of_a_call_follows_context_lines_of_its_instance() {
     // Act
     let (code, text) = explain("c1");
 
@@ -44,12 +44,12 @@
         "CatalogueApplied",
         "CallAnswered",
     ];
-    let places: Vec<_> = order.iter().map(|name| text.find(name).unwrap()).collect();
-    assert!(places.is_sorted(), "{text}");
+    let positions: Vec<_> = order.iter().map(|name| text.find(name).unwrap()).collect();
+    assert!(positions.is_sorted(), "{text}");
     assert!(!text.contains("c10"), "{text}");
 }
 
 #[test]
-fn a_call_that_no_log_names_is_not_found() {
+fn a_call_id_in_no_log_exits_with_not_found() {
     assert_eq!(explain("none").0, Some(5));
 }
--- a/crates/damaskctl/tests/explain_tables.rs
+++ b/crates/damaskctl/tests/explain_tables.rs
@@ -27,7 +27,12 @@
 
 /// Runs `explain TABLE` on files with the given contents and on further paths; returns the exit
 /// code, the rows and the error output.
-fn explain(name: &str, table: &str, logs: &[&str], more: &[&str]) -> (Option<i32>, Value, String) {
+fn explain(
+    name: &str,
+    table: &str,
+    logs: &[&str],
+    further_paths: &[&str],
+) -> (Option<i32>, Value, String) {
     let dir = std::env::temp_dir().join(format!("damaskctl-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_damaskctl"));
@@ -37,7 +42,7 @@
         std::fs::write(&path, text).unwrap();
         command.arg(path);
     }
-    command.args(more.iter().map(PathBuf::from));
+    command.args(further_paths.iter().map(PathBuf::from));
     let output = command.output().unwrap();
     std::fs::remove_dir_all(&dir).unwrap();
     let rows = serde_json::from_slice(&output.stdout).unwrap_or(Value::Null);
@@ -46,7 +51,7 @@
 }
 
 #[test]
-fn tokens_are_told_apart_by_how_their_calls_ended() {
+fn tokens_are_counted_by_how_their_calls_ended() {
     // Act
     let (code, rows, errors) = explain("ends", "budgets", &LOGS, &[]);
 
@@ -63,7 +68,7 @@
 }
 
 #[test]
-fn what_an_ended_incarnation_had_used_after_its_last_round_is_known() {
+fn use_after_the_last_round_of_an_ended_incarnation_is_known() {
     // Act
     let (_, rows, _) = explain("estates", "budgets", &LOGS, &[]);
 
@@ -76,7 +81,7 @@
 }
 
 #[test]
-fn only_instances_that_live_hold_tokens() {
+fn only_live_instances_hold_tokens() {
     // Act
     let (_, rows, _) = explain("held", "budgets", &LOGS, &[]);
 
@@ -89,7 +94,7 @@
 }
 
 #[test]
-fn what_a_target_read_meanwhile_is_found_in_the_logs_of_other_instances() {
+fn overlapping_prefill_is_found_in_the_logs_of_other_instances() {
     // Act
     let (code, rows, _) = explain("beside", "latency", &LOGS, &[]);
 
@@ -106,7 +111,7 @@
 }
 
 #[test]
-fn bad_lines_are_named_and_the_rest_is_still_read() {
+fn unreadable_lines_are_reported_and_the_rest_is_still_read() {
     // Arrange
     let truncated = format!("{}{{\"msg\":\"CallAnswered\",\"ev\n", LOGS[0]);
     let foreign = "{\"level\":\"info\",\"message\":\"hello\"}\n{no json}\n";
@@ -142,7 +147,7 @@
 }
 
 #[test]
-fn the_faults_of_one_file_are_counted_beyond_the_first() {
+fn unreadable_lines_beyond_the_maximum_are_only_counted() {
     // Arrange
     let foreign = "{no json}\n".repeat(1_000);
 
@@ -170,7 +175,7 @@
 ];
 
 #[test]
-fn who_lent_an_accounts_tokens_and_who_was_asked_in_vain_is_told() {
+fn lenders_and_instances_asked_in_vain_are_listed_by_account() {
     // Act
     let (code, rows, errors) = explain("lenders", "lenders", &LENDING, &[]);
 
@@ -189,7 +194,7 @@
 }
 
 #[test]
-fn what_a_call_borrowed_counts_with_its_lender() {
+fn borrowed_tokens_count_as_used_by_the_lender() {
     // Act
     let (_, rows, _) = explain("borrowed", "budgets", &LENDING, &[]);
 
@@ -200,7 +205,7 @@
 
 /// Log lines of two instances on a content under which two targets crashed, and on another content
 /// that ran on one of them at the same time.
-const ENDS: [&str; 2] = [
+const CRASHES: [&str; 2] = [
     r#"{"msg":"RunBroken","level":"WARN","ts":"2026-01-01T00:00:01.000Z","instance":"a","fields":"account=one content=beef id=c1 ran_ms=60 state=ended target=t1","event":605}
 {"msg":"RunBroken","level":"WARN","ts":"2026-01-01T00:00:01.001Z","instance":"a","fields":"account=two content=cafe id=c2 ran_ms=900 state=ended target=t1","event":605}
 {"msg":"RunBroken","level":"WARN","ts":"2026-01-01T00:00:01.500Z","instance":"a","fields":"account=two content=cafe id=c3 ran_ms=10 state=lives target=t4","event":605}
@@ -212,9 +217,9 @@
 ];
 
 #[test]
-fn ends_of_targets_are_added_up_by_what_was_asked_for() {
+fn crashed_targets_are_counted_by_request_content() {
     // Act
-    let (code, rows, errors) = explain("contents", "contents", &ENDS, &[]);
+    let (code, rows, errors) = explain("contents", "contents", &CRASHES, &[]);
 
     // Assert: the content with the most crashed targets comes first.
     assert_eq!((code, errors.as_str()), (Some(0), ""));
@@ -240,7 +245,7 @@
 }
 
 #[test]
-fn calls_to_the_store_are_added_up_over_all_runs_of_all_instances() {
+fn store_calls_are_summed_over_all_incarnations_of_all_instances() {
     // Act
     let (code, rows, _) = explain("store", "store", &LENDING, &[]);
 
@@ -258,7 +263,7 @@
 }
 
 /// Log lines of an instance that was overloaded twice, and of one that never was.
-const LOADED: [&str; 2] = [
+const OVERLOADS: [&str; 2] = [
     r#"{"msg":"ReadinessChanged","level":"INFO","ts":"2026-01-01T00:00:01.000Z","instance":"a","fields":"before=ready now=overloaded","event":704}
 {"msg":"InstanceLoaded","level":"WARN","ts":"2026-01-01T00:00:02.000Z","instance":"a","fields":"busy_ms=callers:600,hear:30 calls=90 longest_ms=body:12,connect:410 late_ms=40 span_ms=1000 waits_ms=in:0,out:250,processor:0","event":705}
 {"msg":"InstanceLoaded","level":"WARN","ts":"2026-01-01T00:00:03.000Z","instance":"a","fields":"busy_ms=callers:300,hear:40 calls=50 longest_ms=connect:90 late_ms=3 span_ms=1000 waits_ms=in:0,out:0,processor:0","event":705}
@@ -271,9 +276,9 @@
 ];
 
 #[test]
-fn instances_that_got_too_much_are_told_with_what_they_were_busy_with() {
+fn overloaded_instances_are_listed_with_their_busiest_task() {
     // Act
-    let (code, rows, errors) = explain("load", "load", &LOADED, &[]);
+    let (code, rows, errors) = explain("load", "load", &OVERLOADS, &[]);
 
     // Assert: the second overload lasts until the end of the logs.
     assert_eq!((code, errors.as_str()), (Some(0), ""));
