--- a/crates/damaskctl/src/explain/load.rs
+++ b/crates/damaskctl/src/explain/load.rs
@@ -25,9 +25,9 @@
     overloaded_ms: u64,
     /// Longest scheduling delay of the event loop.
     late_ms_max: u64,
-    /// Longest time that a connect took.
+    /// Longest time to establish a connection to a target.
     connect_ms_max: u64,
-    /// Time spent by background task and other kinds of work.
+    /// Time spent on each background task and on other kinds of work.
     busy_ms: BTreeMap<String, u64>,
 }
 
