--- a/crates/damaskctl/src/exit.rs
+++ b/crates/damaskctl/src/exit.rs
@@ -13,7 +13,8 @@
     NoAnswer(String),
     /// The named object does not exist.
     NotFound(String),
-    /// A comparison found differences, or stored data is inconsistent.
+    /// A comparison found differences, stored data is inconsistent, or a replayed trace did not meet
+    /// its expectations.
     Different(String),
 }
 
--- a/crates/damaskctl/src/main.rs
+++ b/crates/damaskctl/src/main.rs
@@ -25,9 +25,9 @@
 
 /// Manages a damaskstile fleet.
 ///
-/// Exit codes: 0 success, 1 input refused, 2 wrong usage, 3 conflict with another operator's
-/// change, 4 no usable answer from the platform, an instance or a target, 5 not found, 6
-/// differences or inconsistent data found.
+/// Exit codes: 0 success, 1 input refused, 2 wrong usage, 3 conflict with another operator's change,
+/// 4 no usable answer from the platform, an instance or a target, 5 not found, 6 differences or
+/// inconsistent data found, or expectations of a trace not met.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Args {
