--- a/crates/damaskctl/src/explain/load.rs
+++ b/crates/damaskctl/src/explain/load.rs
@@ -1,4 +1,5 @@
-//! `load` tells which instances got more than they bear, for how long, and what they were busy with.
+//! Table of the instances that were overloaded or lagging: for how long, and what they spent their
+//! time on.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,24 +11,28 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Number of the event of a readiness that changed.
+/// Code of the event of a change of readiness.
 const READINESS_CHANGED: u64 = 704;
-/// Number of the event that tells what a loaded instance was busy with.
+/// Code of the event with which an overloaded or lagging instance logs what it spent its time on.
 const INSTANCE_LOADED: u64 = 705;
 
-/// What the lines of one instance tell.
+/// What the logs show of the load of one instance.
 #[derive(Debug, Default)]
 struct Load {
     overloads: u64,
+    /// Start of the current overload, if any.
     overloaded_since_ms: Option<u64>,
     overloaded_ms: u64,
+    /// Longest scheduling delay of the event loop.
     late_ms_max: u64,
+    /// Longest time to establish a connection to a target.
     connect_ms_max: u64,
+    /// Time spent on each background task and on other kinds of work.
     busy_ms: BTreeMap<String, u64>,
 }
 
 impl Load {
-    fn take_readiness(&mut self, line: &Line) {
+    fn add_readiness(&mut self, line: &Line) {
         let at_ms = line.at_ms().unwrap_or_default();
         if line.field("now") == Some("overloaded") {
             self.overloads += 1;
@@ -37,28 +42,28 @@
         }
     }
 
-    fn take_load(&mut self, line: &Line) {
+    fn add_load(&mut self, line: &Line) {
         let late_ms = line.number("late_ms").unwrap_or_default();
         self.late_ms_max = self.late_ms_max.max(late_ms);
-        for (what, ms) in pairs(line.field("longest_ms")) {
+        for (what, ms) in parse_pairs(line.field("longest_ms")) {
             if what == "connect" {
                 self.connect_ms_max = self.connect_ms_max.max(ms);
             }
         }
-        for (duty, ms) in pairs(line.field("busy_ms")) {
-            *self.busy_ms.entry(duty.to_owned()).or_default() += ms;
+        for (task, ms) in parse_pairs(line.field("busy_ms")) {
+            *self.busy_ms.entry(task.to_owned()).or_default() += ms;
         }
     }
 
-    /// Returns the duty that took most of the time that the lines tell of.
+    /// Returns the kind of work that took the most time, with that time, or `-` if none is known.
     fn busiest(&self) -> (&str, u64) {
         let most = self.busy_ms.iter().max_by_key(|(_, ms)| **ms);
-        most.map_or(("-", 0), |(duty, ms)| (duty, *ms))
+        most.map_or(("-", 0), |(task, ms)| (task, *ms))
     }
 }
 
-/// Returns the parts of a field as `name:number`.
-fn pairs(field: Option<&str>) -> impl Iterator<Item = (&str, u64)> {
+/// Parses a field such as `connect:410,body:12` into names and numbers. Other parts are skipped.
+fn parse_pairs(field: Option<&str>) -> impl Iterator<Item = (&str, u64)> {
     let parts = field.unwrap_or_default().split(',');
     parts.filter_map(|part| {
         let (name, number) = part.split_once(':')?;
@@ -66,7 +71,8 @@
     })
 }
 
-/// Prints the instances that were overloaded or late, the longest overloaded first.
+/// Prints the instances that were overloaded or lagging, the longest overloaded first. An instance
+/// that is still overloaded at the end of the logs counts as overloaded until then.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     let mut loads: BTreeMap<&str, Load> = BTreeMap::new();
@@ -74,11 +80,8 @@
     for line in &logs.lines {
         last_ms = line.at_ms().unwrap_or(last_ms);
         match line.event {
-            READINESS_CHANGED => loads
-                .entry(&line.instance)
-                .or_default()
-                .take_readiness(line),
-            INSTANCE_LOADED => loads.entry(&line.instance).or_default().take_load(line),
+            READINESS_CHANGED => loads.entry(&line.instance).or_default().add_readiness(line),
+            INSTANCE_LOADED => loads.entry(&line.instance).or_default().add_load(line),
             _ => {}
         }
     }
@@ -99,7 +102,7 @@
         "busiest",
         "busiest_ms",
     ]);
-    let mut shown = Vec::new();
+    let mut json_rows = Vec::new();
     for (instance, load) in &loads {
         let (busiest, busiest_ms) = load.busiest();
         table.row(&[
@@ -111,12 +114,12 @@
             &busiest,
             &busiest_ms,
         ]);
-        shown.push(serde_json::json!({
+        json_rows.push(serde_json::json!({
             "instance": instance, "overloads": load.overloads,
             "overloaded_ms": load.overloaded_ms, "late_ms_max": load.late_ms_max,
             "connect_ms_max": load.connect_ms_max, "busiest": busiest, "busiest_ms": busiest_ms,
         }));
     }
-    context.print(&Value::Array(shown), &table)?;
+    context.print(&Value::Array(json_rows), &table)?;
     logs.finish()
 }
--- a/crates/damaskctl/tests/explain.rs
+++ b/crates/damaskctl/tests/explain.rs
@@ -1,8 +1,8 @@
-//! From a call's id to its cause, over the logs of several instances.
+//! `explain ID` on the logs of several instances.
 
 use std::process::Command;
 
-/// Lines as two instances write them, the first with what a collector puts before them.
+/// Log lines of two instances; those of the first have the prefix of a log collector.
 const LOGS: [&str; 2] = [
     r#"7.1 host {"msg":"StoreLost","level":"WARN","ts":"2026-01-01T00:00:01Z","instance":"a","fields":"cause=silence","event":506}
 7.2 host {"msg":"CallRefused","level":"INFO","ts":"2026-01-01T00:00:02Z","instance":"a","fields":"id=c1 shortage=elsewhere status=503","event":108}
@@ -14,6 +14,7 @@
 "#,
 ];
 
+/// Runs `explain ID` on the logs and returns its exit code and output.
 fn explain(id: &str) -> (Option<i32>, String) {
     let dir = std::env::temp_dir().join(format!("damaskctl-explain-{id}"));
     std::fs::create_dir_all(&dir).unwrap();
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn each_line_on_a_call_comes_with_what_its_instance_had_learnt() {
+fn each_line_of_a_call_follows_context_lines_of_its_instance() {
     // Act
     let (code, text) = explain("c1");
 
@@ -43,12 +44,12 @@
         "CatalogueApplied",
         "CallAnswered",
     ];
-    let places: Vec<_> = order.iter().map(|name| text.find(name).unwrap()).collect();
-    assert!(places.is_sorted(), "{text}");
+    let positions: Vec<_> = order.iter().map(|name| text.find(name).unwrap()).collect();
+    assert!(positions.is_sorted(), "{text}");
     assert!(!text.contains("c10"), "{text}");
 }
 
 #[test]
-fn a_call_that_no_log_names_is_not_found() {
+fn a_call_id_in_no_log_exits_with_not_found() {
     assert_eq!(explain("none").0, Some(5));
 }
--- a/crates/damaskctl/tests/explain_tables.rs
+++ b/crates/damaskctl/tests/explain_tables.rs
@@ -1,11 +1,11 @@
-//! Where budgets and time went, over recorded lines of instances.
+//! Tables of `explain` on recorded log lines of instances.
 
 use std::path::PathBuf;
 use std::process::Command;
 
 use serde_json::Value;
 
-/// Lines of two instances; the second ends without a word and starts anew.
+/// Log lines of two instances; the second ends without a log line and is restarted.
 const LOGS: [&str; 2] = [
     r#"{"msg":"RoundWritten","level":"INFO","ts":"2026-01-01T00:00:01.000Z","instance":"a","fields":"on=1 round=1","event":211}
 0.5 host {"msg":"CallAnswered","level":"INFO","ts":"2026-01-01T00:00:02.000Z","instance":"a","fields":"account=office ahead=0 cost_ms=20 events=10 first_byte_ms=300 id=c1 outcome=answered pause_ms=90 reserved=1200 route=chat running=2 sent_ms=0 target=t1 took_ms=1000 uncached=900 used=1050","event":107}
@@ -25,8 +25,14 @@
 "#,
 ];
 
-/// Runs a table over files with the given contents, and over one more path.
-fn explain(name: &str, table: &str, logs: &[&str], more: &[&str]) -> (Option<i32>, Value, String) {
+/// Runs `explain TABLE` on files with the given contents and on further paths; returns the exit
+/// code, the rows and the error output.
+fn explain(
+    name: &str,
+    table: &str,
+    logs: &[&str],
+    further_paths: &[&str],
+) -> (Option<i32>, Value, String) {
     let dir = std::env::temp_dir().join(format!("damaskctl-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_damaskctl"));
@@ -36,7 +42,7 @@
         std::fs::write(&path, text).unwrap();
         command.arg(path);
     }
-    command.args(more.iter().map(PathBuf::from));
+    command.args(further_paths.iter().map(PathBuf::from));
     let output = command.output().unwrap();
     std::fs::remove_dir_all(&dir).unwrap();
     let rows = serde_json::from_slice(&output.stdout).unwrap_or(Value::Null);
@@ -45,7 +51,7 @@
 }
 
 #[test]
-fn tokens_are_told_apart_by_how_their_calls_ended() {
+fn tokens_are_counted_by_how_their_calls_ended() {
     // Act
     let (code, rows, errors) = explain("ends", "budgets", &LOGS, &[]);
 
@@ -62,11 +68,12 @@
 }
 
 #[test]
-fn what_an_ended_incarnation_had_used_after_its_last_round_is_known() {
+fn use_after_the_last_round_of_an_ended_incarnation_is_known() {
     // Act
     let (_, rows, _) = explain("estates", "budgets", &LOGS, &[]);
 
-    // Assert: 400 of the 2,000 are in the line of a call that ended after the round.
+    // Assert: 400 of the 2,000 written-off tokens are in the line of a call that ended after the
+    // last ledger write.
     assert_eq!(rows[0]["written_off_tokens"], 2_000);
     assert_eq!(rows[0]["written_off_known_tokens"], 400);
     assert_eq!(rows[1]["account"], "other");
@@ -74,11 +81,11 @@
 }
 
 #[test]
-fn only_instances_that_live_hold_tokens() {
+fn only_live_instances_hold_tokens() {
     // Act
     let (_, rows, _) = explain("held", "budgets", &LOGS, &[]);
 
-    // Assert: what the second instance held was settled.
+    // Assert: the holdings of the second instance were settled, so only the first holds tokens.
     assert_eq!(rows[0]["reserved_tokens"], 300);
     assert_eq!(rows[0]["free_tokens"], 4_000);
     assert_eq!(rows[0]["most_free_at"], "a");
@@ -87,7 +94,7 @@
 }
 
 #[test]
-fn what_a_target_read_meanwhile_is_found_in_the_logs_of_other_instances() {
+fn overlapping_prefill_is_found_in_the_logs_of_other_instances() {
     // Act
     let (code, rows, _) = explain("beside", "latency", &LOGS, &[]);
 
@@ -104,7 +111,7 @@
 }
 
 #[test]
-fn bad_lines_are_named_and_the_rest_is_still_read() {
+fn unreadable_lines_are_reported_and_the_rest_is_still_read() {
     // Arrange
     let truncated = format!("{}{{\"msg\":\"CallAnswered\",\"ev\n", LOGS[0]);
     let foreign = "{\"level\":\"info\",\"message\":\"hello\"}\n{no json}\n";
@@ -120,16 +127,19 @@
     // Assert
     assert_eq!(code, Some(1));
     assert_eq!(rows[0]["answered_tokens"], 1_050 + 300 + 400);
-    assert!(errors.contains("0.log:9: a truncated line"), "{errors}");
+    assert!(errors.contains("0.log:9: truncated line"), "{errors}");
     assert!(
-        errors.contains("1.log:1: no line of an instance"),
+        errors.contains("1.log:1: not a log line of an instance"),
         "{errors}"
     );
     assert!(
-        errors.contains("1.log:2: no line of an instance"),
+        errors.contains("1.log:2: not a log line of an instance"),
+        "{errors}"
+    );
+    assert!(
+        errors.contains("1.log: no log lines of an instance"),
         "{errors}"
     );
-    assert!(errors.contains("1.log: no line of an instance"), "{errors}");
     assert!(
         errors.contains("/nowhere/at/all.log: No such file"),
         "{errors}"
@@ -137,7 +147,7 @@
 }
 
 #[test]
-fn the_faults_of_one_file_are_counted_beyond_the_first() {
+fn unreadable_lines_beyond_the_maximum_are_only_counted() {
     // Arrange
     let foreign = "{no json}\n".repeat(1_000);
 
@@ -146,11 +156,11 @@
 
     // Assert
     assert_eq!(code, Some(1));
-    assert!(errors.contains("995 more such lines"), "{errors}");
+    assert!(errors.contains("995 more unreadable lines"), "{errors}");
     assert!(errors.lines().count() < 10, "{errors}");
 }
 
-/// Lines of an instance that borrows, and of its lender, which starts anew.
+/// Log lines of an instance that borrows, and of its lender, which is restarted.
 const LENDING: [&str; 2] = [
     r#"{"msg":"CallAnswered","level":"INFO","ts":"2026-01-01T00:00:02.000Z","instance":"a","fields":"account=office asked=b events=2 id=c1 lent_by=b outcome=answered reserved=700 used=600","event":107}
 {"msg":"CallRefused","level":"INFO","ts":"2026-01-01T00:00:03.000Z","instance":"a","fields":"account=office asked=b asked=c id=c2 needed=900 outcome=budget_unreachable shortage=in_store","event":108}
@@ -165,7 +175,7 @@
 ];
 
 #[test]
-fn who_lent_an_accounts_tokens_and_who_was_asked_in_vain_is_told() {
+fn lenders_and_instances_asked_in_vain_are_listed_by_account() {
     // Act
     let (code, rows, errors) = explain("lenders", "lenders", &LENDING, &[]);
 
@@ -184,16 +194,18 @@
 }
 
 #[test]
-fn what_a_call_borrowed_counts_with_its_lender() {
+fn borrowed_tokens_count_as_used_by_the_lender() {
     // Act
     let (_, rows, _) = explain("borrowed", "budgets", &LENDING, &[]);
 
-    // Assert: the lender's successor wrote off what the call is known to have used.
+    // Assert: the lender's next incarnation wrote off 2,000 tokens, of which the call is known to
+    // have used 600.
     assert_eq!(rows[0]["written_off_known_tokens"], 600);
 }
 
-/// Lines of two instances on a content that ended two targets and on one that ran beside it.
-const ENDS: [&str; 2] = [
+/// Log lines of two instances on a content under which two targets crashed, and on another content
+/// that ran on one of them at the same time.
+const CRASHES: [&str; 2] = [
     r#"{"msg":"RunBroken","level":"WARN","ts":"2026-01-01T00:00:01.000Z","instance":"a","fields":"account=one content=beef id=c1 ran_ms=60 state=ended target=t1","event":605}
 {"msg":"RunBroken","level":"WARN","ts":"2026-01-01T00:00:01.001Z","instance":"a","fields":"account=two content=cafe id=c2 ran_ms=900 state=ended target=t1","event":605}
 {"msg":"RunBroken","level":"WARN","ts":"2026-01-01T00:00:01.500Z","instance":"a","fields":"account=two content=cafe id=c3 ran_ms=10 state=lives target=t4","event":605}
@@ -205,11 +217,11 @@
 ];
 
 #[test]
-fn ends_of_targets_are_added_up_by_what_was_asked_for() {
+fn crashed_targets_are_counted_by_request_content() {
     // Act
-    let (code, rows, errors) = explain("contents", "contents", &ENDS, &[]);
+    let (code, rows, errors) = explain("contents", "contents", &CRASHES, &[]);
 
-    // Assert: the one with most ends comes first.
+    // Assert: the content with the most crashed targets comes first.
     assert_eq!((code, errors.as_str()), (Some(0), ""));
     let of = |index: usize, name: &str| rows[index][name].clone();
     assert_eq!(
@@ -233,11 +245,11 @@
 }
 
 #[test]
-fn calls_to_the_store_are_added_up_over_all_runs_of_all_instances() {
+fn store_calls_are_summed_over_all_incarnations_of_all_instances() {
     // Act
     let (code, rows, _) = explain("store", "store", &LENDING, &[]);
 
-    // Assert: of each run the last line counts.
+    // Assert: only the last line of each incarnation counts.
     assert_eq!(code, Some(0));
     assert_eq!(rows[0]["call"], "list targets");
     assert_eq!(
@@ -250,8 +262,8 @@
     );
 }
 
-/// Lines of an instance that was overloaded twice, and of one that never was.
-const LOADED: [&str; 2] = [
+/// Log lines of an instance that was overloaded twice, and of one that never was.
+const OVERLOADS: [&str; 2] = [
     r#"{"msg":"ReadinessChanged","level":"INFO","ts":"2026-01-01T00:00:01.000Z","instance":"a","fields":"before=ready now=overloaded","event":704}
 {"msg":"InstanceLoaded","level":"WARN","ts":"2026-01-01T00:00:02.000Z","instance":"a","fields":"busy_ms=callers:600,hear:30 calls=90 longest_ms=body:12,connect:410 late_ms=40 span_ms=1000 waits_ms=in:0,out:250,processor:0","event":705}
 {"msg":"InstanceLoaded","level":"WARN","ts":"2026-01-01T00:00:03.000Z","instance":"a","fields":"busy_ms=callers:300,hear:40 calls=50 longest_ms=connect:90 late_ms=3 span_ms=1000 waits_ms=in:0,out:0,processor:0","event":705}
@@ -264,11 +276,11 @@
 ];
 
 #[test]
-fn instances_that_got_too_much_are_told_with_what_they_were_busy_with() {
+fn overloaded_instances_are_listed_with_their_busiest_task() {
     // Act
-    let (code, rows, errors) = explain("load", "load", &LOADED, &[]);
+    let (code, rows, errors) = explain("load", "load", &OVERLOADS, &[]);
 
-    // Assert: one that is overloaded still counts until the logs end.
+    // Assert: the second overload lasts until the end of the logs.
     assert_eq!((code, errors.as_str()), (Some(0), ""));
     assert_eq!(rows.as_array().map(Vec::len), Some(1));
     let row = &rows[0];
