--- a/crates/damaskstile/src/instance.rs
+++ b/crates/damaskstile/src/instance.rs
@@ -1,19 +1,19 @@
-//! `instance` composes the duties of one instance behind a single entry.
+//! State machine of one router instance: requests, budgets, targets, membership and settings.
 
 mod admit;
+mod budgets;
 mod claims;
 mod dispatch;
 mod explain;
 mod finish;
 mod fleet;
-mod gifts;
-mod money;
+mod orphan;
 mod record;
 mod request;
 mod run;
 mod stop;
-mod stray;
 mod timers;
+mod transfers;
 
 use damaskstile_budgets::{BudgetOptions, Holder, PolicyKind, RecordKeeper};
 use damaskstile_core::peer::{MemberState, RunRecord};
@@ -24,17 +24,17 @@
 
 use crate::options::InstanceOptions;
 use explain::PendingExplain;
-use gifts::PendingGive;
+use orphan::OrphanedRun;
 use request::Request;
-use stray::Stray;
 use timers::Timer;
+use transfers::PendingTransfer;
 
-/// Outputs of one step, in their order.
+/// Effects of one event, in the order in which the host executes them.
 pub type Effects = Vec<Effect>;
 
-/// `Call` remembers what a store call was for.
+/// Purpose of a store call, which decides what receives its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Call {
+enum StorePurpose {
     Ledger(BudgetId),
     Page(BudgetId),
     Claims(AccountId, u64),
@@ -42,10 +42,11 @@
     Explain(u64),
 }
 
-/// `Instance` holds all decisions of one instance.
+/// Decision logic of one router instance.
 ///
-/// `handle` is its only way in and effects are its only way out. It has no clock, no socket and
-/// no hidden randomness: the same events at the same times give the same effects.
+/// All input goes through [`handle`](Self::handle) and all output is effects. It has no clock, no
+/// sockets and no randomness besides its seed: the same options and the same events at the same
+/// times give the same effects.
 #[derive(Debug)]
 pub struct Instance {
     options: InstanceOptions,
@@ -62,20 +63,20 @@
     claims: BTreeMap<(AccountId, u64), ClaimShard>,
     retries: RetryBudget,
     requests: BTreeMap<u64, Request>,
-    by_name: BTreeMap<(AccountId, RequestKey), u64>,
+    by_key: BTreeMap<(AccountId, RequestKey), u64>,
     by_run: BTreeMap<RunId, u64>,
-    by_caller: BTreeMap<RequestHandle, u64>,
+    by_call: BTreeMap<RequestHandle, u64>,
     open_of_account: BTreeMap<AccountId, u64>,
-    /// Numbers of runs that are not accounted for in the store yet.
+    /// Numbers of this instance's runs that are not yet accounted for in the store.
     unsettled: BTreeSet<u64>,
-    /// Records of own runs that are not accounted for in the store yet.
+    /// Records of this instance's runs that are not yet accounted for in the store.
     records: BTreeMap<RunId, RunRecord>,
-    /// Witnesses that have those records.
-    record_keepers: BTreeMap<InstanceId, Incarnation>,
-    strays: BTreeMap<RunId, Stray>,
-    gives: BTreeMap<GrantId, PendingGive>,
-    explains: BTreeMap<u64, PendingExplain>,
-    calls: BTreeMap<CallId, Call>,
+    /// Witnesses that have been sent those records.
+    record_witnesses: BTreeMap<InstanceId, Incarnation>,
+    orphans: BTreeMap<RunId, OrphanedRun>,
+    pending_transfers: BTreeMap<GrantId, PendingTransfer>,
+    pending_explains: BTreeMap<u64, PendingExplain>,
+    store_calls: BTreeMap<CallId, StorePurpose>,
     timers: BTreeSet<(Duration, Timer)>,
     next_number: u64,
     replay_bytes: usize,
@@ -85,7 +86,9 @@
 }
 
 impl Instance {
-    /// Makes an instance that knows nothing but its options.
+    /// Creates an instance that has no settings, peers or tokens yet; the first event starts it.
+    ///
+    /// Times are durations since the Unix epoch.
     #[must_use]
     pub fn new(options: InstanceOptions, now: Duration) -> Self {
         let identity = &options.identity;
@@ -122,17 +125,17 @@
             claims: BTreeMap::new(),
             retries,
             requests: BTreeMap::new(),
-            by_name: BTreeMap::new(),
+            by_key: BTreeMap::new(),
             by_run: BTreeMap::new(),
-            by_caller: BTreeMap::new(),
+            by_call: BTreeMap::new(),
             open_of_account: BTreeMap::new(),
             unsettled: BTreeSet::new(),
             records: BTreeMap::new(),
-            record_keepers: BTreeMap::new(),
-            strays: BTreeMap::new(),
-            gives: BTreeMap::new(),
-            explains: BTreeMap::new(),
-            calls: BTreeMap::new(),
+            record_witnesses: BTreeMap::new(),
+            orphans: BTreeMap::new(),
+            pending_transfers: BTreeMap::new(),
+            pending_explains: BTreeMap::new(),
+            store_calls: BTreeMap::new(),
             timers: BTreeSet::new(),
             next_number: 0,
             replay_bytes: 0,
@@ -142,9 +145,9 @@
         }
     }
 
-    /// Takes in one event and says what to do about it.
+    /// Handles one event and appends the resulting effects.
     ///
-    /// Time never goes back: an earlier `now` counts as the latest one.
+    /// Time never goes backwards: a `now` before the latest one counts as the latest one.
     pub fn handle(&mut self, now: Duration, event: Event, effects: &mut Effects) {
         self.advance(now);
         self.start(effects);
@@ -175,7 +178,8 @@
         self.check_stopped(effects);
     }
 
-    /// Returns the time at which the host should deliver a `Tick` at the latest.
+    /// Returns the time by which the host should deliver the next event, a `Tick` if there is no
+    /// other.
     #[must_use]
     pub fn next_wake(&self) -> Duration {
         let round_at = self.membership.next_round_at();
@@ -184,37 +188,37 @@
             .map_or(round_at, |(at, _)| round_at.min(*at))
     }
 
-    /// Tells whether the balancer should send new work here.
+    /// Returns whether the load balancer should send new requests to this instance.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.stop_at.is_none() && !self.settings.is_empty()
     }
 
-    /// Returns the settings in force here.
+    /// Returns the settings in force at this instance.
     #[must_use]
     pub fn settings(&self) -> &SettingsInForce {
         &self.settings
     }
 
-    /// Returns what this instance knows of the others.
+    /// Returns the membership view of this instance.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Returns the tokens of a budget that could be reserved here at once.
+    /// Returns the number of a budget's tokens that this instance can reserve at once.
     #[must_use]
     pub fn free_tokens(&self, budget: &str) -> u64 {
         self.holders.get(budget).map_or(0, Holder::free_tokens)
     }
 
-    /// Returns the tokens of a budget that are reserved for runs of this instance.
+    /// Returns the number of a budget's tokens that are reserved for runs of this instance.
     #[must_use]
     pub fn reserved_tokens(&self, budget: &str) -> u64 {
         self.holders.get(budget).map_or(0, Holder::reserved_tokens)
     }
 
-    /// Returns the number of requests without a final word.
+    /// Returns the number of requests without an outcome.
     #[must_use]
     pub fn open_requests(&self) -> usize {
         self.requests
@@ -235,8 +239,9 @@
         }
         let gap = now.saturating_sub(self.now);
         self.now = now;
-        // A process that was paused has not listened; that says nothing of its peers. Without
-        // this it would close the grants of all of them when it wakes.
+        // A gap of more than two gossip intervals means that this process was paused. It received
+        // nothing in that time, so the gap must not count as silence of its peers: otherwise it
+        // would seal the grants of all of them on waking.
         let is_pause = self.is_started && gap > self.options.membership.interval * 2;
         if is_pause {
             self.membership.forgive(gap);
@@ -256,7 +261,7 @@
         self.membership.hear(self.now, &gossip);
         self.members_changed(effects);
         self.read_settings(effects);
-        self.ask_peers_for_settings(effects);
+        self.request_settings_from_peers(effects);
     }
 
     fn next_number(&mut self) -> u64 {
@@ -270,32 +275,34 @@
         self.options.identity.unique("run", number)
     }
 
-    fn call_store(&mut self, call: Call, request: StoreCall, effects: &mut Effects) {
+    fn call_store(&mut self, purpose: StorePurpose, request: StoreCall, effects: &mut Effects) {
         let id = self.next_number();
-        self.calls.insert(id, call);
-        self.set_timer(self.options.store_patience, Timer::Call(id));
+        self.store_calls.insert(id, purpose);
+        self.set_timer(self.options.store_timeout, Timer::StoreTimeout(id));
         effects.push(Effect::Store { call: id, request });
     }
 
     fn on_store(&mut self, id: CallId, answer: StoreAnswer, effects: &mut Effects) {
-        // An answer that comes late or twice was given up or taken before.
-        let Some(call) = self.calls.remove(&id) else {
+        // Answers after the time-out and repeated answers are ignored.
+        let Some(purpose) = self.store_calls.remove(&id) else {
             return;
         };
-        match call {
-            Call::Ledger(budget) => self.with_holder(&budget, effects, |holder, now, fx| {
-                holder.on_store(now, answer, fx);
-            }),
-            Call::Page(budget) => self.with_holder(&budget, effects, |holder, now, _| {
+        match purpose {
+            StorePurpose::Ledger(budget) => {
+                self.with_holder(&budget, effects, |holder, now, fx| {
+                    holder.on_store(now, answer, fx);
+                });
+            }
+            StorePurpose::Page(budget) => self.with_holder(&budget, effects, |holder, now, _| {
                 holder.on_page_stored(now, &answer);
             }),
-            Call::Claims(account, shard) => {
-                self.with_claims(&account, shard, effects, |claims, now, fx| {
+            StorePurpose::Claims(account, table) => {
+                self.with_claims(&account, table, effects, |claims, now, fx| {
                     claims.on_store(now, answer, fx);
                 });
             }
-            Call::Settings => self.on_settings_read(answer, effects),
-            Call::Explain(number) => self.on_explain_read(number, answer, effects),
+            StorePurpose::Settings => self.on_settings_read(answer, effects),
+            StorePurpose::Explain(number) => self.on_explain_read(number, answer, effects),
         }
     }
 
