--- a/crates/damaskstile-http/tests/kept.rs
+++ b/crates/damaskstile-http/tests/kept.rs
@@ -1,4 +1,4 @@
-//! Calls over kept connections.
+//! Tests of calls over reused connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time that a call may take here.
+/// Time limit of a call in these tests.
 const LIMIT: Duration = Duration::from_millis(500);
-/// Connections that the server lets fall silent after their first call.
-const SILENT: usize = 3;
+/// Number of connections on which the server answers only the first call.
+const DEAD_CONNECTIONS: usize = 3;
 
-/// Serves HTTP; the first connections answer one call and nothing after it.
+/// Starts an HTTP server whose first `DEAD_CONNECTIONS` connections answer one call and nothing after it.
 async fn server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -23,20 +23,20 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let number = opened.fetch_add(1, Ordering::Relaxed);
-            tokio::spawn(answer(stream, number < SILENT));
+            tokio::spawn(answer(stream, number < DEAD_CONNECTIONS));
         }
     });
     address
 }
 
-async fn answer(mut stream: TcpStream, is_once: bool) {
+async fn answer(mut stream: TcpStream, answers_once: bool) {
     let mut buffer = [0; 1024];
     let mut answered = 0;
     while let Ok(1..) = stream.read(&mut buffer).await {
-        if is_once && answered > 0 {
+        if answers_once && answered > 0 {
             continue;
         }
-        // The calls overlap, so that each opens a connection of its own.
+        // Delays the response, so that concurrent calls overlap and each opens a new connection.
         tokio::time::sleep(Duration::from_millis(50)).await;
         let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
         stream.write_all(answer).await.unwrap();
@@ -45,16 +45,16 @@
 }
 
 #[tokio::test]
-async fn a_call_without_an_answer_leaves_no_idle_connection_of_its_time() {
-    // Symptom: after an outage several calls in a row get no answer, although new connections work.
-    // Sequence: some connections are kept; all fall silent at once, without a reset. Cause: only
-    // the connection of the call that failed was given up, and the next call took the next one.
+async fn a_call_that_times_out_closes_all_idle_connections() {
+    // Guards against several calls in a row timing out after an outage, although new connections
+    // work. All idle connections go dead at once, without a reset; if only the connection of the
+    // failed call is closed, the next call uses another dead one.
 
     // Arrange
     let address = server().await;
     let client = KeptClient::new(&address.to_string());
     let call = Call::new("store", Method::GET, "/a");
-    let first = (0..SILENT).map(|_| client.call(&call, LIMIT));
+    let first = (0..DEAD_CONNECTIONS).map(|_| client.call(&call, LIMIT));
     for reply in futures_util::future::join_all(first).await {
         reply.unwrap();
     }
@@ -68,7 +68,7 @@
     assert_eq!(next.unwrap().text(), "ok");
 }
 
-/// Serves one call whose answer trickles in, longer in all than a call may take until it begins.
+/// Starts a server that answers one call byte by byte, with the given pause before each byte.
 async fn slow_server(pieces: usize, pause: Duration) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -80,7 +80,7 @@
         stream.write_all(head.as_bytes()).await.unwrap();
         for _ in 0..pieces {
             tokio::time::sleep(pause).await;
-            // A caller that gave up is what some of the tests are about.
+            // In some tests the client gives up and closes the connection.
             if stream.write_all(b"x").await.is_err() {
                 return;
             }
@@ -91,11 +91,11 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_comes_slowly_is_waited_for_and_not_asked_for_again() {
-    // Symptom: after all instances were killed none of hundreds ever reads the ledger again.
-    // Sequence: all read one large object at once, and the store's link needs 1.4 s for all; each
-    // throws away what it has after 1.2 s and begins anew, which keeps the link as full. Cause: the
-    // limit was for the whole answer, however well it came along.
+async fn a_slow_response_that_makes_progress_is_read_to_its_end() {
+    // Guards against a livelock after all instances were killed: hundreds read the ledger at once,
+    // the store's link needs 1.4 s to serve all, and each reader discards its partial response
+    // after 1.2 s and starts again, which keeps the link saturated. It came about when the limit
+    // was for the whole response, whatever its progress.
 
     // Arrange
     let address = slow_server(12, LIMIT / 8).await;
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_stops_coming_is_given_up() {
+async fn a_response_that_stalls_times_out() {
     // Arrange
     let address = slow_server(2, Duration::from_secs(30)).await;
     let client = KeptClient::new(&address.to_string());
--- a/crates/damaskstiled/src/peers.rs
+++ b/crates/damaskstiled/src/peers.rs
@@ -1,4 +1,4 @@
-//! `peers` is the thread that talks to peers: frames of protocol buffers over TCP.
+//! The peers thread: exchanges length-delimited protobuf frames with peers over TCP.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,53 +15,57 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 use crate::config::Config;
-use crate::duty;
-use crate::front::Front;
+use crate::shared::SharedState;
+use crate::threads;
 use damaskstile_gateway::logs;
 
-/// Messages that may wait for the thread.
-const PEERS_RING: usize = 4096;
-/// Messages that may wait for one peer.
-const PEER_RING: usize = 512;
-/// Time in which a connection must be made.
+/// Capacity of the queue to the peers thread.
+const PEERS_QUEUE_SIZE: usize = 4096;
+/// Capacity of the queue to one peer's connection.
+const PEER_QUEUE_SIZE: usize = 512;
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time without a message after which a connection is given up.
-const IDLE_LIMIT: Duration = Duration::from_mins(1);
+/// Time without a message to send after which a connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// `ToPeers` is one message with the address that it goes to.
+/// A message to a peer, with its destination.
 #[derive(Debug)]
 pub struct ToPeers {
-    /// Address as IP and port.
+    /// Address of the peer, as IP and port.
     pub address: String,
-    /// The message.
+    /// Message to send.
     pub message: PeerMessage,
 }
 
-/// Starts the thread.
+/// Starts the thread and returns the queue to it.
+///
+/// # Errors
+///
+/// Returns an error if the address cannot be bound or the thread cannot be started.
 pub fn start(
     config: &Config,
     own: Identity,
-    front: Arc<Front>,
+    shared: Arc<SharedState>,
     log: &Logger,
 ) -> anyhow::Result<Sender<ToPeers>> {
     let listener = std::net::TcpListener::bind(config.peers_address)?;
     listener.set_nonblocking(true)?;
-    let (sender, receiver) = mpsc::channel(PEERS_RING);
+    let (sender, receiver) = mpsc::channel(PEERS_QUEUE_SIZE);
     let log = log.clone();
-    duty::start_async("peers", async move {
+    threads::spawn_async("peers", async move {
         if let Ok(listener) = TcpListener::from_std(listener) {
-            tokio::spawn(accept(listener, front, log));
+            tokio::spawn(accept(listener, shared, log));
         }
         distribute(own, receiver).await;
     })?;
     Ok(sender)
 }
 
-async fn accept(listener: TcpListener, front: Arc<Front>, log: Logger) {
+async fn accept(listener: TcpListener, shared: Arc<SharedState>, log: Logger) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(read_frames(stream, Arc::clone(&front), log.clone()));
+                tokio::spawn(read_frames(stream, Arc::clone(&shared), log.clone()));
             }
             Err(error) => {
                 let error = error.to_string();
@@ -81,7 +85,7 @@
         .new_codec()
 }
 
-async fn read_frames(stream: TcpStream, front: Arc<Front>, log: Logger) {
+async fn read_frames(stream: TcpStream, shared: Arc<SharedState>, log: Logger) {
     let mut frames = Framed::new(stream, codec());
     while let Some(frame) = frames.next().await {
         let decoded = match &frame {
@@ -95,10 +99,10 @@
                     incarnation,
                     message,
                 };
-                front.submit(event).await;
+                shared.submit(event).await;
             }
             Err(error) => {
-                // The rest of the stream cannot be trusted; the peer connects anew.
+                // Frame boundaries are lost, so the connection is closed; the peer reconnects.
                 logs::write(
                     &log,
                     &LogEvent::new(EventCode::PeerFrameInvalid, &[("error", &error)]),
@@ -114,18 +118,20 @@
     while let Some(ToPeers { address, message }) = messages.recv().await {
         let is_open = peers.get(&address).is_some_and(|peer| !peer.is_closed());
         if !is_open {
-            let (sender, receiver) = mpsc::channel(PEER_RING);
+            let (sender, receiver) = mpsc::channel(PEER_QUEUE_SIZE);
             tokio::spawn(write_frames(own.clone(), address.clone(), receiver));
             peers.insert(address.clone(), sender);
         }
         if let Some(peer) = peers.get(&address) {
-            // A peer that does not read loses messages; it must not hold up the others.
+            // If the queue is full, the message is dropped: a slow peer must not delay the others.
             let _ = peer.try_send(message);
         }
     }
 }
 
-/// Writes messages to one peer until the connection fails; the next message makes a new one.
+/// Writes messages to one peer until the connection fails or is idle.
+///
+/// The next message to this peer opens a new connection.
 async fn write_frames(own: Identity, address: String, mut messages: Receiver<PeerMessage>) {
     let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address));
     let Ok(Ok(stream)) = connecting.await else {
@@ -133,7 +139,7 @@
     };
     let _ = stream.set_nodelay(true);
     let mut frames = Framed::new(stream, codec());
-    while let Ok(Some(message)) = tokio::time::timeout(IDLE_LIMIT, messages.recv()).await {
+    while let Ok(Some(message)) = tokio::time::timeout(IDLE_TIMEOUT, messages.recv()).await {
         let bytes = encode_frame(&own.instance, own.incarnation, message);
         if frames.send(Bytes::from(bytes)).await.is_err() {
             return;
--- a/crates/damaskstiled/src/problem.rs
+++ b/crates/damaskstiled/src/problem.rs
@@ -1,4 +1,4 @@
-//! `problem` makes the answers for requests that were not answered.
+//! Builds responses; those of failed requests are problem details (`application/problem+json`).
 
 use damaskstile::core::codes::RefusalCode;
 use damaskstile::core::outcome::Outcome;
@@ -6,10 +6,10 @@
 use http::{Response, StatusCode};
 use serde_json::{Value, json};
 
-/// `Answer` is what handlers give to the server.
-pub type Answer = Result<Response<Body>, HttpError>;
+/// Result of an HTTP handler.
+pub type HandlerResult = Result<Response<Body>, HttpError>;
 
-/// Returns the status for a code.
+/// Returns the HTTP status of a refusal code.
 pub fn status(code: RefusalCode) -> StatusCode {
     match code {
         RefusalCode::UnknownAccount => StatusCode::UNAUTHORIZED,
@@ -36,20 +36,20 @@
     }
 }
 
-/// `Problem` is the form of an answer that is none.
+/// Response to a request that failed or was refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Body.
+    /// JSON body.
     pub body: Value,
-    /// Seconds after which coming back may help.
+    /// Value of the `retry-after` header, in seconds.
     pub retry_after_s: Option<u64>,
 }
 
 impl Problem {
-    /// Makes the problem of an outcome; none for an answered request.
-    pub fn of(outcome: &Outcome, key: &str) -> Option<Self> {
+    /// Converts an outcome; returns `None` if the request was answered.
+    pub fn from_outcome(outcome: &Outcome, key: &str) -> Option<Self> {
         let (name, code, retry_after) = match outcome {
             Outcome::Answered(_) => return None,
             Outcome::NotRun { code, retry_after } => ("not_run", *code, *retry_after),
@@ -57,7 +57,7 @@
                 code, retry_after, ..
             } => ("outcome_unknown", *code, *retry_after),
         };
-        // A wait of less than a second is rounded up, since the header has whole seconds.
+        // Rounded up, at least to 1, since the header takes whole seconds.
         let retry_after_s = retry_after
             .map(|wait| wait.as_secs() + u64::from(wait.subsec_nanos() > 0))
             .map(|seconds| seconds.max(1));
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Makes the problem of a call that was refused before it was decided on.
+    /// Creates the problem of a call that was refused before it reached the instance.
     pub fn not_run(code: RefusalCode, detail: &str) -> Self {
         let retry_after_s = (code == RefusalCode::Overloaded).then_some(1);
         let mut problem = Self::new("not_run", code, "", retry_after_s);
@@ -90,8 +90,8 @@
         problem
     }
 
-    /// Makes the answer.
-    pub fn answer(&self, key: &str) -> Answer {
+    /// Converts the problem to an HTTP response.
+    pub fn to_response(&self, key: &str) -> HandlerResult {
         let mut response = Response::builder()
             .status(self.status)
             .header("content-type", "application/problem+json");
@@ -101,21 +101,21 @@
         if let Some(seconds) = self.retry_after_s {
             response = response.header("retry-after", seconds.to_string());
         }
-        finish(response, self.body.to_string())
+        with_body(response, self.body.to_string())
     }
 }
 
-/// Ends an answer with its body.
-pub fn finish(response: http::response::Builder, body: impl Into<Body>) -> Answer {
+/// Completes a response with its body.
+pub fn with_body(response: http::response::Builder, body: impl Into<Body>) -> HandlerResult {
     response
         .body(body.into())
         .map_err(|error| HttpError::for_internal_error(error.to_string()))
 }
 
-/// Makes an answer of a JSON value.
-pub fn json_answer(value: &Value) -> Answer {
+/// Builds a 200 response with a JSON body.
+pub fn json_response(value: &Value) -> HandlerResult {
     let response = Response::builder()
         .status(StatusCode::OK)
         .header("content-type", "application/json");
-    finish(response, value.to_string())
+    with_body(response, value.to_string())
 }
