--- a/crates/damaskctl/src/exit.rs
+++ b/crates/damaskctl/src/exit.rs
@@ -1,24 +1,26 @@
-//! `exit` holds the failures of commands, each with its exit code.
+//! Failures of commands and their exit codes.
 
 use std::fmt;
 
-/// `Failure` tells why a command was not carried out.
+/// Reason why a command failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// The input was refused.
+    /// The input was rejected.
     Refused(String),
-    /// Another operator changed the same thing first.
+    /// Another operator changed the same object first.
     Conflict(String),
-    /// The platform or an instance gave no answer; a change may have taken effect.
+    /// The platform, an instance or a target gave no usable answer; a change may have taken effect.
     NoAnswer(String),
-    /// There is no such thing.
+    /// The named object does not exist.
     NotFound(String),
-    /// The comparison shows differences.
+    /// A comparison found differences, stored data is inconsistent, or a replayed trace did not meet
+    /// its expectations.
     Different(String),
 }
 
 impl Failure {
-    /// Returns the exit code; 2 is left to wrong usage.
+    /// Returns the exit code of the process. Code 2 is not used here: `clap` exits with it on wrong
+    /// usage.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Refused(_) => 1,
@@ -33,11 +35,11 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused(what) => write!(f, "refused: {what}"),
-            Self::Conflict(what) => write!(f, "another change came first: {what}"),
-            Self::NoAnswer(what) => write!(f, "no answer: {what}"),
-            Self::NotFound(what) => write!(f, "not found: {what}"),
-            Self::Different(what) => write!(f, "{what}"),
+            Self::Refused(message) => write!(f, "refused: {message}"),
+            Self::Conflict(message) => write!(f, "another change came first: {message}"),
+            Self::NoAnswer(message) => write!(f, "no answer: {message}"),
+            Self::NotFound(message) => write!(f, "not found: {message}"),
+            Self::Different(message) => write!(f, "{message}"),
         }
     }
 }
--- a/crates/damaskctl/src/explain/store.rs
+++ b/crates/damaskctl/src/explain/store.rs
@@ -1,4 +1,4 @@
-//! `store` adds up the calls that instances made to the store.
+//! Table of the calls that instances made to the store, by kind and outcome.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -11,9 +11,10 @@
 use crate::exit::Failure;
 use crate::table::Table;
 
-/// Number of the event that tells an instance's calls since its start.
+/// Code of the event with which an instance logs its calls to the store since its start.
 const STORE_CALLS_NOTED: u64 = 509;
-/// Prints the calls to the store of all instances.
+
+/// Prints the sums of calls to the store over all instances.
 pub fn run(context: &Context, paths: &[PathBuf]) -> Result<(), Failure> {
     let logs = Logs::read(paths);
     print(context, &add_up(&logs.lines, STORE_CALLS_NOTED, "calls="))?;
@@ -22,22 +23,22 @@
 
 fn print(context: &Context, calls: &BTreeMap<String, Sum>) -> Result<(), Failure> {
     let mut table = Table::new(&["call", "outcome", "calls", "instances", "most", "most_at"]);
-    let mut shown = Vec::new();
+    let mut json_rows = Vec::new();
     for (name, calls) in calls {
         let (call, outcome) = name.rsplit_once('/').unwrap_or((name, "-"));
-        let (most, most_at) = &calls.most;
+        let (most, most_at) = &calls.greatest;
         table.row(&[
             &call,
             &outcome,
             &calls.total,
-            &calls.instances,
+            &calls.incarnations,
             most,
             most_at,
         ]);
-        shown.push(serde_json::json!({
+        json_rows.push(serde_json::json!({
             "call": call, "outcome": outcome, "calls": calls.total,
-            "instances": calls.instances, "most": most, "most_at": most_at,
+            "instances": calls.incarnations, "most": most, "most_at": most_at,
         }));
     }
-    context.print(&Value::Array(shown), &table)
+    context.print(&Value::Array(json_rows), &table)
 }
--- a/crates/damaskctl/src/targets.rs
+++ b/crates/damaskctl/src/targets.rs
@@ -1,4 +1,4 @@
-//! `targets` lists targets and gives them orders.
+//! Commands that list targets and send them orders.
 
 use clap::Subcommand;
 use damaskstile::core::prelude::*;
@@ -11,35 +11,36 @@
 /// Commands for targets.
 #[derive(Debug, Subcommand)]
 pub enum TargetCommand {
-    /// Lists the targets, with their own word on themselves.
+    /// Lists the targets, each with the state that the platform lists and the one that it reports
+    /// itself.
     List,
-    /// Tells a target to leave: it finishes what it runs and takes nothing new.
+    /// Drains a target: it finishes its running requests and accepts no new ones.
     Drain {
         /// Name of the target.
         name: String,
     },
-    /// Gives a target an order, such as `load_model`.
+    /// Sends an order to a target, for example `load_model`.
     Order {
         /// Name of the target.
         name: String,
-        /// What to do.
+        /// Name of the order.
         order: String,
-        /// What to do it with.
+        /// Argument of the order.
         #[arg(default_value = "")]
         argument: String,
     },
 }
 
-/// Carries out a command.
+/// Runs a `target` subcommand.
 pub async fn run(context: &Context, command: TargetCommand) -> Result<(), Failure> {
     match command {
         TargetCommand::List => list(context).await,
         TargetCommand::Drain { name } => order(context, &name, "drain", "").await,
         TargetCommand::Order {
             name,
-            order: what,
+            order: order_name,
             argument,
-        } => order(context, &name, &what, &argument).await,
+        } => order(context, &name, &order_name, &argument).await,
     }
 }
 
@@ -48,12 +49,13 @@
     let mut table = Table::new(&["target", "service", "address", "listed", "own_word", "load"]);
     let mut values = Vec::new();
     for info in targets {
-        let own = get_json(&info.address, "/status", &[]).await.ok();
-        let status: Option<TargetStatus> = own.and_then(|value| serde_json::from_value(value).ok());
-        let listed = leaving_word(info.is_leaving);
-        let own_word = status
+        let answer = get_json(&info.address, "/status", &[]).await.ok();
+        let status: Option<TargetStatus> =
+            answer.and_then(|value| serde_json::from_value(value).ok());
+        let listed = state_name(info.is_leaving);
+        let reported = status
             .as_ref()
-            .map_or("no answer", |status| leaving_word(status.is_leaving));
+            .map_or("no answer", |status| state_name(status.is_leaving));
         let load = status.as_ref().map_or(String::new(), |status| {
             format!("{}/{}", status.in_flight_requests, status.slots_requests)
         });
@@ -62,7 +64,7 @@
             &info.service,
             &info.address,
             &listed,
-            &own_word,
+            &reported,
             &load,
         ]);
         values.push(json!({"target": info, "status": status}));
@@ -70,25 +72,32 @@
     context.print(&values, &table)
 }
 
-fn leaving_word(is_leaving: bool) -> &'static str {
+fn state_name(is_leaving: bool) -> &'static str {
     if is_leaving { "leaving" } else { "live" }
 }
 
-/// Gives an order: it is stored first, and the version of the store is its fencing number.
+/// Sends an order to a target. The order is stored first, and its version in the store is sent
+/// along as the fencing number.
 ///
-/// Of two operators who race only one can store; the other is told. A target that checks fencing
-/// numbers also refuses an order that was stored earlier and arrives later.
-async fn order(context: &Context, name: &str, what: &str, argument: &str) -> Result<(), Failure> {
+/// If two operators race, only one of them can store an order; the other gets
+/// [`Failure::Conflict`]. A target that checks fencing numbers also refuses an order that was
+/// stored earlier and arrives later.
+async fn order(
+    context: &Context,
+    name: &str,
+    order_name: &str,
+    argument: &str,
+) -> Result<(), Failure> {
     let targets = context.platform.targets().await?;
     let info = targets
         .into_iter()
         .find(|info| info.target == name)
         .ok_or_else(|| Failure::NotFound(format!("target {name}")))?;
     let key = format!("orders/{name}");
-    let standing = context.platform.read(&key).await?;
-    let version = standing.as_ref().map_or(0, |object| object.version);
+    let current = context.platform.read(&key).await?;
+    let version = current.as_ref().map_or(0, |object| object.version);
     let value = json!({
-        "order": what,
+        "order": order_name,
         "argument": argument,
         "author": context.author,
         "at_unix_ms": Context::unix_ms(),
@@ -99,12 +108,14 @@
         .await?
     {
         StoreAnswer::Written { version } => {
-            let sent = json!({"fencing": version, "order": what, "argument": argument});
+            let sent = json!({"fencing": version, "order": order_name, "argument": argument});
             put_json(&info.address, "/orders", &sent).await?;
             println!("order {version} done");
             Ok(())
         }
         StoreAnswer::Conflict(Some(object)) => Err(Failure::Conflict(object.value)),
-        _ => Err(Failure::NoAnswer("unexpected answer".to_owned())),
+        _ => Err(Failure::NoAnswer(
+            "unexpected answer of the store to the write of the order".to_owned(),
+        )),
     }
 }
