--- a/crates/damaskstile-fakes/src/answered.rs
+++ b/crates/damaskstile-fakes/src/answered.rs
@@ -1,34 +1,34 @@
-//! `answered` holds what a caller has got.
+//! Record of a call and of the answer that its caller received.
 
 use damaskstile::core::prelude::*;
 
 use crate::oracle::Verdict;
 
-/// `Answered` is what a caller has got.
+/// A call and what its caller has received so far.
 #[derive(Debug, Clone, Default)]
 pub struct Answered {
     /// Instance that was called.
     pub instance: InstanceId,
-    /// Incarnation that was called; 0 where none ran.
+    /// Incarnation that was called; 0 if the instance was not running.
     pub incarnation: Incarnation,
     /// Key of the request.
     pub key: RequestKey,
-    /// Worst case of the request, in tokens.
+    /// Upper bound of the cost of the request, in tokens (prompt and output cap).
     pub worst_tokens: u64,
-    /// Tokens that its answer will have.
+    /// Output tokens that the target will generate.
     pub output_tokens: u64,
     /// When it was called.
     pub called_at: Duration,
-    /// When it was sent to a target first.
+    /// When the request was first sent to a target.
     pub sent_at: Option<Duration>,
-    /// When the first piece came.
+    /// When the first chunk arrived.
     pub first_piece_at: Option<Duration>,
-    /// Pieces that came.
+    /// Data of the chunks received so far.
     pub pieces: Vec<String>,
-    /// Final word.
+    /// Final outcome; `None` while the call is open.
     pub outcome: Option<Outcome>,
-    /// When the final word came.
+    /// When the final outcome arrived.
     pub answered_at: Option<Duration>,
-    /// What the oracle says of a refusal for money.
+    /// Verdict of the oracle, if the call was refused for lack of budget.
     pub verdict: Verdict,
 }
--- a/crates/damaskstile-fakes/src/check.rs
+++ b/crates/damaskstile-fakes/src/check.rs
@@ -1,4 +1,4 @@
-//! `check` holds the promises that every scenario must keep.
+//! Invariants that every simulated scenario must keep.
 
 use damaskstile::budgets::Entry;
 use damaskstile::core::prelude::*;
@@ -6,7 +6,8 @@
 use crate::targets::chunk_data;
 use crate::world::World;
 
-/// Checks what must hold at every moment: nobody spends more than was topped up.
+/// Checks the invariants that hold at every moment: stored ledgers are valid and no more tokens
+/// are spent than were topped up.
 ///
 /// # Errors
 ///
@@ -15,17 +16,19 @@
     if let Some(broken) = world.store.broken.first() {
         return Err(broken.clone());
     }
-    // Stricter than the promise: what ran must be settled or stand out with a holder, so that
-    // nobody else can be granted it.
+    // Stricter than the invariant: the tokens that ran must be settled or held under a grant, so
+    // that they cannot be granted again.
     let committed = world.store.ledger("office").committed_tokens();
     let ran = world.targets.ran("office");
     if ran > committed {
-        return Err(format!("overspend: {ran} ran, {committed} committed"));
+        return Err(format!(
+            "overspend: targets processed {ran} tokens, {committed} are committed"
+        ));
     }
     Ok(())
 }
 
-/// Checks what must hold when all is over.
+/// Checks the invariants that hold once all calls have finished.
 ///
 /// # Errors
 ///
@@ -39,7 +42,7 @@
     bills_are_single(world)
 }
 
-/// Returns all entries of the budget, stored pages included.
+/// Returns all ledger entries of a budget: those in stored bill pages, then pending ones.
 #[must_use]
 pub fn entries(world: &World, budget: &str) -> Vec<Entry> {
     let prefix = format!("bills/{budget}/");
@@ -54,7 +57,7 @@
     entries
 }
 
-/// A caller gets the whole answer to its own request, and no piece of another.
+/// An answered caller received all chunks of a run of its own request and no other chunk.
 fn answers_are_whole(world: &World) -> Result<(), String> {
     for (handle, answered) in &world.answers {
         let Some(Outcome::Answered(receipt)) = &answered.outcome else {
@@ -75,25 +78,32 @@
             .map(|(run, _)| run.to_owned())
             .filter(is_own)
         else {
-            return Err(format!("call {handle}: an answer that is not its own"));
+            return Err(format!(
+                "call {handle}: answered without a chunk of its own request"
+            ));
         };
         let chunks = world.targets.runs[&run].chunks.len();
         let whole: Vec<String> = (0..chunks).map(|index| chunk_data(&run, index)).collect();
         if answered.pieces != whole {
-            return Err(format!("call {handle}: pieces {:?}", answered.pieces));
+            return Err(format!(
+                "call {handle}: incomplete or wrong chunks {:?}",
+                answered.pieces
+            ));
         }
     }
     Ok(())
 }
 
-/// What is refused as not run has not run.
+/// A request refused as not run was never started at a target.
 fn refused_has_not_run(world: &World) -> Result<(), String> {
     for (handle, answered) in &world.answers {
         let is_refused = answered.outcome.as_ref().is_some_and(Outcome::is_not_run);
-        // A key that is used for several calls may have run for another of them.
+        // A key shared by several calls may have run for another of them.
         let is_only_call = world.calls_of(&answered.key) == 1;
         if is_refused && is_only_call && world.targets.starts_of(&answered.key) > 0 {
-            return Err(format!("call {handle}: refused as not run, and ran"));
+            return Err(format!(
+                "call {handle}: refused as not run, but a run was started"
+            ));
         }
     }
     Ok(())
@@ -110,19 +120,19 @@
     Ok(())
 }
 
-/// A call to an instance that lives on has its final word.
+/// Every call has an outcome if the incarnation that was called is still running.
 fn calls_are_answered(world: &World) -> Result<(), String> {
     for (handle, answered) in &world.answers {
         let lives_on = answered.incarnation != 0
             && world.incarnation(&answered.instance) == answered.incarnation;
         if lives_on && answered.outcome.is_none() {
-            return Err(format!("call {handle}: no answer"));
+            return Err(format!("call {handle}: no outcome from a running instance"));
         }
     }
     Ok(())
 }
 
-/// No run is entered twice and no request billed twice.
+/// No run is entered twice and no request is billed twice.
 fn bills_are_single(world: &World) -> Result<(), String> {
     let mut runs = BTreeSet::new();
     let mut bills = BTreeSet::new();
@@ -137,7 +147,7 @@
     Ok(())
 }
 
-/// Checks that every answered request has its bill. Holds once all records could be stored.
+/// Checks that every answered request is billed. Holds only once all bills have been stored.
 ///
 /// # Errors
 ///
@@ -152,7 +162,7 @@
         if let Some(Outcome::Answered(receipt)) = &answered.outcome
             && !billed.contains(&receipt.key)
         {
-            return Err(format!("request {}: answered, not billed", receipt.key));
+            return Err(format!("request {}: answered, but not billed", receipt.key));
         }
     }
     Ok(())
--- a/crates/damaskstile-fakes/src/fake_run.rs
+++ b/crates/damaskstile-fakes/src/fake_run.rs
@@ -1,30 +1,30 @@
-//! `fake_run` holds what truly ran.
+//! A run as the fake target executed it.
 
 use damaskstile::core::prelude::*;
 
-/// `FakeRun` is what truly ran.
+/// A run as the fake target executed it, whatever instances know of it.
 #[derive(Debug, Clone)]
 pub struct FakeRun {
-    /// Target that ran it.
+    /// Target that executes the run.
     pub target: TargetId,
-    /// Client account that pays.
+    /// Client account that is charged.
     pub account: AccountId,
     /// Key of the request.
     pub key: RequestKey,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens that were generated so far.
+    /// Output tokens generated so far.
     pub output_tokens: u64,
-    /// Tokens of each chunk.
+    /// Number of tokens of each chunk of the full answer.
     pub chunks: Vec<u64>,
-    /// Chunks that were generated so far.
+    /// Number of chunks generated so far.
     pub made_chunks: usize,
-    /// When it began.
+    /// When the run was accepted.
     pub started_at: Duration,
-    /// Instance that listens to it.
+    /// Instance that receives the stream.
     pub listener: Option<InstanceId>,
-    /// Whether it has a slot; until then it waits.
+    /// Whether the run occupies a slot; otherwise it is queued.
     pub has_slot: bool,
-    /// Whether it is over.
+    /// Whether the run has finished or was cancelled.
     pub has_ended: bool,
 }
--- a/crates/damaskstile-fakes/src/fake_target.rs
+++ b/crates/damaskstile-fakes/src/fake_target.rs
@@ -1,24 +1,24 @@
-//! `fake_target` holds the state of one fake target.
+//! State of one fake target.
 
 use damaskstile::core::prelude::*;
 
-/// `FakeTarget` is one target.
+/// A fake target and the faults injected into it.
 #[derive(Debug, Clone)]
 pub struct FakeTarget {
-    /// What the platform's list says of it.
+    /// Entry of the target in the platform's list.
     pub info: TargetInfo,
-    /// Time between two chunks.
+    /// Time between two chunks of an answer.
     pub pace: Duration,
-    /// Requests that it runs at a time.
+    /// Requests that it runs concurrently.
     pub slots_requests: u64,
-    /// When it began to leave.
+    /// When it started leaving; `None` if it is not leaving.
     pub leaving_since: Option<Duration>,
-    /// Whether it refuses every run.
+    /// Whether it refuses every new run.
     pub is_refusing: bool,
-    /// Whether it cannot be reached at all.
+    /// Whether it is unreachable.
     pub is_down: bool,
-    /// Runs from now on that are cut after their first chunk.
+    /// Number of upcoming streams that break after their first chunk.
     pub cut_runs: u64,
-    /// Past loads, for reports that lag.
+    /// Number of unfinished runs over time, oldest first, for delayed load reports.
     pub(crate) loads: Vec<(Duration, u64)>,
 }
--- a/crates/damaskstile-fakes/src/lib.rs
+++ b/crates/damaskstile-fakes/src/lib.rs
@@ -1,7 +1,8 @@
-//! `damaskstile-fakes` hosts many instances in one process, over fakes of all that is around them.
+//! Deterministic simulation of a fleet: many instances in one process, with fake targets, store
+//! and network.
 //!
-//! It is for tests and measurements. Time is virtual and every choice comes out of a seed, so the
-//! same scenario gives the same result on every run.
+//! Used by tests and measurements. Time is virtual and every random choice is derived from a
+//! seed, so the same scenario gives the same result on every run.
 
 pub mod answered;
 pub mod check;
--- a/crates/damaskstile-fakes/src/network.rs
+++ b/crates/damaskstile-fakes/src/network.rs
@@ -1,35 +1,35 @@
-//! `network` fakes the links between instances.
+//! Fake network with partitions, message loss, duplication and reordering.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use damaskstile::core::prelude::Random;
 
-/// `Network` fakes the links between instances and from them to the store.
+/// Links between instances and from instances to the store.
 #[derive(Debug, Clone, Default)]
 pub struct Network {
-    /// Instances that only reach one another; all others reach each other.
+    /// Instances on one side of a partition; they reach only each other, as do all others.
     pub island: BTreeSet<String>,
-    /// Whether the island reaches the store.
+    /// Whether the island, rather than the other side, reaches the store.
     pub is_store_on_island: bool,
-    /// Instances that do not reach the store.
+    /// Instances that cannot reach the store, whatever the partition.
     pub no_store: BTreeSet<String>,
-    /// Messages that are lost, in percent.
+    /// Share of messages that are lost, in percent.
     pub loss_percent: u64,
-    /// Messages that come twice, in percent.
+    /// Share of messages of which an extra copy is delivered, in percent.
     pub twice_percent: u64,
-    /// Longest extra delay of a message; it makes messages overtake each other.
+    /// Maximum random delay added to a message, so that messages can arrive out of order.
     pub jitter: Duration,
 }
 
 impl Network {
-    /// Tells whether two instances reach each other.
+    /// Returns whether two instances can reach each other.
     #[must_use]
     pub fn is_joined(&self, one: &str, other: &str) -> bool {
         self.island.contains(one) == self.island.contains(other)
     }
 
-    /// Tells whether an instance reaches the store.
+    /// Returns whether an instance can reach the store.
     #[must_use]
     pub fn has_store(&self, instance: &str) -> bool {
         let is_cut =
@@ -37,7 +37,7 @@
         !is_cut && !self.no_store.contains(instance)
     }
 
-    /// Returns the delays after which copies of a message come; none where it is lost.
+    /// Returns the delay of each delivered copy of a message; empty if the message is lost.
     pub fn deliveries(&self, random: &mut Random, delay: Duration) -> Vec<Duration> {
         let mut copies = Vec::new();
         if random.below(100) >= self.loss_percent {
--- a/crates/damaskstile-fakes/src/options.rs
+++ b/crates/damaskstile-fakes/src/options.rs
@@ -1,38 +1,38 @@
-//! `options` describes a fleet and what surrounds it.
+//! Options of a simulation and default settings of its fleet.
 
 use std::time::Duration;
 
 use damaskstile::budgets::BudgetOptions;
 use damaskstile::targets::RegistryOptions;
 
-/// `WorldOptions` describes a fleet and what surrounds it.
+/// Options of a simulated fleet, its targets, network and store.
 #[derive(Debug, Clone)]
 pub struct WorldOptions {
-    /// Seed of all choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Data centres; instances are spread over them in turn.
+    /// Number of data centres; instances are assigned to them round-robin.
     pub data_centres: usize,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Targets of the model's service.
+    /// Number of targets of the model service `chat`.
     pub targets: usize,
-    /// Requests that a target runs at a time.
+    /// Requests that a target runs concurrently.
     pub slots_requests: u64,
     /// Time between two chunks of an answer.
     pub pace: Duration,
-    /// Time of a message within a data centre.
+    /// One-way delay of a message within a data centre.
     pub near_delay: Duration,
-    /// Time of a message between data centres.
+    /// One-way delay of a message between data centres.
     pub far_delay: Duration,
-    /// Time of a call to the store.
+    /// Round-trip time of a call to the store.
     pub store_delay: Duration,
-    /// Age of targets' load reports.
+    /// Age of the load that targets report.
     pub report_lag: Duration,
-    /// The tree of settings, as TOML.
+    /// Settings tree, as TOML.
     pub settings: String,
-    /// How budgets are held.
+    /// Options of the budget manager of each instance.
     pub budgets: BudgetOptions,
-    /// How targets are chosen.
+    /// Options of the target registry of each instance.
     pub registry: RegistryOptions,
 }
 
@@ -56,10 +56,11 @@
     }
 }
 
-/// Makes a tree with one client account (`office`, budget `office`, token hash of `a`s), a model
-/// service `chat`, and plain services `status` and `publish`, the latter non-idempotent.
+/// Returns a settings tree with one client account (`office`, budget `office`, token hash
+/// [`OFFICE_TOKEN`]), a model service `chat`, and plain services `status` and `publish`, the
+/// latter non-idempotent.
 ///
-/// `system` is put under `[system]`.
+/// `system` is the TOML content of the section `[system]`.
 #[must_use]
 pub fn settings(system: &str) -> String {
     format!(
@@ -71,5 +72,5 @@
     )
 }
 
-/// Token hash of the account `office`.
+/// Token hash of the account `office`, in place of a real SHA-256.
 pub const OFFICE_TOKEN: &str = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa";
--- a/crates/damaskstile-fakes/src/oracle.rs
+++ b/crates/damaskstile-fakes/src/oracle.rs
@@ -1,23 +1,24 @@
-//! `oracle` tells whether a refusal for money was false.
+//! Oracle that judges refusals for lack of budget with knowledge of the whole fleet.
 
 use damaskstile::core::prelude::*;
 
 use crate::world::World;
 
-/// `Verdict` tells what a refusal for money was worth.
+/// Judgement of a refusal for lack of budget.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// The unspent budget would have covered the request.
+    /// The unspent budget of the whole fleet would have covered the request.
     pub is_false: bool,
-    /// What the refusing instance could lawfully have reached would have covered it.
+    /// The free tokens that the refusing instance could reach would have covered the request.
     pub is_reachable_false: bool,
 }
 
-/// Judges a refusal at the moment when it is given.
+/// Judges a refusal at the moment it is given.
 ///
-/// The unspent budget is what was topped up, less what targets truly ran and what is reserved for
-/// runs. Reachable is what stands free in the store and with live instances, as far as the
-/// refusing instance reaches them.
+/// The unspent budget is the topped-up tokens less those processed by targets and those reserved
+/// for runs. Reachable tokens are the free tokens in the store's ledger and at live instances, as
+/// far as the refusing instance is connected to them. `worst` is the worst-case cost of the
+/// request in tokens.
 #[must_use]
 pub fn judge(world: &World, instance: &str, budget: &str, account: &str, worst: u64) -> Verdict {
     let ledger = world.store.ledger(budget);
@@ -45,7 +46,7 @@
     }
 }
 
-/// Tells whether an outcome is a refusal for money.
+/// Returns whether an outcome is a refusal for lack of budget.
 #[must_use]
 pub fn is_refusal_for_money(outcome: &Outcome) -> bool {
     matches!(
--- a/crates/damaskstile-fakes/src/store.rs
+++ b/crates/damaskstile-fakes/src/store.rs
@@ -1,30 +1,30 @@
-//! `store` fakes the platform's object API.
+//! In-memory fake of the platform's object store.
 
 use damaskstile::budgets::Ledger;
 use damaskstile::core::prelude::*;
 use damaskstile::core::store::{Object, StoreAnswer, StoreCall};
 
-/// `FakeStore` fakes the platform's object API.
+/// In-memory object store with compare-and-swap writes and fault injection.
 #[derive(Debug, Default)]
 pub struct FakeStore {
     objects: BTreeMap<String, Object>,
     revision: Version,
-    /// Whether every call is lost without effect.
+    /// Whether every call is lost without taking effect.
     pub is_out: bool,
-    /// Writes from now on that take effect and whose answers are lost.
+    /// Number of upcoming writes that take effect but whose answers are lost.
     pub lose_answers: u64,
-    /// Writes so far.
+    /// Write calls so far, conflicts included.
     pub writes: u64,
-    /// Reads so far.
+    /// Read calls so far.
     pub reads: u64,
-    /// Writes that met another version.
+    /// Writes rejected because the expected version was not the current one.
     pub conflicts: u64,
-    /// Rules of ledgers that a stored value broke.
+    /// Invalid values that were stored: ledgers that break a rule and values above 1 MB.
     pub broken: Vec<String>,
 }
 
 impl FakeStore {
-    /// Returns an object.
+    /// Returns the object under a key.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&Object> {
         self.objects.get(key)
@@ -37,7 +37,7 @@
             .filter(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// Writes an object, whatever stands.
+    /// Writes an object unconditionally and returns its new version.
     pub fn put(&mut self, key: &str, value: String) -> Version {
         self.revision += 1;
         let version = self.revision;
@@ -47,7 +47,7 @@
         version
     }
 
-    /// Returns a budget's ledger.
+    /// Returns the ledger of a budget; empty if it is missing or invalid.
     #[must_use]
     pub fn ledger(&self, budget: &str) -> Ledger {
         self.get(&format!("budgets/{budget}"))
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Carries out a call.
+    /// Executes a call.
     pub fn call(&mut self, call: StoreCall) -> StoreAnswer {
         if self.is_out {
             return StoreAnswer::Lost;
@@ -100,7 +100,9 @@
 
     fn check(&mut self, key: &str, value: &str) {
         if value.len() > 1_000_000 {
-            self.broken.push(format!("{key}: above 1 MB"));
+            let bytes = value.len();
+            self.broken
+                .push(format!("{key}: value of {bytes} bytes, above 1 MB"));
         }
         if key.starts_with("budgets/")
             && let Err(error) = Ledger::try_from_json(value)
--- a/crates/damaskstile-fakes/src/targets.rs
+++ b/crates/damaskstile-fakes/src/targets.rs
@@ -1,39 +1,39 @@
-//! `targets` fakes targets and keeps the truth of what they ran.
+//! Fake targets and the authoritative record of what they ran.
 
 use damaskstile::core::prelude::*;
 
 use crate::fake_run::FakeRun;
 pub use crate::fake_target::FakeTarget;
 
-/// `Start` tells what became of a dispatch.
+/// Result of a dispatch at the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// It runs.
+    /// The run was accepted and has a slot.
     Started,
-    /// It waits for a slot.
+    /// The run was accepted and is queued for a slot.
     Waiting,
-    /// It was running, and goes on to a new listener.
+    /// The run is known already and is resumed for a new listener.
     Resumed,
-    /// It was refused and has not run.
+    /// The target refused the run, which has not started.
     Refused,
-    /// Nothing was reached.
+    /// The target was not reached.
     Unreachable,
 }
 
-/// `FakeTargets` fakes all targets.
+/// All fake targets and their runs.
 #[derive(Debug, Default)]
 pub struct FakeTargets {
     /// Targets by name.
     pub targets: BTreeMap<TargetId, FakeTarget>,
-    /// All runs that began.
+    /// All runs that were ever accepted.
     pub runs: BTreeMap<RunId, FakeRun>,
-    /// Runs that must not begin any more.
+    /// Runs that were reported as never started and must not start any more.
     pub fenced: BTreeSet<RunId>,
-    /// Dispatches of any kind that reached a target.
+    /// Dispatches that reached a target, refused and resumed ones included.
     pub dispatches: u64,
-    /// Starts at a target that was leaving for longer than this many milliseconds, at most.
+    /// Longest time between a target's start of leaving and a run that it still accepted.
     pub latest_start_after_leaving: Duration,
-    /// Sum of what ran for each account.
+    /// Tokens processed for each account, prompt and output.
     pub ran_tokens: BTreeMap<AccountId, u64>,
 }
 
@@ -60,7 +60,7 @@
         self.targets.insert(name.to_owned(), target);
     }
 
-    /// Takes a dispatch.
+    /// Handles a dispatch: starts a run, queues it, resumes it or refuses it.
     pub fn dispatch(
         &mut self,
         now: Duration,
@@ -90,7 +90,7 @@
             return Start::Refused;
         }
         if let Some(since) = target.leaving_since {
-            // This fake takes new work although it leaves, so that tests see it.
+            // A real target would refuse. The fake accepts, so that tests can detect such dispatches.
             let late = now.saturating_sub(since);
             self.latest_start_after_leaving = self.latest_start_after_leaving.max(late);
         }
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Generates a run's next chunk. Returns whether there was one.
+    /// Generates the next chunk of a run, or ends the run after its last one. Returns whether a
+    /// chunk was generated.
     pub fn generate(&mut self, now: Duration, id: &RunId) -> bool {
         let Some(run) = self.runs.get_mut(id) else {
             return false;
@@ -136,7 +137,7 @@
         true
     }
 
-    /// Gives a free slot of a target to the run that has waited longest. Returns that run.
+    /// Assigns a free slot of a target to its longest-queued run and returns that run.
     pub fn next_waiting(&mut self, target: &str) -> Option<RunId> {
         let waiting = self
             .runs
@@ -147,7 +148,7 @@
         Some(waiting.0.clone())
     }
 
-    /// Returns the report on a chunk of a run.
+    /// Returns the report of a chunk; `None` if it has not been generated yet.
     #[must_use]
     pub fn chunk(&self, id: &RunId, index: usize) -> Option<RunReport> {
         let run = self.runs.get(id)?;
@@ -158,7 +159,7 @@
         })
     }
 
-    /// Returns the last report on a run that is over.
+    /// Returns the final report of a run; `None` if it is unfinished or was cancelled early.
     #[must_use]
     pub fn finished(&self, id: &RunId) -> Option<RunReport> {
         let run = self.runs.get(id)?;
@@ -170,7 +171,8 @@
         })
     }
 
-    /// Answers how a run went; one that never began is fenced off.
+    /// Returns the state of a run. A run that never started is fenced, so that it cannot start
+    /// later.
     pub fn state(&mut self, target: &str, id: &RunId) -> RunState {
         let is_down = self.targets.get(target).is_none_or(|target| target.is_down);
         if is_down {
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Reports a target's load, as it was a while ago.
+    /// Returns the status of a target, with its load as it was `lag` ago.
     #[must_use]
     pub fn status(&self, now: Duration, target: &str, lag: Duration) -> Option<TargetStatus> {
         let target = self.targets.get(target).filter(|target| !target.is_down)?;
@@ -207,7 +209,7 @@
         })
     }
 
-    /// Returns the number of runs that go on at a target.
+    /// Returns the number of unfinished runs at a target, queued ones included.
     #[must_use]
     pub fn running(&self, target: &str) -> u64 {
         let count = self
@@ -217,13 +219,13 @@
         u64::try_from(count.count()).unwrap_or(u64::MAX)
     }
 
-    /// Returns how often a request was begun.
+    /// Returns the number of runs that were started for a request.
     #[must_use]
     pub fn starts_of(&self, key: &str) -> usize {
         self.runs.values().filter(|run| run.key == key).count()
     }
 
-    /// Returns all that ran for an account.
+    /// Returns the tokens processed for an account, prompt and output.
     #[must_use]
     pub fn ran(&self, account: &str) -> u64 {
         self.ran_tokens.get(account).copied().unwrap_or(0)
@@ -237,13 +239,13 @@
     }
 }
 
-/// Returns the content of a chunk.
+/// Returns the data of a chunk, which identifies its run and index.
 #[must_use]
 pub fn chunk_data(run: &str, index: usize) -> String {
     format!("{run}#{index}")
 }
 
-/// Cuts an answer into at most four chunks, to keep the number of events low.
+/// Splits an answer into at most four chunks, to keep the number of events low.
 fn chunks_of(output_tokens: u64) -> Vec<u64> {
     if output_tokens == 0 {
         return vec![0];
--- a/crates/damaskstile-fakes/src/work.rs
+++ b/crates/damaskstile-fakes/src/work.rs
@@ -1,34 +1,34 @@
-//! `work` describes a request to make.
+//! Description of a request that a simulated caller makes.
 
 use damaskstile::core::prelude::*;
 
 use crate::options::OFFICE_TOKEN;
 
-/// `Work` describes a request to make.
+/// A request that a simulated caller makes.
 #[derive(Debug, Clone)]
 pub struct Work {
-    /// Service.
+    /// Service that is called.
     pub service: ServiceId,
-    /// Key; one is made where it is empty.
+    /// Request key; generated if empty.
     pub key: RequestKey,
-    /// Size of the prompt, in bytes and in tokens.
+    /// Size of the prompt in tokens; its size in bytes is set to the same number.
     pub prompt_tokens: u64,
-    /// Cap of the output.
+    /// Output cap in tokens; 0 for a request without a cap.
     pub cap_tokens: u64,
-    /// Tokens that the answer will have.
+    /// Output tokens that the target will generate.
     pub output_tokens: u64,
-    /// Caller's mark.
+    /// Whether the caller marks the request as non-idempotent.
     pub non_idempotent: bool,
-    /// Whether chunks are relayed as they come.
+    /// Whether chunks are relayed to the caller as they arrive.
     pub is_streamed: bool,
-    /// Priority.
+    /// Priority that the caller asks for.
     pub priority: Option<Priority>,
-    /// Hash of the token of the client account.
+    /// SHA-256 of the client account's access token, in hexadecimal.
     pub token_sha256: String,
 }
 
 impl Work {
-    /// Makes a model request of the account `office`.
+    /// Creates a request of the account `office` to the model service `chat`.
     #[must_use]
     pub fn chat(prompt_tokens: u64, cap_tokens: u64, output_tokens: u64) -> Self {
         Self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Makes a call of the plain service `publish`, which must never run twice.
+    /// Creates a call of the plain service `publish`, which must never run twice.
     #[must_use]
     pub fn publish(key: &str) -> Self {
         Self {
--- a/crates/damaskstile-fakes/src/world.rs
+++ b/crates/damaskstile-fakes/src/world.rs
@@ -1,4 +1,5 @@
-//! `world` hosts the instances: it delivers messages, store answers, timers and target events.
+//! Event loop of the simulation: delivers messages, store answers, timers and target events to
+//! the instances.
 
 mod deliver;
 mod due;
@@ -19,10 +20,10 @@
 pub use crate::work::Work;
 use due::Due;
 
-/// Time at which every scenario starts, since the Unix epoch.
+/// Time since the Unix epoch at which every scenario starts.
 pub const STARTED_AT: Duration = Duration::from_hours(500_000);
 
-/// Events at one moment past which time is taken to stand still.
+/// Consecutive actions without progress of time after which a scenario is aborted.
 const STEPS_AT_ONCE_MAX: u64 = 20_000;
 
 #[derive(Debug)]
@@ -43,34 +44,34 @@
     Generate(RunId),
 }
 
-/// `World` hosts a fleet over fakes.
+/// A simulated fleet over fake targets, store and network.
 #[derive(Debug)]
 pub struct World {
-    /// Time now.
+    /// Current virtual time, since the Unix epoch.
     pub now: Duration,
-    /// The platform's store.
+    /// The platform's object store.
     pub store: FakeStore,
     /// The targets.
     pub targets: FakeTargets,
-    /// The links.
+    /// The network between instances and to the store.
     pub network: Network,
-    /// What callers have got.
+    /// Calls made so far and what their callers have received.
     pub answers: BTreeMap<RequestHandle, Answered>,
     /// Keys of requests that must not run twice.
     pub non_idempotent: BTreeSet<RequestKey>,
-    /// Log events by code.
+    /// Number of log events by code.
     pub logged: BTreeMap<EventCode, u64>,
-    /// Messages between instances.
+    /// Number of messages sent between instances.
     pub messages: u64,
-    /// Bytes of those messages; counted only where `counts_bytes` is set.
+    /// Encoded size of those messages in bytes; counted only if `counts_bytes` is set.
     pub bytes: u64,
     /// Whether messages are encoded to count their bytes.
     pub counts_bytes: bool,
-    /// Instances that watch the settings.
+    /// Instances that currently watch the settings in the store.
     pub watchers: BTreeSet<InstanceId>,
-    /// Whether hosts check the time limit of a dispatch just before they send it.
+    /// Whether hosts check the expiry of a dispatch just before they send it.
     pub has_careful_hosts: bool,
-    /// Instances that said that they have stopped.
+    /// Instances that reported that they have stopped and were not started again.
     pub stopped: BTreeSet<InstanceId>,
     pub(crate) options: WorldOptions,
     pub(crate) nodes: BTreeMap<InstanceId, Node>,
@@ -82,7 +83,7 @@
 }
 
 impl World {
-    /// Starts a fleet with a budget of so many tokens for the account `office`.
+    /// Starts a fleet with `budget_tokens` prepaid tokens in the budget `office`.
     #[must_use]
     pub fn new(options: WorldOptions, budget_tokens: u64) -> Self {
         let mut world = Self {
@@ -143,7 +144,9 @@
         self.nodes.insert(format!("i{number:03}"), node);
     }
 
-    /// Stores a tree of settings and shows it to the instances that watch.
+    /// Stores a settings tree and returns its version.
+    ///
+    /// Watching instances are notified only by [`show_settings`](Self::show_settings).
     pub fn put_settings(&mut self, text: &str) -> Version {
         let stored = serde_json::json!({
             "author": "test", "note": "", "at_unix_ms": 0, "text": text,
@@ -151,7 +154,7 @@
         self.store.put("settings/tree", stored.to_string())
     }
 
-    /// Shows the stored settings to the instances that watch, as their watches would.
+    /// Notifies the watching instances of the stored settings after the store's delay.
     pub fn show_settings(&mut self) {
         let Some(object) = self.store.get("settings/tree").cloned() else {
             return;
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Starts an instance that does not run, as a new incarnation.
+    /// Starts a stopped instance as a new incarnation.
     pub fn start(&mut self, name: &str) {
         let seeds: Vec<MemberState> = self
             .nodes
@@ -202,7 +205,7 @@
         self.give(name, Event::Targets { targets });
     }
 
-    /// Kills an instance. What it has sent is on its way; all else is gone.
+    /// Kills an instance. Messages that it has sent are still delivered; all other state is lost.
     pub fn kill(&mut self, name: &str) {
         if let Some(node) = self.nodes.get_mut(name) {
             node.instance = None;
@@ -216,19 +219,20 @@
         }
     }
 
-    /// Pauses an instance: it takes nothing in and sends nothing out until then.
+    /// Pauses an instance for a duration: events to it and dispatches by it are delayed until the
+    /// end of the pause.
     pub fn pause(&mut self, name: &str, pause: Duration) {
         if let Some(node) = self.nodes.get_mut(name) {
             node.paused_until = self.now + pause;
         }
     }
 
-    /// Tells an instance to stop.
+    /// Asks an instance to stop gracefully.
     pub fn stop(&mut self, name: &str) {
         self.give(name, Event::Stop);
     }
 
-    /// Shows the platform's list of targets to all instances.
+    /// Delivers the platform's current list of targets to all instances at once.
     pub fn show_targets(&mut self) {
         let targets: Vec<TargetInfo> = self
             .targets
@@ -248,7 +252,7 @@
         self.nodes.keys().cloned().collect()
     }
 
-    /// Returns the instances that run and are not paused.
+    /// Returns the instances that are running and not paused.
     pub fn live_instances(&self) -> impl Iterator<Item = (&InstanceId, &Instance)> {
         self.nodes
             .iter()
@@ -256,19 +260,19 @@
             .filter_map(|(name, node)| node.instance.as_ref().map(|instance| (name, instance)))
     }
 
-    /// Returns an instance that runs.
+    /// Returns an instance, if it is running.
     #[must_use]
     pub fn instance(&self, name: &str) -> Option<&Instance> {
         self.nodes.get(name)?.instance.as_ref()
     }
 
-    /// Returns the incarnation of an instance; 0 where it does not run.
+    /// Returns the incarnation of an instance; 0 if it is not running.
     #[must_use]
     pub fn incarnation(&self, name: &str) -> Incarnation {
         self.nodes.get(name).map_or(0, |node| node.incarnation)
     }
 
-    /// Returns how many calls were made with a key.
+    /// Returns the number of calls made with a request key.
     #[must_use]
     pub fn calls_of(&self, key: &str) -> usize {
         self.answers
@@ -277,7 +281,7 @@
             .count()
     }
 
-    /// Calls an instance. Returns the handle of the call.
+    /// Makes a call to an instance and returns its handle.
     pub fn request(&mut self, name: &str, work: &Work) -> RequestHandle {
         let handle = self.next_handle;
         self.next_handle += 1;
@@ -317,12 +321,12 @@
         handle
     }
 
-    /// Goes on for a while.
+    /// Advances the simulation by a duration.
     pub fn run_for(&mut self, span: Duration) {
         self.run_until(self.now + span);
     }
 
-    /// Goes on until a time.
+    /// Advances the simulation to a time, executing all actions due by then.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse(due)) = self.queue.peek() {
             if due.at > until {
@@ -337,7 +341,8 @@
         self.now = self.now.max(until);
     }
 
-    /// Stops a scenario in which time stands still: an instance that wakes itself without end.
+    /// Aborts a scenario in which time makes no progress, as when an instance keeps setting its
+    /// wake-up to the current time.
     fn count_step(&mut self, due: &Due) {
         self.steps_at_once = if due.at > self.now {
             0
@@ -346,7 +351,7 @@
         };
         assert!(
             self.steps_at_once < STEPS_AT_ONCE_MAX,
-            "time stands still at {:?}: {due:?}",
+            "no progress of time at {:?}: {due:?}",
             self.now
         );
     }
@@ -361,7 +366,7 @@
         }));
     }
 
-    /// Hands an event to an instance at once, if it runs.
+    /// Delivers an event to an instance at once if it is running, or after its pause.
     pub fn give(&mut self, name: &str, event: Event) {
         let Some(node) = self.nodes.get_mut(name) else {
             return;
--- a/crates/damaskstile-fakes/src/world/deliver.rs
+++ b/crates/damaskstile-fakes/src/world/deliver.rs
@@ -1,4 +1,4 @@
-//! `deliver` carries effects out and brings their consequences back.
+//! Executes the effects of instances and schedules the resulting events.
 
 use damaskstile::core::peer::encode_frame;
 use damaskstile::core::prelude::*;
@@ -7,9 +7,9 @@
 use crate::oracle;
 use crate::targets::Start;
 
-/// Time between the decision to send and the sending.
+/// Delay between an instance's decision to send to a target and the sending.
 const SEND_DELAY: Duration = Duration::from_micros(50);
-/// Time of a message between an instance and a target.
+/// One-way delay of a message between an instance and a target.
 const TARGET_DELAY: Duration = Duration::from_micros(300);
 
 impl World {
@@ -142,7 +142,7 @@
         }
         let paused_until = self.nodes[name].paused_until;
         if paused_until > self.now {
-            // The process was paused between the decision and the sending.
+            // The process was paused between the decision to send and the sending.
             let wait = paused_until.saturating_sub(self.now);
             let what = What::Dispatch(incarnation, Box::new(dispatch));
             self.later(wait + SEND_DELAY, name, what);
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Sends the chunks that a resumed run has made already.
+    /// Sends the chunks that a resumed run has generated already, from the requested one on.
     fn replay(&mut self, name: &str, dispatch: &Dispatch) {
         let first = usize::try_from(dispatch.resume_from).unwrap_or(usize::MAX);
         let made = self.targets.runs[&dispatch.run].made_chunks;
--- a/crates/damaskstile-fakes/src/world/due.rs
+++ b/crates/damaskstile-fakes/src/world/due.rs
@@ -1,10 +1,10 @@
-//! `due` orders what is to happen by its time.
+//! Scheduled action of the simulation, ordered by time.
 
 use damaskstile::core::prelude::*;
 
 use super::What;
 
-/// `Due` is something that happens at a time.
+/// An action scheduled at a time. `order` keeps actions at the same time first in, first out.
 #[derive(Debug)]
 pub struct Due {
     pub at: Duration,
--- a/crates/damaskstile-measure/src/budgets.rs
+++ b/crates/damaskstile-measure/src/budgets.rs
@@ -1,4 +1,4 @@
-//! `budgets` compares policies for the last tokens of a budget, with and without faults.
+//! Comparison of policies for a nearly exhausted budget, with and without faults.
 
 use std::time::Duration;
 
@@ -11,26 +11,26 @@
 
 /// Time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
-/// Time before the first request, in which instances find one another.
+/// Time before the first request, for instances to discover each other.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// Time after the last request, in which everything is accounted for.
+/// Time after the last request, for all runs to be settled.
 const COOL_DOWN: Duration = Duration::from_mins(1);
 
-/// What to compare.
+/// Arguments of the comparison.
 #[derive(Debug, Clone, Args)]
 pub struct BudgetsArgs {
     /// Seed of the workloads.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Requests of each row.
+    /// Requests per row of the table.
     #[arg(long, default_value_t = 2000)]
     requests: u64,
-    /// Budget, in percent of what all requests together will cost.
+    /// Budget, in percent of the total cost of all requests.
     #[arg(long, default_value_t = 110)]
     budget_percent: u64,
 }
 
-/// `Deployment` is the shape of a fleet and its work.
+/// Size of a simulated fleet and the shape of its requests.
 #[derive(Debug, Clone, Copy)]
 struct Deployment {
     name: &'static str,
@@ -38,7 +38,7 @@
     far_delay: Duration,
     prompt_tokens: u64,
     cap_tokens: u64,
-    /// Share of the requests that go to the busiest instance, in percent.
+    /// Share of the requests that are sent to the busiest instance, in percent.
     skew_percent: u64,
 }
 
@@ -61,7 +61,7 @@
     },
 ];
 
-/// `Fault` is what goes wrong while requests come.
+/// Fault that is injected while requests are made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
@@ -91,7 +91,7 @@
     }
 }
 
-/// `Request` is one request of a workload, the same for every policy.
+/// A request of a workload; all policies and faults are measured with the same workload.
 #[derive(Debug, Clone)]
 struct Request {
     instance: usize,
@@ -132,7 +132,7 @@
         .collect()
 }
 
-/// Instances of either deployment.
+/// Number of instances of each deployment.
 const INSTANCES: usize = 9;
 
 fn row(
@@ -200,7 +200,7 @@
     format!("i{number:03}")
 }
 
-/// `FaultClock` brings faults about at set points of the workload.
+/// Injects faults at fixed points of the workload.
 #[derive(Debug)]
 struct FaultClock {
     fault: Fault,
@@ -212,12 +212,13 @@
         Self { fault, requests }
     }
 
-    /// Does what is due before a request.
+    /// Injects or ends the faults that are due before the request with this number.
     fn step(&self, world: &mut World, number: usize) {
         let is_at = |percent: usize| number == self.requests * percent / 100;
         match self.fault {
             Fault::Partition if is_at(30) => {
-                // Half of the instances, the busiest among them, lose the others and the store.
+                // Half of the instances, the busiest among them, are cut off from the others and from
+                // the store.
                 world.network.island = (0..INSTANCES / 2).map(name).collect();
             }
             Fault::Outage if is_at(30) => world.store.is_out = true,
@@ -247,7 +248,8 @@
         }
     }
 
-    /// Returns the instance that the balancer sends to: the usual one, or the next that is ready.
+    /// Returns the instance that a load balancer would choose: the usual one, or the next one
+    /// that is ready.
     fn entry(world: &World, usual: usize) -> String {
         let is_ready = |one: &usize| {
             world
@@ -266,7 +268,7 @@
     }
 }
 
-/// `Figures` are the columns of a row.
+/// Measured columns of a row.
 #[derive(Debug)]
 struct Figures {
     answered: usize,
@@ -326,7 +328,7 @@
     }
 }
 
-/// Returns the tokens that stand out in the ledger and that no live instance can use.
+/// Returns the tokens that are outstanding in the ledger but that no live instance can use.
 fn stranded(world: &World) -> u64 {
     let usable: u64 = world
         .live_instances()
--- a/crates/damaskstile-measure/src/claims.rs
+++ b/crates/damaskstile-measure/src/claims.rs
@@ -1,4 +1,4 @@
-//! `claims` measures what non-idempotent requests cost the store.
+//! Measurement of the store load that non-idempotent requests cause.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 
 /// Time before the first request.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// Time that requests come for.
+/// Time during which requests are made.
 const MEASURED: Duration = Duration::from_secs(10);
-/// Instances of the fleet.
+/// Number of instances.
 const INSTANCES: u64 = 9;
 
-/// What to measure.
+/// Arguments of the measurement.
 #[derive(Debug, Clone, Args)]
 pub struct ClaimsArgs {
-    /// Requests a second.
+    /// Request rates to measure, in requests per second.
     #[arg(long, value_delimiter = ',', default_values_t = [10, 100, 1000])]
     rates: Vec<u64>,
 }
--- a/crates/damaskstile-measure/src/load.rs
+++ b/crates/damaskstile-measure/src/load.rs
@@ -1,4 +1,4 @@
-//! `load` sends requests to running instances and tells what became of them.
+//! Load generator for running instances that checks their bills against the targets' runs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,15 +12,15 @@
 use serde_json::{Value, json};
 use tokio::sync::{Mutex, Semaphore};
 
-/// Time that one request may take.
+/// Time limit of one request.
 const REQUEST_LIMIT: Duration = Duration::from_secs(30);
-/// Time in which all bills must be stored after the last answer.
+/// Time within which all bills must be stored after the last answer.
 const BILLS_LIMIT: Duration = Duration::from_secs(10);
 
-/// What to send, and where.
+/// Arguments of the load generator.
 #[derive(Debug, Clone, Args)]
 pub struct LoadArgs {
-    /// Callers' addresses of instances.
+    /// Addresses on which instances accept callers.
     #[arg(long, required = true)]
     instance: Vec<String>,
     /// Address of the platform.
@@ -32,27 +32,27 @@
     /// Budget of the client account.
     #[arg(long)]
     budget: String,
-    /// Service of the model.
+    /// Name of the model service.
     #[arg(long, default_value = "chat")]
     model: String,
-    /// Plain service that every fifth request goes to; none where absent.
+    /// Plain service that every fifth request calls; none if omitted.
     #[arg(long)]
     plain: Option<String>,
     /// Requests to send.
     #[arg(long, default_value_t = 200)]
     requests: u64,
-    /// Requests at a time.
+    /// Maximum number of concurrent requests.
     #[arg(long, default_value_t = 8)]
     at_a_time: usize,
-    /// Makes no direct calls beside those through the fleet.
+    /// Skips the direct calls to a target that are made for comparison.
     #[arg(long)]
     no_direct: bool,
-    /// Tokens of each answer.
+    /// Output tokens of each answer.
     #[arg(long, default_value_t = 8)]
     output_tokens: u64,
 }
 
-/// `Tally` counts outcomes and times.
+/// Outcomes and latencies of the requests.
 #[derive(Debug, Default)]
 struct Tally {
     outcomes: BTreeMap<String, u64>,
@@ -60,7 +60,7 @@
     direct: Vec<Duration>,
 }
 
-/// Runs the load.
+/// Runs the load generator and prints its report.
 pub fn run(args: LoadArgs) -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -71,11 +71,14 @@
 
 async fn load(args: LoadArgs) -> anyhow::Result<()> {
     let platform = Platform::new(&args.platform);
-    let targets = platform.targets().await.context("no list of targets")?;
+    let targets = platform
+        .targets()
+        .await
+        .context("cannot read the list of targets")?;
     let target = targets
         .iter()
         .find(|info| info.service == args.model)
-        .context("no target of the model's service")?;
+        .context("the platform lists no target of the model service")?;
     let bills_before = read_ledger(&args, &platform).await?.bills;
     let tally = Arc::new(Mutex::new(Tally::default()));
     let places = Arc::new(Semaphore::new(args.at_a_time));
@@ -215,13 +218,22 @@
 fn compare(ledger: &Ledger, runs: u64, ran_tokens: u64) -> anyhow::Result<()> {
     let sum = ledger.settled_tokens + ledger.outstanding_tokens() + ledger.free_tokens();
     if sum != ledger.topped_up_tokens {
-        bail!("settled + held + free = {sum}, not what was topped up");
+        bail!(
+            "ledger does not balance: settled + held + free = {sum} tokens, {} topped up",
+            ledger.topped_up_tokens
+        );
     }
     if ledger.bills != runs {
-        bail!("{} bills, {runs} runs at targets", ledger.bills);
+        bail!(
+            "ledger has {} bills, targets executed {runs} runs",
+            ledger.bills
+        );
     }
     if ledger.settled_tokens != ran_tokens {
-        bail!("{} settled, {ran_tokens} ran", ledger.settled_tokens);
+        bail!(
+            "ledger has {} tokens settled, targets processed {ran_tokens}",
+            ledger.settled_tokens
+        );
     }
     println!("bills equal what targets ran");
     Ok(())
@@ -229,11 +241,11 @@
 
 async fn read_ledger(args: &LoadArgs, platform: &Platform) -> anyhow::Result<Ledger> {
     let object = platform.read(&ledger_key(&args.budget)).await?;
-    let object = object.context("no such budget")?;
+    let object = object.with_context(|| format!("no ledger of budget `{}`", args.budget))?;
     Ok(Ledger::try_from_json(&object.value)?)
 }
 
-/// Waits until the bills of all answers are stored.
+/// Waits until `bills` bills are stored, at most [`BILLS_LIMIT`], and returns the ledger.
 async fn settled_ledger(
     args: &LoadArgs,
     platform: &Platform,
@@ -249,7 +261,8 @@
     }
 }
 
-/// Adds up what targets truly ran for the fleet; direct calls bear no account.
+/// Returns the number of runs at all targets and their tokens. Direct calls are left out: they
+/// carry no account.
 async fn truth(platform: &Platform) -> anyhow::Result<(u64, u64)> {
     let mut runs = 0;
     let mut tokens = 0;
--- a/crates/damaskstile-measure/src/main.rs
+++ b/crates/damaskstile-measure/src/main.rs
@@ -1,4 +1,5 @@
-//! `damaskstile-measure` measures: policies over the decision logic, and running processes.
+//! Measurements of a fleet: simulations that compare policies and costs, and a load generator for
+//! running instances.
 
 mod budgets;
 mod claims;
@@ -18,16 +19,18 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Compares policies for the last tokens of a budget, as a table. The same seed gives the
-    /// same table.
+    /// Compares policies for a nearly exhausted budget under faults, as a table. The same seed
+    /// gives the same table.
     Budgets(budgets::BudgetsArgs),
-    /// Measures what non-idempotent requests cost the store, as a table.
+    /// Measures the store load of non-idempotent requests, as a table.
     Claims(claims::ClaimsArgs),
-    /// Compares ways to choose a target, as a table.
+    /// Compares target selection policies, as a table.
     Targets(targets::TargetsArgs),
-    /// Measures what membership and configuration cost at several sizes, as a table.
+    /// Measures the cost of membership and the spread of settings at several fleet sizes, as a
+    /// table.
     Members(members::MembersArgs),
-    /// Sends requests through running instances and compares bills with what targets ran.
+    /// Sends requests through running instances and compares the bills with the runs at the
+    /// targets.
     Load(load::LoadArgs),
 }
 
--- a/crates/damaskstile-measure/src/members.rs
+++ b/crates/damaskstile-measure/src/members.rs
@@ -1,29 +1,31 @@
-//! `members` measures what membership and configuration cost, over real decisions and frames.
+//! Measurement of the cost of membership and of the spread of settings, with the real decision
+//! logic and encoded frames.
 
 use std::time::{Duration, Instant};
 
 use clap::Args;
 use damaskstile_fakes::{World, WorldOptions, options};
 
-/// Time in which instances find one another.
+/// Time for instances to discover each other.
 const WARM_UP: Duration = Duration::from_secs(30);
-/// Time over which the cost is measured.
+/// Virtual time over which the cost is measured.
 const MEASURED: Duration = Duration::from_secs(30);
-/// Time in which news must have reached all.
+/// Time limit for new settings to reach all instances.
 const SPREAD_LIMIT: Duration = Duration::from_secs(30);
 
-/// What to measure.
+/// Arguments of the measurement.
 #[derive(Debug, Clone, Args)]
 pub struct MembersArgs {
-    /// Numbers of members.
+    /// Fleet sizes to measure.
     #[arg(long, value_delimiter = ',', default_values_t = [3, 9, 30, 100])]
     members: Vec<usize>,
-    /// Seed of all choices.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-/// Prints the table. The time of a processor is that of this machine in this run.
+/// Prints the table. The processor time is measured on this machine, as the elapsed time of the
+/// simulation.
 pub fn run(args: &MembersArgs) {
     println!(
         "members\tmessages_per_member_s\tbytes_per_member_s\tcpu_us_per_member_s\t\
@@ -65,7 +67,9 @@
     )
 }
 
-/// Accepts settings, shows them to the watchers, and waits until all have them in force.
+/// Stores new settings, notifies the watching instances, and waits until all instances apply
+/// them. Returns the 95th percentile over the instances that did and the maximum, which is
+/// [`SPREAD_LIMIT`] if an instance did not apply them in time.
 fn spread(world: &mut World) -> (Duration, Duration) {
     let text = format!(
         "[fleet]\nmax_output_tokens = 77\n{}",
--- a/crates/damaskstile-measure/src/targets.rs
+++ b/crates/damaskstile-measure/src/targets.rs
@@ -1,4 +1,4 @@
-//! `targets` compares ways to choose a target, with late load reports and a slow target.
+//! Comparison of target selection policies, with delayed load reports and a slow target.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 const WARM_UP: Duration = Duration::from_secs(3);
 /// Time after the last request.
 const COOL_DOWN: Duration = Duration::from_secs(30);
-/// Prompt of a request, in tokens.
+/// Prompt size of a request, in tokens.
 const PROMPT_TOKENS: u64 = 50;
-/// Cap of an answer, in tokens.
+/// Output cap of a request, in tokens.
 const CAP_TOKENS: u64 = 200;
 
-/// What to compare.
+/// Arguments of the comparison.
 #[derive(Debug, Clone, Args)]
 pub struct TargetsArgs {
     /// Seed of the workloads.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Requests of each row.
+    /// Requests per row of the table.
     #[arg(long, default_value_t = 3000)]
     requests: u64,
 }
@@ -51,11 +51,12 @@
     },
 ];
 
-/// Instances of either shape.
+/// Number of instances of each shape.
 const INSTANCES: usize = 9;
-/// Requests that a target runs at a time.
+/// Requests that a target runs concurrently.
 const SLOTS: u64 = 4;
-/// Time between two chunks; an answer has four, so a target answers 20 requests a second.
+/// Time between two chunks. An answer has four chunks, so a target with four slots nominally
+/// answers 20 requests per second; the interval before the end of the run is not counted.
 const PACE: Duration = Duration::from_millis(50);
 
 /// Prints the table.
@@ -87,7 +88,7 @@
         target.pace = PACE * 10;
     }
     world.run_for(WARM_UP);
-    // About seven tenths of what the targets can do.
+    // 70% of the nominal capacity of the targets, 20 requests per second each.
     let targets = u32::try_from(shape.targets).unwrap_or(1);
     let interval = Duration::from_secs(1) / (20 * targets * 7 / 10);
     let mut random = Random::new(args.seed);
--- a/crates/damaskstile-standins/src/bin/standin-platform.rs
+++ b/crates/damaskstile-standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! `standin-platform` runs the stand-in of the platform.
+//! Runs the stand-in platform.
 
 use clap::Parser;
 use damaskstile_standins::{platform, serve};
--- a/crates/damaskstile-standins/src/bin/standin-target.rs
+++ b/crates/damaskstile-standins/src/bin/standin-target.rs
@@ -1,4 +1,4 @@
-//! `standin-target` runs the stand-in of a target and puts it on the platform's list.
+//! Runs a stand-in target and adds it to the platform's target list.
 
 use std::time::Duration;
 
@@ -18,19 +18,19 @@
     /// Name of the target.
     #[arg(long)]
     name: String,
-    /// Service that it serves.
+    /// Service that the target provides.
     #[arg(long)]
     service: String,
-    /// Data centre that it stands in.
+    /// Data centre of the target.
     #[arg(long, default_value = "")]
     data_centre: String,
     /// Time between two tokens, in milliseconds.
     #[arg(long, default_value_t = 2)]
     pace_ms: u64,
-    /// Tokens that a call of a plain service counts as.
+    /// Price of a call of a plain service, in tokens.
     #[arg(long, default_value_t = 0)]
     price_tokens: u64,
-    /// Requests that run at a time.
+    /// Reported number of slots; model requests beyond twice this number are refused.
     #[arg(long, default_value_t = 64)]
     slots: u64,
 }
--- a/crates/damaskstile-standins/src/lib.rs
+++ b/crates/damaskstile-standins/src/lib.rs
@@ -1,7 +1,6 @@
-//! `damaskstile-standins` stands in for the systems around the fleet, in tests and the demo.
+//! Stand-ins for the platform and the targets, for tests and the demo. Not part of the product.
 //!
-//! It is not part of the product: a small platform and a small target, with faults that are set
-//! over HTTP while they run.
+//! They are small HTTP servers whose faults can be changed over HTTP while they run.
 
 pub mod platform;
 pub mod target;
@@ -12,11 +11,11 @@
 use http::{Response, StatusCode};
 use serde::Serialize;
 
-/// Starts a server on an address; `:0` takes any free port.
+/// Starts a server on an address; port 0 selects any free port.
 ///
 /// # Errors
 ///
-/// Returns an error where the address cannot be had.
+/// Returns an error if the address is invalid or cannot be bound.
 pub fn serve<C: Send + Sync + 'static>(
     address: &str,
     api: dropshot::ApiDescription<C>,
@@ -37,10 +36,10 @@
     Ok(starter.start())
 }
 
-/// What the stand-ins' handlers give to the server.
+/// Result of a stand-in's request handler.
 pub(crate) type Answer = Result<Response<Body>, HttpError>;
 
-/// Makes an answer of a JSON value.
+/// Creates a response with a JSON body.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
     let text = serde_json::to_string(value)
         .map_err(|error| HttpError::for_internal_error(error.to_string()))?;
--- a/crates/damaskstile-standins/src/platform.rs
+++ b/crates/damaskstile-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! `platform` stands in for the platform: objects with versions, watches, a lagging target list.
+//! Stand-in for the platform: versioned objects, watches and a target list that can lag.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -15,35 +15,35 @@
 
 use crate::{Answer, json};
 
-/// `Faults` are set while the platform runs.
+/// Faults of the platform, which can be changed while it runs.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Delay of each call, in milliseconds.
+    /// Delay of each call of the object API and the target list, in milliseconds.
     pub delay_ms: u64,
-    /// Whether every call fails.
+    /// Whether these calls fail as unavailable.
     pub is_out: bool,
-    /// Writes from now on that take effect and whose answers are lost.
+    /// Number of upcoming writes that take effect but are answered as unavailable.
     pub lose_answers: u64,
     /// Age of the target list, in milliseconds.
     pub list_lag_ms: u64,
-    /// Delay of watches, in milliseconds.
+    /// Delay between a change and the answers of watches, in milliseconds.
     pub watch_lag_ms: u64,
-    /// Watches from now on that get no answer.
+    /// Number of upcoming watches that are never answered.
     pub lose_watches: u64,
 }
 
-/// `Counts` counts calls since the start.
+/// Number of calls since the start, by kind.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Counts {
-    /// Reads and lists.
+    /// Reads of objects, lists of objects and lists of targets.
     pub reads: u64,
-    /// Writes, whether they took effect or not.
+    /// Writes, conflicts included.
     pub writes: u64,
-    /// Watches, one for each wait.
+    /// Watch calls.
     pub watches: u64,
-    /// Writes that met another version.
+    /// Writes rejected because the expected version was not the current one.
     pub conflicts: u64,
 }
 
@@ -52,13 +52,13 @@
     objects: BTreeMap<String, Object>,
     revision: u64,
     targets: BTreeMap<String, TargetInfo>,
-    /// Past lists of targets, oldest first, for the lag.
+    /// History of the target list, oldest first, for serving it with a lag.
     lists: Vec<(Instant, Vec<TargetInfo>)>,
     faults: Faults,
     counts: Counts,
 }
 
-/// `Platform` is the context of the stand-in.
+/// State of the stand-in, shared by its request handlers.
 #[derive(Debug, Default)]
 pub struct Platform {
     state: Mutex<State>,
@@ -66,7 +66,7 @@
 }
 
 impl Platform {
-    /// Makes a platform without objects.
+    /// Creates a platform without objects or targets.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    /// Counts a watch; returns whether it is lost.
+    /// Counts a watch call and returns whether it is to remain unanswered.
     fn take_watch(&self) -> bool {
         let mut state = self.state();
         state.counts.watches += 1;
@@ -138,7 +138,7 @@
     }
 }
 
-/// Writes an object if the expected version stands.
+/// Writes an object if its current version is the expected one; 0 expects no object.
 #[endpoint { method = PUT, path = "/objects/{key:.*}", unpublished = true }]
 async fn write_object(
     rqctx: RequestContext<Platform>,
@@ -184,7 +184,7 @@
     }
 }
 
-/// Waits for a newer version of an object.
+/// Waits for a newer version of an object; answers `null` after `wait_ms` without one.
 #[endpoint { method = GET, path = "/watch/{key:.*}", unpublished = true }]
 async fn watch_object(
     rqctx: RequestContext<Platform>,
@@ -220,7 +220,7 @@
     }
 }
 
-/// Lists keys and versions.
+/// Lists the keys and versions of the objects whose keys start with a prefix.
 #[endpoint { method = GET, path = "/list" }]
 async fn list_objects(rqctx: RequestContext<Platform>, query: Query<ListQuery>) -> Answer {
     let platform = rqctx.context();
@@ -239,7 +239,7 @@
     json(StatusCode::OK, &keys)
 }
 
-/// Gives the list of targets as it was a while ago.
+/// Lists the targets as of `list_lag_ms` ago.
 #[endpoint { method = GET, path = "/targets" }]
 async fn list_targets(rqctx: RequestContext<Platform>) -> Answer {
     let platform = rqctx.context();
@@ -259,7 +259,7 @@
     json(StatusCode::OK, &list)
 }
 
-/// Puts a target on the list, or changes it.
+/// Adds a target to the list or replaces its entry.
 #[endpoint { method = PUT, path = "/targets/{name}" }]
 async fn put_target(
     rqctx: RequestContext<Platform>,
@@ -274,7 +274,7 @@
     json(StatusCode::OK, &"put")
 }
 
-/// Takes a target off the list.
+/// Removes a target from the list.
 #[endpoint { method = DELETE, path = "/targets/{name}" }]
 async fn delete_target(rqctx: RequestContext<Platform>, path: Path<NamePath>) -> Answer {
     let mut state = rqctx.context().state();
@@ -288,25 +288,25 @@
     state.lists.push((Instant::now(), list));
 }
 
-/// Sets the faults.
+/// Replaces the faults.
 #[endpoint { method = PUT, path = "/faults" }]
 async fn put_faults(rqctx: RequestContext<Platform>, body: TypedBody<Faults>) -> Answer {
     rqctx.context().state().faults = body.into_inner();
     json(StatusCode::OK, &"set")
 }
 
-/// Gives the counts of calls.
+/// Returns the number of calls since the start, by kind.
 #[endpoint { method = GET, path = "/counts" }]
 async fn get_counts(rqctx: RequestContext<Platform>) -> Answer {
     let counts = rqctx.context().state().counts.clone();
     json(StatusCode::OK, &counts)
 }
 
-/// Makes the API of the stand-in.
+/// Builds the API of the stand-in.
 ///
 /// # Errors
 ///
-/// Returns an error where endpoints clash.
+/// Returns an error if two endpoints conflict.
 pub fn api() -> anyhow::Result<ApiDescription<Platform>> {
     let mut api = ApiDescription::new();
     api.register(read_object)?;
--- a/crates/damaskstile-standins/src/target.rs
+++ b/crates/damaskstile-standins/src/target.rs
@@ -1,4 +1,4 @@
-//! `target` stands in for a target: a model engine's replica or a plain service.
+//! HTTP API of the stand-in for a target: a replica of a model engine or a plain service.
 
 mod engine;
 
@@ -20,13 +20,13 @@
 
 pub use engine::{Engine, Faults, Run, StartError};
 
-/// Header that names the run.
+/// Header with the identifier of the run.
 pub const RUN_HEADER: &str = "x-damaskstile-run";
-/// Header that names the client account.
+/// Header with the name of the client account.
 pub const ACCOUNT_HEADER: &str = "x-damaskstile-account";
-/// Header that names the request's key.
+/// Header with the key of the request.
 pub const KEY_HEADER: &str = "x-damaskstile-key";
-/// Header that says from which chunk on a run is resumed.
+/// Header with the index of the chunk from which a run is resumed.
 pub const RESUME_HEADER: &str = "x-damaskstile-resume-from";
 
 #[derive(Debug, Deserialize, JsonSchema)]
@@ -39,15 +39,16 @@
     path: Vec<String>,
 }
 
-/// `Order` changes what a target serves; it carries a fencing number.
+/// A platform's order to a target, such as to load a model, with a fencing number.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// Fencing number; a target that checks refuses one below the highest it has seen.
+    /// Fencing number; a target that checks it refuses an order unless its number is higher than
+    /// those of all orders accepted before.
     pub fencing: u64,
-    /// What to do, such as `load_model`.
+    /// Action, such as `load_model`.
     pub order: String,
-    /// What to do it with, such as the model's name.
+    /// Argument of the action, such as the name of a model.
     pub argument: String,
 }
 
@@ -116,7 +117,7 @@
     )
 }
 
-/// Tells how a run went. A run that was never seen cannot start any more afterwards.
+/// Returns the state of a run. An unknown run is fenced, so that it cannot start later.
 #[endpoint { method = GET, path = "/v1/runs/{run}" }]
 async fn get_run(rqctx: RequestContext<Arc<Engine>>, path: Path<RunPath>) -> Answer {
     let state = rqctx.context().state_of(&path.into_inner().run);
@@ -130,30 +131,30 @@
     json(StatusCode::OK, &"cancelled")
 }
 
-/// Reports the load, which lags.
+/// Returns the status of the target, with its load as of `report_lag_ms` ago.
 #[endpoint { method = GET, path = "/status" }]
 async fn get_status(rqctx: RequestContext<Arc<Engine>>) -> Answer {
     json(StatusCode::OK, &rqctx.context().status())
 }
 
-/// Gives the list of what truly ran.
+/// Returns all runs that the target executed, as the reference for billing.
 #[endpoint { method = GET, path = "/ledger" }]
 async fn get_ledger(rqctx: RequestContext<Arc<Engine>>) -> Answer {
     json(StatusCode::OK, &rqctx.context().ledger())
 }
 
-/// Sets the faults.
+/// Replaces the faults.
 #[endpoint { method = PUT, path = "/faults" }]
 async fn put_faults(rqctx: RequestContext<Arc<Engine>>, body: TypedBody<Faults>) -> Answer {
     rqctx.context().set_faults(body.into_inner());
     json(StatusCode::OK, &"set")
 }
 
-/// Takes an order.
+/// Executes an order.
 #[endpoint { method = PUT, path = "/orders" }]
 async fn put_order(rqctx: RequestContext<Arc<Engine>>, body: TypedBody<Order>) -> Answer {
     let order = body.into_inner();
-    // A real order takes a while; the stand-in only keeps it.
+    // A real order takes a while; the stand-in records it and applies only `drain` and `return`.
     tokio::time::sleep(Duration::from_millis(1)).await;
     if rqctx.context().order(order) {
         json(StatusCode::OK, &"done")
@@ -162,17 +163,17 @@
     }
 }
 
-/// Lists the orders that were taken.
+/// Lists the accepted orders.
 #[endpoint { method = GET, path = "/orders" }]
 async fn get_orders(rqctx: RequestContext<Arc<Engine>>) -> Answer {
     json(StatusCode::OK, &rqctx.context().orders())
 }
 
-/// Makes the API of the stand-in.
+/// Builds the API of the stand-in.
 ///
 /// # Errors
 ///
-/// Returns an error where endpoints clash.
+/// Returns an error if two endpoints conflict.
 pub fn api() -> anyhow::Result<ApiDescription<Arc<Engine>>> {
     let mut api = ApiDescription::new();
     api.register(complete)?;
--- a/crates/damaskstile-standins/src/target/engine.rs
+++ b/crates/damaskstile-standins/src/target/engine.rs
@@ -1,4 +1,4 @@
-//! `engine` runs requests with paced tokens and keeps the truth of what ran.
+//! Simulated model engine that generates tokens at a set rate and records what it ran.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,30 +11,31 @@
 
 use super::Order;
 
-/// Tokens of an answer whose prompt names no number.
+/// Output tokens of an answer whose prompt does not contain `n=` and a number.
 const TOKENS_USUAL: u64 = 16;
 
-/// `Faults` are set while the target runs.
+/// Behaviour and faults of the target, which can be changed while it runs.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Time between two tokens, in milliseconds.
+    /// Time between two tokens, in milliseconds; also the duration of a plain call.
     pub pace_ms: u64,
-    /// Tokens that a call of a plain service counts as.
+    /// Price of a call of a plain service, in tokens.
     pub price_tokens: u64,
-    /// Requests that run at a time; more are refused at twice the number.
+    /// Number of slots that the target reports. All accepted requests run at once; new ones are
+    /// refused once twice this number are running.
     pub slots_requests: u64,
     /// Whether the target is leaving and refuses new work.
     pub is_leaving: bool,
-    /// Runs from now on that are refused.
+    /// Number of upcoming runs that are refused.
     pub refuse_runs: u64,
-    /// Runs from now on whose stream is cut after so many chunks.
+    /// Number of upcoming runs whose stream is cut after `cut_after_chunks` chunks.
     pub cut_runs: u64,
-    /// Chunks after which streams are cut.
+    /// Number of chunks after which a stream is cut.
     pub cut_after_chunks: u64,
-    /// Age of load reports, in milliseconds.
+    /// Age of the reported load, in milliseconds.
     pub report_lag_ms: u64,
-    /// Whether fencing numbers are checked.
+    /// Whether the fencing numbers of orders are checked.
     pub checks_fencing: bool,
 }
 
@@ -54,11 +55,11 @@
     }
 }
 
-/// `Run` is what truly ran.
+/// A run as the target executed it, whatever instances know of it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// Name of the run.
+    /// Identifier of the run.
     pub run: String,
     /// Client account.
     pub account: String,
@@ -66,9 +67,9 @@
     pub key: String,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens that were generated.
+    /// Output tokens generated so far.
     pub output_tokens: u64,
-    /// Whether it is over.
+    /// Whether the run has finished or was cancelled.
     pub has_ended: bool,
 }
 
@@ -90,20 +91,20 @@
     own_runs: u64,
 }
 
-/// `StartError` tells why a run was refused.
+/// Reason for which a run was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartError {
-    /// All slots and the queue are taken.
+    /// Twice as many runs as slots are in progress, or the refusal is an injected fault.
     Busy,
     /// The target is leaving.
     Leaving,
-    /// A run that was to be resumed is not known, or the run was fenced off.
+    /// The run to be resumed is unknown, or the run is fenced.
     Unknown,
-    /// The body is no request.
+    /// The body is not a valid completion request.
     Malformed,
 }
 
-/// `Engine` runs requests.
+/// Simulated engine with its runs, faults and orders.
 #[derive(Debug, Default)]
 pub struct Engine {
     state: Mutex<State>,
@@ -121,7 +122,7 @@
 }
 
 impl Engine {
-    /// Makes an engine that runs with these faults.
+    /// Creates an engine with the given faults.
     #[must_use]
     pub fn new(faults: Faults) -> Arc<Self> {
         let engine = Self::default();
@@ -133,18 +134,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes a name for a run that came without one.
+    /// Generates an identifier for a run that was sent without one.
     pub fn own_run_name(&self) -> String {
         let mut state = self.state();
         state.own_runs += 1;
         format!("own-{}", state.own_runs)
     }
 
-    /// Starts a run, or finds the one that is to be resumed.
+    /// Starts a run. A run that is known already is accepted and goes on.
     ///
     /// # Errors
     ///
-    /// Returns why the run was refused; then it has not run.
+    /// Returns the reason for which the run was refused; a refused run has not started.
     pub fn start(
         self: &Arc<Self>,
         run: &str,
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Runs a call of a plain service; returns whether it may run.
+    /// Executes a call of a plain service. Returns `false` without executing it if it is fenced.
     pub async fn start_plain(&self, run: &str, account: &str, key: &str) -> bool {
         let pace = {
             let mut state = self.state();
@@ -254,7 +255,8 @@
         true
     }
 
-    /// Waits for the event at a position of a run's stream; `None` ends the stream.
+    /// Waits for the event at a position of a run's stream: the chunks, then the usage, then
+    /// `[DONE]`. `None` ends the stream.
     pub async fn next_event(&self, run: &str, position: usize) -> Option<String> {
         loop {
             let changed = {
@@ -277,12 +279,12 @@
                 Arc::clone(&live.changed)
             };
             let wait = changed.notified();
-            // The change may have come between the look and the wait; so the wait is short.
+            // A notification between the check and the wait is missed, so the wait is short.
             let _ = tokio::time::timeout(Duration::from_millis(5), wait).await;
         }
     }
 
-    /// Tells how a run went. A run that was never seen is fenced off.
+    /// Returns the state of a run. An unknown run is fenced, so that it cannot start later.
     pub fn state_of(&self, run: &str) -> RunState {
         let mut state = self.state();
         match state.runs.get_mut(run) {
@@ -301,7 +303,7 @@
         }
     }
 
-    /// Ends a run where it is.
+    /// Cancels a run; the tokens generated so far still count.
     pub fn cancel(&self, run: &str) {
         let mut state = self.state();
         if let Some(live) = state.runs.get_mut(run) {
@@ -311,7 +313,7 @@
         note_load(&mut state);
     }
 
-    /// Reports the load as it was a while ago.
+    /// Returns the status of the target, with its load as of `report_lag_ms` ago.
     pub fn status(&self) -> TargetStatus {
         let state = self.state();
         let lag = Duration::from_millis(state.faults.report_lag_ms);
@@ -329,18 +331,18 @@
         }
     }
 
-    /// Returns what truly ran.
+    /// Returns all runs that the target executed.
     pub fn ledger(&self) -> Vec<Run> {
         let state = self.state();
         state.runs.values().map(|live| live.run.clone()).collect()
     }
 
-    /// Sets the faults.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
 
-    /// Takes an order. Returns whether its fencing number was accepted.
+    /// Executes an order. Returns whether its fencing number was accepted.
     pub fn order(&self, order: Order) -> bool {
         let mut state = self.state();
         let highest = state.orders.iter().map(|order| order.fencing).max();
@@ -357,7 +359,7 @@
         true
     }
 
-    /// Returns the orders that were taken.
+    /// Returns the accepted orders.
     pub fn orders(&self) -> Vec<Order> {
         self.state().orders.clone()
     }
