--- a/crates/damaskstile-fakes/src/answered.rs
+++ b/crates/damaskstile-fakes/src/call_record.rs
@@ -6,7 +6,7 @@
 
 /// A call and what its caller has received so far.
 #[derive(Debug, Clone, Default)]
-pub struct Answered {
+pub struct CallRecord {
     /// Instance that was called.
     pub instance: InstanceId,
     /// Incarnation that was called; 0 if the instance was not running.
@@ -22,9 +22,9 @@
     /// When the request was first sent to a target.
     pub sent_at: Option<Duration>,
     /// When the first chunk arrived.
-    pub first_piece_at: Option<Duration>,
+    pub first_chunk_at: Option<Duration>,
     /// Data of the chunks received so far.
-    pub pieces: Vec<String>,
+    pub chunks: Vec<String>,
     /// Final outcome; `None` while the call is open.
     pub outcome: Option<Outcome>,
     /// When the final outcome arrived.
--- a/crates/damaskstile-fakes/src/check.rs
+++ b/crates/damaskstile-fakes/src/check.rs
@@ -35,11 +35,11 @@
 /// Returns the promise that is broken.
 pub fn at_the_end(world: &World) -> Result<(), String> {
     always(world)?;
-    answers_are_whole(world)?;
-    refused_has_not_run(world)?;
-    claimed_runs_once(world)?;
+    answers_are_complete(world)?;
+    refused_requests_did_not_run(world)?;
+    non_idempotent_requests_run_once(world)?;
     calls_are_answered(world)?;
-    bills_are_single(world)
+    bills_are_unique(world)
 }
 
 /// Returns all ledger entries of a budget: those in stored bill pages, then pending ones.
@@ -58,7 +58,7 @@
 }
 
 /// An answered caller received all chunks of a run of its own request and no other chunk.
-fn answers_are_whole(world: &World) -> Result<(), String> {
+fn answers_are_complete(world: &World) -> Result<(), String> {
     for (handle, answered) in &world.answers {
         let Some(Outcome::Answered(receipt)) = &answered.outcome else {
             continue;
@@ -72,9 +72,9 @@
                 .is_some_and(|ran| &ran.key == key)
         };
         let Some(run) = answered
-            .pieces
+            .chunks
             .first()
-            .and_then(|piece| piece.split_once('#'))
+            .and_then(|chunk| chunk.split_once('#'))
             .map(|(run, _)| run.to_owned())
             .filter(is_own)
         else {
@@ -83,11 +83,11 @@
             ));
         };
         let chunks = world.targets.runs[&run].chunks.len();
-        let whole: Vec<String> = (0..chunks).map(|index| chunk_data(&run, index)).collect();
-        if answered.pieces != whole {
+        let expected: Vec<String> = (0..chunks).map(|index| chunk_data(&run, index)).collect();
+        if answered.chunks != expected {
             return Err(format!(
                 "call {handle}: incomplete or wrong chunks {:?}",
-                answered.pieces
+                answered.chunks
             ));
         }
     }
@@ -95,12 +95,12 @@
 }
 
 /// A request refused as not run was never started at a target.
-fn refused_has_not_run(world: &World) -> Result<(), String> {
+fn refused_requests_did_not_run(world: &World) -> Result<(), String> {
     for (handle, answered) in &world.answers {
         let is_refused = answered.outcome.as_ref().is_some_and(Outcome::is_not_run);
         // A key shared by several calls may have run for another of them.
-        let is_only_call = world.calls_of(&answered.key) == 1;
-        if is_refused && is_only_call && world.targets.starts_of(&answered.key) > 0 {
+        let is_only_call = world.call_count(&answered.key) == 1;
+        if is_refused && is_only_call && world.targets.start_count(&answered.key) > 0 {
             return Err(format!(
                 "call {handle}: refused as not run, but a run was started"
             ));
@@ -110,9 +110,9 @@
 }
 
 /// A non-idempotent request runs at most once.
-fn claimed_runs_once(world: &World) -> Result<(), String> {
+fn non_idempotent_requests_run_once(world: &World) -> Result<(), String> {
     for key in &world.non_idempotent {
-        let starts = world.targets.starts_of(key);
+        let starts = world.targets.start_count(key);
         if starts > 1 {
             return Err(format!("request {key}: non-idempotent, ran {starts} times"));
         }
@@ -133,7 +133,7 @@
 }
 
 /// No run is entered twice and no request is billed twice.
-fn bills_are_single(world: &World) -> Result<(), String> {
+fn bills_are_unique(world: &World) -> Result<(), String> {
     let mut runs = BTreeSet::new();
     let mut bills = BTreeSet::new();
     for entry in entries(world, "office") {
--- a/crates/damaskstile-fakes/src/fake_run.rs
+++ b/crates/damaskstile-fakes/src/fake_run.rs
@@ -18,7 +18,7 @@
     /// Number of tokens of each chunk of the full answer.
     pub chunks: Vec<u64>,
     /// Number of chunks generated so far.
-    pub made_chunks: usize,
+    pub generated_chunks: usize,
     /// When the run was accepted.
     pub started_at: Duration,
     /// Instance that receives the stream.
--- a/crates/damaskstile-fakes/src/fake_target.rs
+++ b/crates/damaskstile-fakes/src/fake_target.rs
@@ -8,7 +8,7 @@
     /// Entry of the target in the platform's list.
     pub info: TargetInfo,
     /// Time between two chunks of an answer.
-    pub pace: Duration,
+    pub chunk_interval: Duration,
     /// Requests that it runs concurrently.
     pub slots_requests: u64,
     /// When it started leaving; `None` if it is not leaving.
@@ -20,5 +20,5 @@
     /// Number of upcoming streams that break after their first chunk.
     pub cut_runs: u64,
     /// Number of unfinished runs over time, oldest first, for delayed load reports.
-    pub(crate) loads: Vec<(Duration, u64)>,
+    pub(crate) load_history: Vec<(Duration, u64)>,
 }
--- a/crates/damaskstile-fakes/src/lib.rs
+++ b/crates/damaskstile-fakes/src/lib.rs
@@ -4,7 +4,7 @@
 //! Used by tests and measurements. Time is virtual and every random choice is derived from a
 //! seed, so the same scenario gives the same result on every run.
 
-pub mod answered;
+pub mod call_record;
 pub mod check;
 pub mod fake_run;
 pub mod fake_target;
@@ -16,7 +16,7 @@
 pub mod work;
 pub mod world;
 
-pub use answered::Answered;
+pub use call_record::CallRecord;
 pub use network::Network;
 pub use options::WorldOptions;
 pub use store::FakeStore;
--- a/crates/damaskstile-fakes/src/network.rs
+++ b/crates/damaskstile-fakes/src/network.rs
@@ -25,7 +25,7 @@
 impl Network {
     /// Returns whether two instances can reach each other.
     #[must_use]
-    pub fn is_joined(&self, one: &str, other: &str) -> bool {
+    pub fn is_connected(&self, one: &str, other: &str) -> bool {
         self.island.contains(one) == self.island.contains(other)
     }
 
@@ -41,15 +41,15 @@
     pub fn deliveries(&self, random: &mut Random, delay: Duration) -> Vec<Duration> {
         let mut copies = Vec::new();
         if random.below(100) >= self.loss_percent {
-            copies.push(delay + self.extra(random));
+            copies.push(delay + self.random_jitter(random));
         }
         if random.below(100) < self.twice_percent {
-            copies.push(delay + self.extra(random));
+            copies.push(delay + self.random_jitter(random));
         }
         copies
     }
 
-    fn extra(&self, random: &mut Random) -> Duration {
+    fn random_jitter(&self, random: &mut Random) -> Duration {
         let micros = u64::try_from(self.jitter.as_micros()).unwrap_or(0);
         Duration::from_micros(random.below(micros + 1))
     }
--- a/crates/damaskstile-fakes/src/options.rs
+++ b/crates/damaskstile-fakes/src/options.rs
@@ -19,7 +19,7 @@
     /// Requests that a target runs concurrently.
     pub slots_requests: u64,
     /// Time between two chunks of an answer.
-    pub pace: Duration,
+    pub chunk_interval: Duration,
     /// One-way delay of a message within a data centre.
     pub near_delay: Duration,
     /// One-way delay of a message between data centres.
@@ -44,7 +44,7 @@
             instances: 3,
             targets: 3,
             slots_requests: 64,
-            pace: Duration::from_millis(10),
+            chunk_interval: Duration::from_millis(10),
             near_delay: Duration::from_micros(200),
             far_delay: Duration::from_micros(500),
             store_delay: Duration::from_millis(4),
--- a/crates/damaskstile-fakes/src/oracle.rs
+++ b/crates/damaskstile-fakes/src/oracle.rs
@@ -30,25 +30,25 @@
         .topped_up_tokens
         .saturating_sub(world.targets.ran(account))
         .saturating_sub(reserved);
-    let at_store = if world.network.has_store(instance) && !world.store.is_out {
+    let in_store = if world.network.has_store(instance) && !world.store.is_out {
         ledger.free_tokens()
     } else {
         0
     };
     let at_peers: u64 = world
         .live_instances()
-        .filter(|(name, _)| world.network.is_joined(name, instance))
+        .filter(|(name, _)| world.network.is_connected(name, instance))
         .map(|(_, peer)| peer.free_tokens(budget))
         .sum();
     Verdict {
         is_false: unspent >= worst,
-        is_reachable_false: at_store.saturating_add(at_peers) >= worst,
+        is_reachable_false: in_store.saturating_add(at_peers) >= worst,
     }
 }
 
 /// Returns whether an outcome is a refusal for lack of budget.
 #[must_use]
-pub fn is_refusal_for_money(outcome: &Outcome) -> bool {
+pub fn is_budget_refusal(outcome: &Outcome) -> bool {
     matches!(
         outcome,
         Outcome::NotRun {
--- a/crates/damaskstile-fakes/src/store.rs
+++ b/crates/damaskstile-fakes/src/store.rs
@@ -84,11 +84,11 @@
 
     fn write(&mut self, key: &str, expected_version: Version, value: String) -> StoreAnswer {
         self.writes += 1;
-        let standing = self.get(key).cloned();
-        let version = standing.as_ref().map_or(0, |object| object.version);
+        let current = self.get(key).cloned();
+        let version = current.as_ref().map_or(0, |object| object.version);
         if version != expected_version {
             self.conflicts += 1;
-            return StoreAnswer::Conflict(standing);
+            return StoreAnswer::Conflict(current);
         }
         let version = self.put(key, value);
         if self.lose_answers > 0 {
--- a/crates/damaskstile-fakes/src/targets.rs
+++ b/crates/damaskstile-fakes/src/targets.rs
@@ -11,7 +11,7 @@
     /// The run was accepted and has a slot.
     Started,
     /// The run was accepted and is queued for a slot.
-    Waiting,
+    Queued,
     /// The run is known already and is resumed for a new listener.
     Resumed,
     /// The target refused the run, which has not started.
@@ -39,7 +39,13 @@
 
 impl FakeTargets {
     /// Adds a target.
-    pub fn add(&mut self, name: &str, service: &str, pace: Duration, slots_requests: u64) {
+    pub fn add(
+        &mut self,
+        name: &str,
+        service: &str,
+        chunk_interval: Duration,
+        slots_requests: u64,
+    ) {
         let info = TargetInfo {
             target: name.to_owned(),
             address: format!("at-{name}"),
@@ -49,13 +55,13 @@
         };
         let target = FakeTarget {
             info,
-            pace,
+            chunk_interval,
             slots_requests,
             leaving_since: None,
             is_refusing: false,
             is_down: false,
             cut_runs: 0,
-            loads: Vec::new(),
+            load_history: Vec::new(),
         };
         self.targets.insert(name.to_owned(), target);
     }
@@ -94,7 +100,7 @@
             let late = now.saturating_sub(since);
             self.latest_start_after_leaving = self.latest_start_after_leaving.max(late);
         }
-        let chunks = chunks_of(output_tokens.min(dispatch.cap_tokens));
+        let chunks = split_into_chunks(output_tokens.min(dispatch.cap_tokens));
         *self.ran_tokens.entry(dispatch.account.clone()).or_default() += prompt_tokens;
         let run = FakeRun {
             target: dispatch.target.clone(),
@@ -103,18 +109,18 @@
             prompt_tokens,
             output_tokens: 0,
             chunks,
-            made_chunks: 0,
+            generated_chunks: 0,
             started_at: now,
             listener: Some(listener.to_owned()),
             has_slot: running < slots,
             has_ended: false,
         };
         self.runs.insert(dispatch.run.clone(), run);
-        self.note_load(now, &dispatch.target);
+        self.record_load(now, &dispatch.target);
         if running < slots {
             Start::Started
         } else {
-            Start::Waiting
+            Start::Queued
         }
     }
 
@@ -124,21 +130,21 @@
         let Some(run) = self.runs.get_mut(id) else {
             return false;
         };
-        let next = run.chunks.get(run.made_chunks).copied();
+        let next = run.chunks.get(run.generated_chunks).copied();
         let Some(tokens) = next.filter(|_| !run.has_ended) else {
             run.has_ended = true;
             let target = run.target.clone();
-            self.note_load(now, &target);
+            self.record_load(now, &target);
             return false;
         };
-        run.made_chunks += 1;
+        run.generated_chunks += 1;
         run.output_tokens += tokens;
         *self.ran_tokens.entry(run.account.clone()).or_default() += tokens;
         true
     }
 
     /// Assigns a free slot of a target to its longest-queued run and returns that run.
-    pub fn next_waiting(&mut self, target: &str) -> Option<RunId> {
+    pub fn next_queued(&mut self, target: &str) -> Option<RunId> {
         let waiting = self
             .runs
             .iter_mut()
@@ -152,7 +158,7 @@
     #[must_use]
     pub fn chunk(&self, id: &RunId, index: usize) -> Option<RunReport> {
         let run = self.runs.get(id)?;
-        (index < run.made_chunks).then(|| RunReport::Chunk {
+        (index < run.generated_chunks).then(|| RunReport::Chunk {
             index: u64::try_from(index).unwrap_or(u64::MAX),
             tokens: run.chunks[index],
             data: chunk_data(id, index),
@@ -163,8 +169,8 @@
     #[must_use]
     pub fn finished(&self, id: &RunId) -> Option<RunReport> {
         let run = self.runs.get(id)?;
-        let is_whole = run.made_chunks == run.chunks.len();
-        (run.has_ended && is_whole).then(|| RunReport::Finished {
+        let is_complete = run.generated_chunks == run.chunks.len();
+        (run.has_ended && is_complete).then(|| RunReport::Finished {
             chunks: u64::try_from(run.chunks.len()).unwrap_or(u64::MAX),
             prompt_tokens: run.prompt_tokens,
             output_tokens: run.output_tokens,
@@ -196,7 +202,7 @@
     pub fn status(&self, now: Duration, target: &str, lag: Duration) -> Option<TargetStatus> {
         let target = self.targets.get(target).filter(|target| !target.is_down)?;
         let in_flight_requests = target
-            .loads
+            .load_history
             .iter()
             .rev()
             .find(|(at, _)| *at + lag <= now)
@@ -221,7 +227,7 @@
 
     /// Returns the number of runs that were started for a request.
     #[must_use]
-    pub fn starts_of(&self, key: &str) -> usize {
+    pub fn start_count(&self, key: &str) -> usize {
         self.runs.values().filter(|run| run.key == key).count()
     }
 
@@ -231,10 +237,10 @@
         self.ran_tokens.get(account).copied().unwrap_or(0)
     }
 
-    fn note_load(&mut self, now: Duration, target: &str) {
+    fn record_load(&mut self, now: Duration, target: &str) {
         let load = self.running(target);
         if let Some(target) = self.targets.get_mut(target) {
-            target.loads.push((now, load));
+            target.load_history.push((now, load));
         }
     }
 }
@@ -246,7 +252,7 @@
 }
 
 /// Splits an answer into at most four chunks, to keep the number of events low.
-fn chunks_of(output_tokens: u64) -> Vec<u64> {
+fn split_into_chunks(output_tokens: u64) -> Vec<u64> {
     if output_tokens == 0 {
         return vec![0];
     }
--- a/crates/damaskstile-fakes/src/world.rs
+++ b/crates/damaskstile-fakes/src/world.rs
@@ -2,7 +2,7 @@
 //! the instances.
 
 mod deliver;
-mod due;
+mod scheduled;
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,20 +11,20 @@
 use damaskstile::core::prelude::*;
 use damaskstile::{Instance, InstanceOptions};
 
-use crate::answered::Answered;
+use crate::call_record::CallRecord;
 use crate::network::Network;
 use crate::options::WorldOptions;
 use crate::oracle::{self, Verdict};
 use crate::store::FakeStore;
 use crate::targets::FakeTargets;
 pub use crate::work::Work;
-use due::Due;
+use scheduled::Scheduled;
 
 /// Time since the Unix epoch at which every scenario starts.
 pub const STARTED_AT: Duration = Duration::from_hours(500_000);
 
 /// Consecutive actions without progress of time after which a scenario is aborted.
-const STEPS_AT_ONCE_MAX: u64 = 20_000;
+const MAX_STEPS_WITHOUT_PROGRESS: u64 = 20_000;
 
 #[derive(Debug)]
 pub(crate) struct Node {
@@ -36,7 +36,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub(crate) enum What {
+pub(crate) enum Action {
     Event(Incarnation, Event),
     Store(Incarnation, CallId, StoreCall),
     Wake(Incarnation),
@@ -56,7 +56,7 @@
     /// The network between instances and to the store.
     pub network: Network,
     /// Calls made so far and what their callers have received.
-    pub answers: BTreeMap<RequestHandle, Answered>,
+    pub answers: BTreeMap<RequestHandle, CallRecord>,
     /// Keys of requests that must not run twice.
     pub non_idempotent: BTreeSet<RequestKey>,
     /// Number of log events by code.
@@ -76,10 +76,10 @@
     pub(crate) options: WorldOptions,
     pub(crate) nodes: BTreeMap<InstanceId, Node>,
     pub(crate) random: Random,
-    queue: BinaryHeap<Reverse<Due>>,
-    order: u64,
+    queue: BinaryHeap<Reverse<Scheduled>>,
+    last_sequence: u64,
     next_handle: RequestHandle,
-    steps_at_once: u64,
+    steps_without_progress: u64,
 }
 
 impl World {
@@ -103,9 +103,9 @@
             random: Random::new(options.seed),
             nodes: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            order: 0,
+            last_sequence: 0,
             next_handle: 1,
-            steps_at_once: 0,
+            steps_without_progress: 0,
             options,
         };
         world.store.top_up("office", "first", budget_tokens);
@@ -122,14 +122,17 @@
     }
 
     fn add_targets(&mut self) {
-        let (pace, slots) = (self.options.pace, self.options.slots_requests);
+        let (chunk_interval, slots) = (self.options.chunk_interval, self.options.slots_requests);
         for number in 0..self.options.targets {
             self.targets
-                .add(&format!("chat-{number}"), "chat", pace, slots);
+                .add(&format!("chat-{number}"), "chat", chunk_interval, slots);
         }
-        self.targets.add("status-0", "status", pace, slots);
-        self.targets.add("publish-0", "publish", pace, slots);
-        self.targets.add("publish-1", "publish", pace, slots);
+        self.targets
+            .add("status-0", "status", chunk_interval, slots);
+        self.targets
+            .add("publish-0", "publish", chunk_interval, slots);
+        self.targets
+            .add("publish-1", "publish", chunk_interval, slots);
     }
 
     fn add_node(&mut self, number: usize) {
@@ -166,7 +169,7 @@
             };
             let incarnation = self.incarnation(&name);
             let delay = self.options.store_delay;
-            self.later(delay, &name, What::Event(incarnation, event));
+            self.schedule(delay, &name, Action::Event(incarnation, event));
         }
     }
 
@@ -274,7 +277,7 @@
 
     /// Returns the number of calls made with a request key.
     #[must_use]
-    pub fn calls_of(&self, key: &str) -> usize {
+    pub fn call_count(&self, key: &str) -> usize {
         self.answers
             .values()
             .filter(|answered| answered.key == key)
@@ -294,14 +297,14 @@
         if work.non_idempotent || work.service == "publish" {
             self.non_idempotent.insert(key.clone());
         }
-        let answered = Answered {
+        let answered = CallRecord {
             instance: name.to_owned(),
             incarnation: self.incarnation(name),
             key: key.clone(),
             worst_tokens: work.prompt_tokens + work.cap_tokens,
             output_tokens: work.output_tokens,
             called_at: self.now,
-            ..Answered::default()
+            ..CallRecord::default()
         };
         self.answers.insert(handle, answered);
         let request = NewRequest {
@@ -333,9 +336,9 @@
                 break;
             }
             if let Some(Reverse(due)) = self.queue.pop() {
-                self.count_step(&due);
+                self.check_progress(&due);
                 self.now = self.now.max(due.at);
-                self.carry_out(&due.node, due.what);
+                self.execute(&due.node, due.action);
             }
         }
         self.now = self.now.max(until);
@@ -343,26 +346,26 @@
 
     /// Aborts a scenario in which time makes no progress, as when an instance keeps setting its
     /// wake-up to the current time.
-    fn count_step(&mut self, due: &Due) {
-        self.steps_at_once = if due.at > self.now {
+    fn check_progress(&mut self, due: &Scheduled) {
+        self.steps_without_progress = if due.at > self.now {
             0
         } else {
-            self.steps_at_once + 1
+            self.steps_without_progress + 1
         };
         assert!(
-            self.steps_at_once < STEPS_AT_ONCE_MAX,
+            self.steps_without_progress < MAX_STEPS_WITHOUT_PROGRESS,
             "no progress of time at {:?}: {due:?}",
             self.now
         );
     }
 
-    pub(crate) fn later(&mut self, after: Duration, node: &str, what: What) {
-        self.order += 1;
-        self.queue.push(Reverse(Due {
+    pub(crate) fn schedule(&mut self, after: Duration, node: &str, action: Action) {
+        self.last_sequence += 1;
+        self.queue.push(Reverse(Scheduled {
             at: self.now + after,
-            order: self.order,
+            sequence: self.last_sequence,
             node: node.to_owned(),
-            what,
+            action,
         }));
     }
 
@@ -374,7 +377,7 @@
         if node.paused_until > self.now {
             let (wait, incarnation) =
                 (node.paused_until.saturating_sub(self.now), node.incarnation);
-            self.later(wait, name, What::Event(incarnation, event));
+            self.schedule(wait, name, Action::Event(incarnation, event));
             return;
         }
         let Some(instance) = node.instance.as_mut() else {
@@ -387,10 +390,10 @@
         if wake_at < node.wake_at || node.wake_at <= self.now {
             node.wake_at = wake_at;
             let after = wake_at.saturating_sub(self.now);
-            self.later(after, name, What::Wake(incarnation));
+            self.schedule(after, name, Action::Wake(incarnation));
         }
         for effect in effects {
-            self.on_effect(name, incarnation, effect);
+            self.apply_effect(name, incarnation, effect);
         }
     }
 
--- a/crates/damaskstile-measure/src/budgets.rs
+++ b/crates/damaskstile-measure/src/budgets.rs
@@ -67,7 +67,7 @@
     None,
     Partition,
     Outage,
-    Deaths,
+    Crashes,
     Restarts,
 }
 
@@ -76,7 +76,7 @@
         Self::None,
         Self::Partition,
         Self::Outage,
-        Self::Deaths,
+        Self::Crashes,
         Self::Restarts,
     ];
 
@@ -85,7 +85,7 @@
             Self::None => "none",
             Self::Partition => "partition",
             Self::Outage => "store_outage",
-            Self::Deaths => "deaths",
+            Self::Crashes => "deaths",
             Self::Restarts => "restarts",
         }
     }
@@ -108,10 +108,10 @@
          reachable_false_refusals\tstranded_tokens\tstore_writes_per_s\tadded_latency_us"
     );
     for deployment in DEPLOYMENTS {
-        let work = workload(args, deployment);
+        let workload = workload(args, deployment);
         for policy in PolicyKind::ALL {
             for fault in Fault::ALL {
-                println!("{}", row(args, deployment, policy, fault, &work));
+                println!("{}", row(args, deployment, policy, fault, &workload));
             }
         }
     }
@@ -140,9 +140,9 @@
     deployment: Deployment,
     policy: PolicyKind,
     fault: Fault,
-    work: &[Request],
+    workload: &[Request],
 ) -> String {
-    let cost: u64 = work
+    let cost: u64 = workload
         .iter()
         .map(|request| deployment.prompt_tokens + request.output_tokens)
         .sum();
@@ -151,10 +151,10 @@
     world.run_for(WARM_UP);
     let started_at = world.now;
     let writes_before = world.store.writes;
-    let clock = FaultClock::new(fault, work.len());
-    for (number, request) in work.iter().enumerate() {
-        clock.step(&mut world, number);
-        let instance = FaultClock::entry(&world, request.instance);
+    let injector = FaultInjector::new(fault, workload.len());
+    for (number, request) in workload.iter().enumerate() {
+        injector.step(&mut world, number);
+        let instance = FaultInjector::choose_instance(&world, request.instance);
         let chat = Work {
             is_streamed: false,
             ..Work::chat(
@@ -166,17 +166,17 @@
         world.request(&instance, &chat);
         world.run_for(REQUEST_INTERVAL);
     }
-    let took = world.now.saturating_sub(started_at);
+    let elapsed = world.now.saturating_sub(started_at);
     let writes = world.store.writes - writes_before;
-    FaultClock::end(&mut world);
+    FaultInjector::end_faults(&mut world);
     world.run_for(COOL_DOWN);
-    let figures = Figures::of(&world, writes, took);
+    let measurements = Measurements::of(&world, writes, elapsed);
     format!(
         "{}\t{}\t{}\t{}",
         deployment.name,
         policy.as_str(),
         fault.as_str(),
-        figures.columns(work.len())
+        measurements.columns(workload.len())
     )
 }
 
@@ -189,7 +189,7 @@
         instances: INSTANCES,
         targets: 10,
         far_delay: deployment.far_delay,
-        pace: Duration::from_millis(50),
+        chunk_interval: Duration::from_millis(50),
         settings,
         ..WorldOptions::default()
     };
@@ -202,12 +202,12 @@
 
 /// Injects faults at fixed points of the workload.
 #[derive(Debug)]
-struct FaultClock {
+struct FaultInjector {
     fault: Fault,
     requests: usize,
 }
 
-impl FaultClock {
+impl FaultInjector {
     fn new(fault: Fault, requests: usize) -> Self {
         Self { fault, requests }
     }
@@ -223,24 +223,24 @@
             }
             Fault::Outage if is_at(30) => world.store.is_out = true,
             Fault::Outage if is_at(80) => world.store.is_out = false,
-            Fault::Deaths => {
-                for (percent, one) in [(20, 0), (40, 3), (60, 5)] {
+            Fault::Crashes => {
+                for (percent, index) in [(20, 0), (40, 3), (60, 5)] {
                     if is_at(percent) {
-                        world.kill(&name(one));
+                        world.kill(&name(index));
                     }
                     if is_at(percent + 10) {
-                        world.start(&name(one));
+                        world.start(&name(index));
                     }
                 }
             }
             Fault::Restarts => {
-                for one in 0..INSTANCES {
-                    if is_at(5 + one * 10) {
-                        world.stop(&name(one));
+                for index in 0..INSTANCES {
+                    if is_at(5 + index * 10) {
+                        world.stop(&name(index));
                     }
-                    let has_stopped = world.instance(&name(one)).is_none();
+                    let has_stopped = world.instance(&name(index)).is_none();
                     if has_stopped {
-                        world.start(&name(one));
+                        world.start(&name(index));
                     }
                 }
             }
@@ -250,10 +250,10 @@
 
     /// Returns the instance that a load balancer would choose: the usual one, or the next one
     /// that is ready.
-    fn entry(world: &World, usual: usize) -> String {
-        let is_ready = |one: &usize| {
+    fn choose_instance(world: &World, usual: usize) -> String {
+        let is_ready = |index: &usize| {
             world
-                .instance(&name(*one))
+                .instance(&name(*index))
                 .is_some_and(damaskstile::Instance::is_ready)
         };
         let chosen = (0..INSTANCES)
@@ -262,7 +262,7 @@
         name(chosen.unwrap_or(usual))
     }
 
-    fn end(world: &mut World) {
+    fn end_faults(world: &mut World) {
         world.network = damaskstile_fakes::Network::default();
         world.store.is_out = false;
     }
@@ -270,7 +270,7 @@
 
 /// Measured columns of a row.
 #[derive(Debug)]
-struct Figures {
+struct Measurements {
     answered: usize,
     overspend_tokens: u64,
     false_refusals: usize,
@@ -280,9 +280,9 @@
     added_latency_us: u128,
 }
 
-impl Figures {
+impl Measurements {
     #[allow(clippy::cast_precision_loss, reason = "a rate for a person to read")]
-    fn of(world: &World, writes: u64, took: Duration) -> Self {
+    fn of(world: &World, writes: u64, elapsed: Duration) -> Self {
         let answers = world.answers.values();
         let is_answered =
             |outcome: &Option<Outcome>| outcome.as_ref().is_some_and(Outcome::is_answered);
@@ -309,7 +309,7 @@
                 .filter(|answered| answered.verdict.is_reachable_false)
                 .count(),
             stranded_tokens: stranded(world),
-            store_writes_per_s: writes as f64 / took.as_secs_f64(),
+            store_writes_per_s: writes as f64 / elapsed.as_secs_f64(),
             added_latency_us: waits.iter().sum::<u128>() / (waits.len().max(1) as u128),
         }
     }
--- a/crates/damaskstile-measure/src/load.rs
+++ b/crates/damaskstile-measure/src/load.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 struct Tally {
     outcomes: BTreeMap<String, u64>,
-    through: Vec<Duration>,
+    via_fleet: Vec<Duration>,
     direct: Vec<Duration>,
 }
 
@@ -81,28 +81,28 @@
         .context("the platform lists no target of the model service")?;
     let bills_before = read_ledger(&args, &platform).await?.bills;
     let tally = Arc::new(Mutex::new(Tally::default()));
-    let places = Arc::new(Semaphore::new(args.at_a_time));
+    let permits = Arc::new(Semaphore::new(args.at_a_time));
     let args = Arc::new(args);
     let started = Instant::now();
     let mut tasks = Vec::new();
     for number in 0..args.requests {
-        let place = Arc::clone(&places).acquire_owned().await?;
+        let permit = Arc::clone(&permits).acquire_owned().await?;
         let (args, tally) = (Arc::clone(&args), Arc::clone(&tally));
         let direct = target.address.clone();
         tasks.push(tokio::spawn(async move {
-            one(&args, number, &direct, &tally).await;
-            drop(place);
+            send_request(&args, number, &direct, &tally).await;
+            drop(permit);
         }));
     }
     for task in tasks {
         task.await?;
     }
-    let took = started.elapsed();
+    let elapsed = started.elapsed();
     let tally = std::mem::take(&mut *tally.lock().await);
-    report(&args, &platform, &tally, bills_before, took).await
+    report(&args, &platform, &tally, bills_before, elapsed).await
 }
 
-async fn one(args: &LoadArgs, number: u64, direct: &str, tally: &Mutex<Tally>) {
+async fn send_request(args: &LoadArgs, number: u64, direct: &str, tally: &Mutex<Tally>) {
     let index = usize::try_from(number).unwrap_or(0) % args.instance.len();
     let address = &args.instance[index];
     let plain = args.plain.as_ref().filter(|_| number % 5 == 4);
@@ -118,7 +118,7 @@
     let call = call.header("authorization", &format!("Bearer {}", args.token));
     let started = Instant::now();
     let reply = send_whole(call, REQUEST_LIMIT).await;
-    let through = started.elapsed();
+    let via_fleet = started.elapsed();
     let outcome = outcome(reply);
     let mut direct_time = None;
     if plain.is_none() && !args.no_direct {
@@ -132,7 +132,7 @@
     let is_answered = outcome == "answered";
     *tally.outcomes.entry(outcome).or_default() += 1;
     if is_answered && plain.is_none() {
-        tally.through.push(through);
+        tally.via_fleet.push(via_fleet);
         tally.direct.extend(direct_time);
     }
 }
@@ -159,15 +159,15 @@
         .get("content-type")
         .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
     if is_stream {
-        let is_whole = text.trim_end().ends_with("data: [DONE]");
-        return if is_whole { "answered" } else { "cut" }.to_owned();
+        let is_complete = text.trim_end().ends_with("data: [DONE]");
+        return if is_complete { "answered" } else { "cut" }.to_owned();
     }
     if reply.status.is_success() {
         return "answered".to_owned();
     }
     let value: Value = serde_json::from_str(&text).unwrap_or_default();
-    let word = |name: &str| value[name].as_str().unwrap_or("?").to_owned();
-    format!("{} {}", word("outcome"), word("code"))
+    let field = |name: &str| value[name].as_str().unwrap_or("?").to_owned();
+    format!("{} {}", field("outcome"), field("code"))
 }
 
 fn percentile(times: &[Duration], percent: usize) -> Duration {
@@ -182,11 +182,11 @@
     platform: &Platform,
     tally: &Tally,
     bills_before: u64,
-    took: Duration,
+    elapsed: Duration,
 ) -> anyhow::Result<()> {
     let answered = tally.outcomes.get("answered").copied().unwrap_or(0);
     let ledger = settled_ledger(args, platform, bills_before + answered).await?;
-    let (runs, ran_tokens) = truth(platform).await?;
+    let (runs, ran_tokens) = target_totals(platform).await?;
     println!("outcome\trequests");
     for (outcome, count) in &tally.outcomes {
         println!("{outcome}\t{count}");
@@ -202,17 +202,17 @@
     println!("ran at targets\t{ran_tokens}");
     println!();
     println!("time\tp50_us\tp95_us");
-    for (name, times) in [("through", &tally.through), ("direct", &tally.direct)] {
+    for (name, times) in [("through", &tally.via_fleet), ("direct", &tally.direct)] {
         let (p50, p95) = (percentile(times, 50), percentile(times, 95));
         println!("{name}\t{}\t{}", p50.as_micros(), p95.as_micros());
     }
-    println!("requests a second\t{:.0}", rate(args.requests, took));
+    println!("requests a second\t{:.0}", rate(args.requests, elapsed));
     compare(&ledger, runs, ran_tokens)
 }
 
 #[allow(clippy::cast_precision_loss, reason = "a rate for a person to read")]
-fn rate(requests: u64, took: Duration) -> f64 {
-    requests as f64 / took.as_secs_f64()
+fn rate(requests: u64, elapsed: Duration) -> f64 {
+    requests as f64 / elapsed.as_secs_f64()
 }
 
 fn compare(ledger: &Ledger, runs: u64, ran_tokens: u64) -> anyhow::Result<()> {
@@ -263,7 +263,7 @@
 
 /// Returns the number of runs at all targets and their tokens. Direct calls are left out: they
 /// carry no account.
-async fn truth(platform: &Platform) -> anyhow::Result<(u64, u64)> {
+async fn target_totals(platform: &Platform) -> anyhow::Result<(u64, u64)> {
     let mut runs = 0;
     let mut tokens = 0;
     for info in platform.targets().await? {
--- a/crates/damaskstile-measure/src/members.rs
+++ b/crates/damaskstile-measure/src/members.rs
@@ -55,7 +55,7 @@
     let cpu = started.elapsed();
     let per_member = |count: u64| count as f64 / members as f64 / MEASURED.as_secs_f64();
     let calls = world.store.reads + world.store.writes - calls;
-    let (p95, slowest) = spread(&mut world);
+    let (p95, slowest) = measure_settings_spread(&mut world);
     format!(
         "{members}\t{:.1}\t{:.0}\t{:.0}\t{:.1}\t{}\t{}",
         per_member(world.messages - messages),
@@ -70,7 +70,7 @@
 /// Stores new settings, notifies the watching instances, and waits until all instances apply
 /// them. Returns the 95th percentile over the instances that did and the maximum, which is
 /// [`SPREAD_LIMIT`] if an instance did not apply them in time.
-fn spread(world: &mut World) -> (Duration, Duration) {
+fn measure_settings_spread(world: &mut World) -> (Duration, Duration) {
     let text = format!(
         "[fleet]\nmax_output_tokens = 77\n{}",
         options::settings("instances = 9")
@@ -82,12 +82,12 @@
     let all = world.names().len();
     while times.len() < all && world.now.saturating_sub(started_at) < SPREAD_LIMIT {
         world.run_for(Duration::from_millis(5));
-        let have = world
+        let applied = world
             .live_instances()
             .filter(|(_, instance)| instance.settings().version() >= version)
             .count();
         let now = world.now.saturating_sub(started_at);
-        while times.len() < have {
+        while times.len() < applied {
             times.push(now);
         }
     }
--- a/crates/damaskstile-measure/src/targets.rs
+++ b/crates/damaskstile-measure/src/targets.rs
@@ -29,21 +29,21 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Shape {
+struct Deployment {
     name: &'static str,
     data_centres: usize,
     targets: usize,
     far_delay: Duration,
 }
 
-const SHAPES: [Shape; 2] = [
-    Shape {
+const DEPLOYMENTS: [Deployment; 2] = [
+    Deployment {
         name: "lindsay",
         data_centres: 3,
         targets: 10,
         far_delay: Duration::from_micros(500),
     },
-    Shape {
+    Deployment {
         name: "hengyu",
         data_centres: 4,
         targets: 20,
@@ -51,13 +51,13 @@
     },
 ];
 
-/// Number of instances of each shape.
+/// Number of instances of each deployment.
 const INSTANCES: usize = 9;
 /// Requests that a target runs concurrently.
 const SLOTS: u64 = 4;
 /// Time between two chunks. An answer has four chunks, so a target with four slots nominally
 /// answers 20 requests per second; the interval before the end of the run is not counted.
-const PACE: Duration = Duration::from_millis(50);
+const CHUNK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Prints the table.
 pub fn run(args: &TargetsArgs) {
@@ -65,11 +65,11 @@
         "deployment\tselector\treport_lag_s\tslow_target\trequests\tanswered\trefused\t\
          p50_first_ms\tp95_first_ms\tp99_first_ms"
     );
-    for shape in SHAPES {
+    for deployment in DEPLOYMENTS {
         for lag_s in [0, 1, 5] {
             for has_slow in [false, true] {
                 for selector in SelectorKind::ALL {
-                    println!("{}", row(args, shape, selector, lag_s, has_slow));
+                    println!("{}", row(args, deployment, selector, lag_s, has_slow));
                 }
             }
         }
@@ -78,18 +78,18 @@
 
 fn row(
     args: &TargetsArgs,
-    shape: Shape,
+    deployment: Deployment,
     selector: SelectorKind,
     lag_s: u64,
     has_slow: bool,
 ) -> String {
-    let mut world = world(args, shape, selector, lag_s);
+    let mut world = world(args, deployment, selector, lag_s);
     if has_slow && let Some(target) = world.targets.targets.get_mut("chat-0") {
-        target.pace = PACE * 10;
+        target.chunk_interval = CHUNK_INTERVAL * 10;
     }
     world.run_for(WARM_UP);
     // 70% of the nominal capacity of the targets, 20 requests per second each.
-    let targets = u32::try_from(shape.targets).unwrap_or(1);
+    let targets = u32::try_from(deployment.targets).unwrap_or(1);
     let interval = Duration::from_secs(1) / (20 * targets * 7 / 10);
     let mut random = Random::new(args.seed);
     for _ in 0..args.requests {
@@ -102,21 +102,21 @@
     let slow = if has_slow { "one_tenth" } else { "none" };
     format!(
         "{}\t{}\t{lag_s}\t{slow}\t{}",
-        shape.name,
+        deployment.name,
         selector.as_str(),
-        figures(&world)
+        latency_columns(&world)
     )
 }
 
-fn world(args: &TargetsArgs, shape: Shape, selector: SelectorKind, lag_s: u64) -> World {
+fn world(args: &TargetsArgs, deployment: Deployment, selector: SelectorKind, lag_s: u64) -> World {
     let options = WorldOptions {
         seed: args.seed,
-        data_centres: shape.data_centres,
+        data_centres: deployment.data_centres,
         instances: INSTANCES,
-        targets: shape.targets,
+        targets: deployment.targets,
         slots_requests: SLOTS,
-        pace: PACE,
-        far_delay: shape.far_delay,
+        chunk_interval: CHUNK_INTERVAL,
+        far_delay: deployment.far_delay,
         report_lag: Duration::from_secs(lag_s),
         settings: options::settings(&format!("instances = {INSTANCES}")),
         registry: RegistryOptions {
@@ -128,12 +128,12 @@
     World::new(options, 1_000_000_000)
 }
 
-fn figures(world: &World) -> String {
+fn latency_columns(world: &World) -> String {
     let mut first: Vec<u128> = world
         .answers
         .values()
         .filter_map(|answered| {
-            let first_at = answered.first_piece_at?;
+            let first_at = answered.first_chunk_at?;
             Some(first_at.saturating_sub(answered.called_at).as_millis())
         })
         .collect();
--- a/crates/damaskstile-standins/src/lib.rs
+++ b/crates/damaskstile-standins/src/lib.rs
@@ -37,10 +37,10 @@
 }
 
 /// Result of a stand-in's request handler.
-pub(crate) type Answer = Result<Response<Body>, HttpError>;
+pub(crate) type HandlerResult = Result<Response<Body>, HttpError>;
 
 /// Creates a response with a JSON body.
-pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> HandlerResult {
     let text = serde_json::to_string(value)
         .map_err(|error| HttpError::for_internal_error(error.to_string()))?;
     Response::builder()
--- a/crates/damaskstile-standins/src/platform.rs
+++ b/crates/damaskstile-standins/src/platform.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use crate::{Answer, json};
+use crate::{HandlerResult, json};
 
 /// Faults of the platform, which can be changed while it runs.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
@@ -53,7 +53,7 @@
     revision: u64,
     targets: BTreeMap<String, TargetInfo>,
     /// History of the target list, oldest first, for serving it with a lag.
-    lists: Vec<(Instant, Vec<TargetInfo>)>,
+    target_list_history: Vec<(Instant, Vec<TargetInfo>)>,
     faults: Faults,
     counts: Counts,
 }
@@ -76,7 +76,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn enter(&self) -> Result<(), HttpError> {
+    async fn apply_call_faults(&self) -> Result<(), HttpError> {
         let faults = self.state().faults.clone();
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         if self.state().faults.is_out {
@@ -86,7 +86,7 @@
     }
 
     /// Counts a watch call and returns whether it is to remain unanswered.
-    fn take_watch(&self) -> bool {
+    fn count_watch(&self) -> bool {
         let mut state = self.state();
         state.counts.watches += 1;
         let is_lost = state.faults.lose_watches > 0;
@@ -123,9 +123,9 @@
 
 /// Reads an object.
 #[endpoint { method = GET, path = "/objects/{key:.*}", unpublished = true }]
-async fn read_object(rqctx: RequestContext<Platform>, path: Path<KeyPath>) -> Answer {
+async fn read_object(rqctx: RequestContext<Platform>, path: Path<KeyPath>) -> HandlerResult {
     let platform = rqctx.context();
-    platform.enter().await?;
+    platform.apply_call_faults().await?;
     let key = path.into_inner().key.join("/");
     let found = {
         let mut state = platform.state();
@@ -145,9 +145,9 @@
     path: Path<KeyPath>,
     query: Query<WriteQuery>,
     body: UntypedBody,
-) -> Answer {
+) -> HandlerResult {
     let platform = rqctx.context();
-    platform.enter().await?;
+    platform.apply_call_faults().await?;
     let key = path.into_inner().key.join("/");
     let expected = query.into_inner().expected_version;
     let value = body.as_str()?.to_owned();
@@ -157,8 +157,8 @@
     let (is_lost, answer) = {
         let mut state = platform.state();
         state.counts.writes += 1;
-        let standing = state.objects.get(&key).cloned();
-        let version = standing.as_ref().map_or(0, |object| object.version);
+        let current = state.objects.get(&key).cloned();
+        let version = current.as_ref().map_or(0, |object| object.version);
         if version == expected {
             state.revision += 1;
             let version = state.revision;
@@ -168,7 +168,7 @@
             (is_lost, Ok(version))
         } else {
             state.counts.conflicts += 1;
-            (false, Err(standing))
+            (false, Err(current))
         }
     };
     platform.changed.notify_waiters();
@@ -180,7 +180,7 @@
             StatusCode::OK,
             &serde_json::json!({"key": key, "version": version}),
         ),
-        Err(standing) => json(StatusCode::CONFLICT, &standing),
+        Err(current) => json(StatusCode::CONFLICT, &current),
     }
 }
 
@@ -190,13 +190,13 @@
     rqctx: RequestContext<Platform>,
     path: Path<KeyPath>,
     query: Query<WatchQuery>,
-) -> Answer {
+) -> HandlerResult {
     let platform = rqctx.context();
-    platform.enter().await?;
+    platform.apply_call_faults().await?;
     let key = path.into_inner().key.join("/");
     let query = query.into_inner();
     let until = Instant::now() + Duration::from_millis(query.wait_ms);
-    if platform.take_watch() {
+    if platform.count_watch() {
         std::future::pending::<()>().await;
     }
     loop {
@@ -209,7 +209,7 @@
         };
         if newer.is_some() {
             tokio::time::sleep(Duration::from_millis(lag_ms)).await;
-            platform.enter().await?;
+            platform.apply_call_faults().await?;
             return json(StatusCode::OK, &newer);
         }
         let left = until.saturating_duration_since(Instant::now());
@@ -222,9 +222,9 @@
 
 /// Lists the keys and versions of the objects whose keys start with a prefix.
 #[endpoint { method = GET, path = "/list" }]
-async fn list_objects(rqctx: RequestContext<Platform>, query: Query<ListQuery>) -> Answer {
+async fn list_objects(rqctx: RequestContext<Platform>, query: Query<ListQuery>) -> HandlerResult {
     let platform = rqctx.context();
-    platform.enter().await?;
+    platform.apply_call_faults().await?;
     let prefix = query.into_inner().prefix;
     let keys: Vec<serde_json::Value> = {
         let mut state = platform.state();
@@ -241,15 +241,15 @@
 
 /// Lists the targets as of `list_lag_ms` ago.
 #[endpoint { method = GET, path = "/targets" }]
-async fn list_targets(rqctx: RequestContext<Platform>) -> Answer {
+async fn list_targets(rqctx: RequestContext<Platform>) -> HandlerResult {
     let platform = rqctx.context();
-    platform.enter().await?;
+    platform.apply_call_faults().await?;
     let list = {
         let mut state = platform.state();
         state.counts.reads += 1;
         let lag = Duration::from_millis(state.faults.list_lag_ms);
         state
-            .lists
+            .target_list_history
             .iter()
             .rev()
             .find(|(at, _)| at.elapsed() >= lag)
@@ -265,39 +265,39 @@
     rqctx: RequestContext<Platform>,
     path: Path<NamePath>,
     body: UntypedBody,
-) -> Answer {
+) -> HandlerResult {
     let info: TargetInfo = serde_json::from_str(body.as_str()?)
         .map_err(|error| HttpError::for_bad_request(None, error.to_string()))?;
     let mut state = rqctx.context().state();
     state.targets.insert(path.into_inner().name, info);
-    keep_list(&mut state);
+    record_target_list(&mut state);
     json(StatusCode::OK, &"put")
 }
 
 /// Removes a target from the list.
 #[endpoint { method = DELETE, path = "/targets/{name}" }]
-async fn delete_target(rqctx: RequestContext<Platform>, path: Path<NamePath>) -> Answer {
+async fn delete_target(rqctx: RequestContext<Platform>, path: Path<NamePath>) -> HandlerResult {
     let mut state = rqctx.context().state();
     state.targets.remove(&path.into_inner().name);
-    keep_list(&mut state);
+    record_target_list(&mut state);
     json(StatusCode::OK, &"deleted")
 }
 
-fn keep_list(state: &mut State) {
+fn record_target_list(state: &mut State) {
     let list = state.targets.values().cloned().collect();
-    state.lists.push((Instant::now(), list));
+    state.target_list_history.push((Instant::now(), list));
 }
 
 /// Replaces the faults.
 #[endpoint { method = PUT, path = "/faults" }]
-async fn put_faults(rqctx: RequestContext<Platform>, body: TypedBody<Faults>) -> Answer {
+async fn put_faults(rqctx: RequestContext<Platform>, body: TypedBody<Faults>) -> HandlerResult {
     rqctx.context().state().faults = body.into_inner();
     json(StatusCode::OK, &"set")
 }
 
 /// Returns the number of calls since the start, by kind.
 #[endpoint { method = GET, path = "/counts" }]
-async fn get_counts(rqctx: RequestContext<Platform>) -> Answer {
+async fn get_counts(rqctx: RequestContext<Platform>) -> HandlerResult {
     let counts = rqctx.context().state().counts.clone();
     json(StatusCode::OK, &counts)
 }
--- a/crates/damaskstile-standins/src/target.rs
+++ b/crates/damaskstile-standins/src/target.rs
@@ -16,7 +16,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::{Answer, json};
+use crate::{HandlerResult, json};
 
 pub use engine::{Engine, Faults, Run, StartError};
 
@@ -63,13 +63,13 @@
 
 /// Runs a completion, or resumes one.
 #[endpoint { method = POST, path = "/v1/chat/completions", unpublished = true }]
-async fn complete(rqctx: RequestContext<Arc<Engine>>, body: UntypedBody) -> Answer {
+async fn complete(rqctx: RequestContext<Arc<Engine>>, body: UntypedBody) -> HandlerResult {
     let engine = Arc::clone(rqctx.context());
     let text = body.as_str()?.to_owned();
     let resume_from: usize = header(&rqctx, RESUME_HEADER).parse().unwrap_or(0);
     let mut run = header(&rqctx, RUN_HEADER).to_owned();
     if run.is_empty() {
-        run = engine.own_run_name();
+        run = engine.generate_run_id();
     }
     let account = header(&rqctx, ACCOUNT_HEADER).to_owned();
     let key = header(&rqctx, KEY_HEADER).to_owned();
@@ -101,7 +101,7 @@
     rqctx: RequestContext<Arc<Engine>>,
     path: Path<CallPath>,
     body: UntypedBody,
-) -> Answer {
+) -> HandlerResult {
     let engine = rqctx.context();
     let path = path.into_inner().path.join("/");
     let run = header(&rqctx, RUN_HEADER).to_owned();
@@ -119,44 +119,44 @@
 
 /// Returns the state of a run. An unknown run is fenced, so that it cannot start later.
 #[endpoint { method = GET, path = "/v1/runs/{run}" }]
-async fn get_run(rqctx: RequestContext<Arc<Engine>>, path: Path<RunPath>) -> Answer {
+async fn get_run(rqctx: RequestContext<Arc<Engine>>, path: Path<RunPath>) -> HandlerResult {
     let state = rqctx.context().state_of(&path.into_inner().run);
     json(StatusCode::OK, &state)
 }
 
 /// Cancels a run.
 #[endpoint { method = DELETE, path = "/v1/runs/{run}" }]
-async fn cancel_run(rqctx: RequestContext<Arc<Engine>>, path: Path<RunPath>) -> Answer {
+async fn cancel_run(rqctx: RequestContext<Arc<Engine>>, path: Path<RunPath>) -> HandlerResult {
     rqctx.context().cancel(&path.into_inner().run);
     json(StatusCode::OK, &"cancelled")
 }
 
 /// Returns the status of the target, with its load as of `report_lag_ms` ago.
 #[endpoint { method = GET, path = "/status" }]
-async fn get_status(rqctx: RequestContext<Arc<Engine>>) -> Answer {
+async fn get_status(rqctx: RequestContext<Arc<Engine>>) -> HandlerResult {
     json(StatusCode::OK, &rqctx.context().status())
 }
 
 /// Returns all runs that the target executed, as the reference for billing.
 #[endpoint { method = GET, path = "/ledger" }]
-async fn get_ledger(rqctx: RequestContext<Arc<Engine>>) -> Answer {
+async fn get_ledger(rqctx: RequestContext<Arc<Engine>>) -> HandlerResult {
     json(StatusCode::OK, &rqctx.context().ledger())
 }
 
 /// Replaces the faults.
 #[endpoint { method = PUT, path = "/faults" }]
-async fn put_faults(rqctx: RequestContext<Arc<Engine>>, body: TypedBody<Faults>) -> Answer {
+async fn put_faults(rqctx: RequestContext<Arc<Engine>>, body: TypedBody<Faults>) -> HandlerResult {
     rqctx.context().set_faults(body.into_inner());
     json(StatusCode::OK, &"set")
 }
 
 /// Executes an order.
 #[endpoint { method = PUT, path = "/orders" }]
-async fn put_order(rqctx: RequestContext<Arc<Engine>>, body: TypedBody<Order>) -> Answer {
+async fn put_order(rqctx: RequestContext<Arc<Engine>>, body: TypedBody<Order>) -> HandlerResult {
     let order = body.into_inner();
     // A real order takes a while; the stand-in records it and applies only `drain` and `return`.
     tokio::time::sleep(Duration::from_millis(1)).await;
-    if rqctx.context().order(order) {
+    if rqctx.context().execute_order(order) {
         json(StatusCode::OK, &"done")
     } else {
         json(StatusCode::CONFLICT, &"old fencing number")
@@ -165,7 +165,7 @@
 
 /// Lists the accepted orders.
 #[endpoint { method = GET, path = "/orders" }]
-async fn get_orders(rqctx: RequestContext<Arc<Engine>>) -> Answer {
+async fn get_orders(rqctx: RequestContext<Arc<Engine>>) -> HandlerResult {
     json(StatusCode::OK, &rqctx.context().orders())
 }
 
--- a/crates/damaskstile-standins/src/target/engine.rs
+++ b/crates/damaskstile-standins/src/target/engine.rs
@@ -12,7 +12,7 @@
 use super::Order;
 
 /// Output tokens of an answer whose prompt does not contain `n=` and a number.
-const TOKENS_USUAL: u64 = 16;
+const DEFAULT_OUTPUT_TOKENS: u64 = 16;
 
 /// Behaviour and faults of the target, which can be changed while it runs.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
@@ -74,21 +74,21 @@
 }
 
 #[derive(Debug)]
-struct Live {
+struct TrackedRun {
     run: Run,
-    wanted_tokens: u64,
+    requested_tokens: u64,
     cut_after: Option<usize>,
     changed: Arc<Notify>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    runs: BTreeMap<String, Live>,
+    runs: BTreeMap<String, TrackedRun>,
     fenced: BTreeSet<String>,
     faults: Faults,
-    loads: Vec<(Instant, u64)>,
+    load_history: Vec<(Instant, u64)>,
     orders: Vec<Order>,
-    own_runs: u64,
+    generated_ids: u64,
 }
 
 /// Reason for which a run was refused.
@@ -135,10 +135,10 @@
     }
 
     /// Generates an identifier for a run that was sent without one.
-    pub fn own_run_name(&self) -> String {
+    pub fn generate_run_id(&self) -> String {
         let mut state = self.state();
-        state.own_runs += 1;
-        format!("own-{}", state.own_runs)
+        state.generated_ids += 1;
+        format!("own-{}", state.generated_ids)
     }
 
     /// Starts a run. A run that is known already is accepted and goes on.
@@ -155,8 +155,8 @@
         is_resumed: bool,
     ) -> Result<(), StartError> {
         let mut state = self.state();
-        if let Some(live) = state.runs.get_mut(run) {
-            live.cut_after = None;
+        if let Some(tracked) = state.runs.get_mut(run) {
+            tracked.cut_after = None;
             return Ok(());
         }
         if is_resumed || state.fenced.contains(run) {
@@ -177,30 +177,30 @@
             .map(|message| message.content.as_str())
             .collect();
         let prompt_tokens = u64::try_from(text.len().div_ceil(4)).unwrap_or(u64::MAX);
-        let asked = text
+        let prompted_tokens = text
             .split("n=")
             .nth(1)
             .and_then(|rest| rest.split_whitespace().next()?.parse().ok())
-            .unwrap_or(TOKENS_USUAL);
-        let wanted_tokens = asked.min(body.max_tokens.unwrap_or(u64::MAX));
+            .unwrap_or(DEFAULT_OUTPUT_TOKENS);
+        let requested_tokens = prompted_tokens.min(body.max_tokens.unwrap_or(u64::MAX));
         let cut_after = (state.faults.cut_runs > 0)
             .then(|| usize::try_from(state.faults.cut_after_chunks).unwrap_or(0));
         state.faults.cut_runs = state.faults.cut_runs.saturating_sub(1);
-        let live = Live {
+        let tracked = TrackedRun {
             run: Run {
                 run: run.to_owned(),
                 account: account.to_owned(),
                 key: key.to_owned(),
                 prompt_tokens,
                 output_tokens: 0,
-                has_ended: wanted_tokens == 0,
+                has_ended: requested_tokens == 0,
             },
-            wanted_tokens,
+            requested_tokens,
             cut_after,
             changed: Arc::new(Notify::new()),
         };
-        state.runs.insert(run.to_owned(), live);
-        note_load(&mut state);
+        state.runs.insert(run.to_owned(), tracked);
+        record_load(&mut state);
         drop(state);
         let engine = Arc::clone(self);
         let run = run.to_owned();
@@ -210,19 +210,19 @@
 
     async fn generate(&self, run: &str) {
         loop {
-            let pace = Duration::from_millis(self.state().faults.pace_ms);
-            tokio::time::sleep(pace).await;
+            let token_interval = Duration::from_millis(self.state().faults.pace_ms);
+            tokio::time::sleep(token_interval).await;
             let mut state = self.state();
-            let Some(live) = state.runs.get_mut(run) else {
+            let Some(tracked) = state.runs.get_mut(run) else {
                 return;
             };
-            if !live.run.has_ended {
-                live.run.output_tokens += 1;
-                live.run.has_ended = live.run.output_tokens >= live.wanted_tokens;
+            if !tracked.run.has_ended {
+                tracked.run.output_tokens += 1;
+                tracked.run.has_ended = tracked.run.output_tokens >= tracked.requested_tokens;
             }
-            live.changed.notify_waiters();
-            if live.run.has_ended {
-                note_load(&mut state);
+            tracked.changed.notify_waiters();
+            if tracked.run.has_ended {
+                record_load(&mut state);
                 return;
             }
         }
@@ -230,12 +230,12 @@
 
     /// Executes a call of a plain service. Returns `false` without executing it if it is fenced.
     pub async fn start_plain(&self, run: &str, account: &str, key: &str) -> bool {
-        let pace = {
+        let token_interval = {
             let mut state = self.state();
             if state.fenced.contains(run) {
                 return false;
             }
-            let live = Live {
+            let tracked = TrackedRun {
                 run: Run {
                     run: run.to_owned(),
                     account: account.to_owned(),
@@ -244,14 +244,14 @@
                     output_tokens: 0,
                     has_ended: true,
                 },
-                wanted_tokens: 0,
+                requested_tokens: 0,
                 cut_after: None,
                 changed: Arc::new(Notify::new()),
             };
-            state.runs.insert(run.to_owned(), live);
+            state.runs.insert(run.to_owned(), tracked);
             Duration::from_millis(state.faults.pace_ms)
         };
-        tokio::time::sleep(pace).await;
+        tokio::time::sleep(token_interval).await;
         true
     }
 
@@ -261,22 +261,22 @@
         loop {
             let changed = {
                 let state = self.state();
-                let live = state.runs.get(run)?;
-                if live.cut_after == Some(position) {
+                let tracked = state.runs.get(run)?;
+                if tracked.cut_after == Some(position) {
                     return None;
                 }
-                let generated = usize::try_from(live.run.output_tokens).unwrap_or(usize::MAX);
+                let generated = usize::try_from(tracked.run.output_tokens).unwrap_or(usize::MAX);
                 if position < generated {
                     return Some(chunk_event(run, position));
                 }
-                if live.run.has_ended {
+                if tracked.run.has_ended {
                     return match position - generated {
-                        0 => Some(usage_event(&live.run)),
+                        0 => Some(usage_event(&tracked.run)),
                         1 => Some("data: [DONE]\n\n".to_owned()),
                         _ => None,
                     };
                 }
-                Arc::clone(&live.changed)
+                Arc::clone(&tracked.changed)
             };
             let wait = changed.notified();
             // A notification between the check and the wait is missed, so the wait is short.
@@ -288,12 +288,12 @@
     pub fn state_of(&self, run: &str) -> RunState {
         let mut state = self.state();
         match state.runs.get_mut(run) {
-            Some(live) if live.run.has_ended => RunState::Ended {
-                prompt_tokens: live.run.prompt_tokens,
-                output_tokens: live.run.output_tokens,
+            Some(tracked) if tracked.run.has_ended => RunState::Ended {
+                prompt_tokens: tracked.run.prompt_tokens,
+                output_tokens: tracked.run.output_tokens,
             },
-            Some(live) => {
-                live.cut_after = None;
+            Some(tracked) => {
+                tracked.cut_after = None;
                 RunState::Running
             }
             None => {
@@ -306,11 +306,11 @@
     /// Cancels a run; the tokens generated so far still count.
     pub fn cancel(&self, run: &str) {
         let mut state = self.state();
-        if let Some(live) = state.runs.get_mut(run) {
-            live.run.has_ended = true;
-            live.changed.notify_waiters();
+        if let Some(tracked) = state.runs.get_mut(run) {
+            tracked.run.has_ended = true;
+            tracked.changed.notify_waiters();
         }
-        note_load(&mut state);
+        record_load(&mut state);
     }
 
     /// Returns the status of the target, with its load as of `report_lag_ms` ago.
@@ -318,7 +318,7 @@
         let state = self.state();
         let lag = Duration::from_millis(state.faults.report_lag_ms);
         let in_flight_requests = state
-            .loads
+            .load_history
             .iter()
             .rev()
             .find(|(at, _)| at.elapsed() >= lag)
@@ -334,7 +334,11 @@
     /// Returns all runs that the target executed.
     pub fn ledger(&self) -> Vec<Run> {
         let state = self.state();
-        state.runs.values().map(|live| live.run.clone()).collect()
+        state
+            .runs
+            .values()
+            .map(|tracked| tracked.run.clone())
+            .collect()
     }
 
     /// Replaces the faults.
@@ -343,7 +347,7 @@
     }
 
     /// Executes an order. Returns whether its fencing number was accepted.
-    pub fn order(&self, order: Order) -> bool {
+    pub fn execute_order(&self, order: Order) -> bool {
         let mut state = self.state();
         let highest = state.orders.iter().map(|order| order.fencing).max();
         let is_old = highest.is_some_and(|highest| order.fencing <= highest);
@@ -366,15 +370,15 @@
 }
 
 fn running(state: &State) -> u64 {
-    let count = state.runs.values().filter(|live| !live.run.has_ended);
+    let count = state.runs.values().filter(|tracked| !tracked.run.has_ended);
     u64::try_from(count.count()).unwrap_or(u64::MAX)
 }
 
-fn note_load(state: &mut State) {
+fn record_load(state: &mut State) {
     let load = running(state);
-    state.loads.push((Instant::now(), load));
-    if state.loads.len() > 10_000 {
-        state.loads.drain(..5_000);
+    state.load_history.push((Instant::now(), load));
+    if state.load_history.len() > 10_000 {
+        state.load_history.drain(..5_000);
     }
 }
 
