--- a/crates/damaskstile-fakes/src/lib.rs
+++ b/crates/damaskstile-fakes/src/lib.rs
@@ -1,9 +1,10 @@
-//! `damaskstile-fakes` hosts many instances in one process, over fakes of all that is around them.
+//! Deterministic simulation of a fleet: many instances in one process, with fake targets, store
+//! and network.
 //!
-//! It is for tests and measurements. Time is virtual and every choice comes out of a seed, so the
-//! same scenario gives the same result on every run.
+//! Used by tests and measurements. Time is virtual and every random choice is derived from a
+//! seed, so the same scenario gives the same result on every run.
 
-pub mod answered;
+pub mod call_record;
 pub mod check;
 pub mod fake_run;
 pub mod fake_target;
@@ -15,7 +16,7 @@
 pub mod work;
 pub mod world;
 
-pub use answered::Answered;
+pub use call_record::CallRecord;
 pub use network::Network;
 pub use options::WorldOptions;
 pub use store::FakeStore;
--- a/crates/damaskstile-fakes/src/targets.rs
+++ b/crates/damaskstile-fakes/src/targets.rs
@@ -1,45 +1,51 @@
-//! `targets` fakes targets and keeps the truth of what they ran.
+//! Fake targets and the authoritative record of what they ran.
 
 use damaskstile::core::prelude::*;
 
 use crate::fake_run::FakeRun;
 pub use crate::fake_target::FakeTarget;
 
-/// `Start` tells what became of a dispatch.
+/// Result of a dispatch at the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// It runs.
+    /// The run was accepted and has a slot.
     Started,
-    /// It waits for a slot.
-    Waiting,
-    /// It was running, and goes on to a new listener.
+    /// The run was accepted and is queued for a slot.
+    Queued,
+    /// The run is known already and is resumed for a new listener.
     Resumed,
-    /// It was refused and has not run.
+    /// The target refused the run, which has not started.
     Refused,
-    /// Nothing was reached.
+    /// The target was not reached.
     Unreachable,
 }
 
-/// `FakeTargets` fakes all targets.
+/// All fake targets and their runs.
 #[derive(Debug, Default)]
 pub struct FakeTargets {
     /// Targets by name.
     pub targets: BTreeMap<TargetId, FakeTarget>,
-    /// All runs that began.
+    /// All runs that were ever accepted.
     pub runs: BTreeMap<RunId, FakeRun>,
-    /// Runs that must not begin any more.
+    /// Runs that were reported as never started and must not start any more.
     pub fenced: BTreeSet<RunId>,
-    /// Dispatches of any kind that reached a target.
+    /// Dispatches that reached a target, refused and resumed ones included.
     pub dispatches: u64,
-    /// Starts at a target that was leaving for longer than this many milliseconds, at most.
+    /// Longest time between a target's start of leaving and a run that it still accepted.
     pub latest_start_after_leaving: Duration,
-    /// Sum of what ran for each account.
+    /// Tokens processed for each account, prompt and output.
     pub ran_tokens: BTreeMap<AccountId, u64>,
 }
 
 impl FakeTargets {
     /// Adds a target.
-    pub fn add(&mut self, name: &str, service: &str, pace: Duration, slots_requests: u64) {
+    pub fn add(
+        &mut self,
+        name: &str,
+        service: &str,
+        chunk_interval: Duration,
+        slots_requests: u64,
+    ) {
         let info = TargetInfo {
             target: name.to_owned(),
             address: format!("at-{name}"),
@@ -49,18 +55,18 @@
         };
         let target = FakeTarget {
             info,
-            pace,
+            chunk_interval,
             slots_requests,
             leaving_since: None,
             is_refusing: false,
             is_down: false,
             cut_runs: 0,
-            loads: Vec::new(),
+            load_history: Vec::new(),
         };
         self.targets.insert(name.to_owned(), target);
     }
 
-    /// Takes a dispatch.
+    /// Handles a dispatch: starts a run, queues it, resumes it or refuses it.
     pub fn dispatch(
         &mut self,
         now: Duration,
@@ -90,11 +96,11 @@
             return Start::Refused;
         }
         if let Some(since) = target.leaving_since {
-            // This fake takes new work although it leaves, so that tests see it.
+            // A real target would refuse. The fake accepts, so that tests can detect such dispatches.
             let late = now.saturating_sub(since);
             self.latest_start_after_leaving = self.latest_start_after_leaving.max(late);
         }
-        let chunks = chunks_of(output_tokens.min(dispatch.cap_tokens));
+        let chunks = split_into_chunks(output_tokens.min(dispatch.cap_tokens));
         *self.ran_tokens.entry(dispatch.account.clone()).or_default() += prompt_tokens;
         let run = FakeRun {
             target: dispatch.target.clone(),
@@ -103,41 +109,42 @@
             prompt_tokens,
             output_tokens: 0,
             chunks,
-            made_chunks: 0,
+            generated_chunks: 0,
             started_at: now,
             listener: Some(listener.to_owned()),
             has_slot: running < slots,
             has_ended: false,
         };
         self.runs.insert(dispatch.run.clone(), run);
-        self.note_load(now, &dispatch.target);
+        self.record_load(now, &dispatch.target);
         if running < slots {
             Start::Started
         } else {
-            Start::Waiting
+            Start::Queued
         }
     }
 
-    /// Generates a run's next chunk. Returns whether there was one.
+    /// Generates the next chunk of a run, or ends the run after its last one. Returns whether a
+    /// chunk was generated.
     pub fn generate(&mut self, now: Duration, id: &RunId) -> bool {
         let Some(run) = self.runs.get_mut(id) else {
             return false;
         };
-        let next = run.chunks.get(run.made_chunks).copied();
+        let next = run.chunks.get(run.generated_chunks).copied();
         let Some(tokens) = next.filter(|_| !run.has_ended) else {
             run.has_ended = true;
             let target = run.target.clone();
-            self.note_load(now, &target);
+            self.record_load(now, &target);
             return false;
         };
-        run.made_chunks += 1;
+        run.generated_chunks += 1;
         run.output_tokens += tokens;
         *self.ran_tokens.entry(run.account.clone()).or_default() += tokens;
         true
     }
 
-    /// Gives a free slot of a target to the run that has waited longest. Returns that run.
-    pub fn next_waiting(&mut self, target: &str) -> Option<RunId> {
+    /// Assigns a free slot of a target to its longest-queued run and returns that run.
+    pub fn next_queued(&mut self, target: &str) -> Option<RunId> {
         let waiting = self
             .runs
             .iter_mut()
@@ -147,30 +154,31 @@
         Some(waiting.0.clone())
     }
 
-    /// Returns the report on a chunk of a run.
+    /// Returns the report of a chunk; `None` if it has not been generated yet.
     #[must_use]
     pub fn chunk(&self, id: &RunId, index: usize) -> Option<RunReport> {
         let run = self.runs.get(id)?;
-        (index < run.made_chunks).then(|| RunReport::Chunk {
+        (index < run.generated_chunks).then(|| RunReport::Chunk {
             index: u64::try_from(index).unwrap_or(u64::MAX),
             tokens: run.chunks[index],
             data: chunk_data(id, index),
         })
     }
 
-    /// Returns the last report on a run that is over.
+    /// Returns the final report of a run; `None` if it is unfinished or was cancelled early.
     #[must_use]
     pub fn finished(&self, id: &RunId) -> Option<RunReport> {
         let run = self.runs.get(id)?;
-        let is_whole = run.made_chunks == run.chunks.len();
-        (run.has_ended && is_whole).then(|| RunReport::Finished {
+        let is_complete = run.generated_chunks == run.chunks.len();
+        (run.has_ended && is_complete).then(|| RunReport::Finished {
             chunks: u64::try_from(run.chunks.len()).unwrap_or(u64::MAX),
             prompt_tokens: run.prompt_tokens,
             output_tokens: run.output_tokens,
         })
     }
 
-    /// Answers how a run went; one that never began is fenced off.
+    /// Returns the state of a run. A run that never started is fenced, so that it cannot start
+    /// later.
     pub fn state(&mut self, target: &str, id: &RunId) -> RunState {
         let is_down = self.targets.get(target).is_none_or(|target| target.is_down);
         if is_down {
@@ -189,12 +197,12 @@
         }
     }
 
-    /// Reports a target's load, as it was a while ago.
+    /// Returns the status of a target, with its load as it was `lag` ago.
     #[must_use]
     pub fn status(&self, now: Duration, target: &str, lag: Duration) -> Option<TargetStatus> {
         let target = self.targets.get(target).filter(|target| !target.is_down)?;
         let in_flight_requests = target
-            .loads
+            .load_history
             .iter()
             .rev()
             .find(|(at, _)| *at + lag <= now)
@@ -207,7 +215,7 @@
         })
     }
 
-    /// Returns the number of runs that go on at a target.
+    /// Returns the number of unfinished runs at a target, queued ones included.
     #[must_use]
     pub fn running(&self, target: &str) -> u64 {
         let count = self
@@ -217,34 +225,34 @@
         u64::try_from(count.count()).unwrap_or(u64::MAX)
     }
 
-    /// Returns how often a request was begun.
+    /// Returns the number of runs that were started for a request.
     #[must_use]
-    pub fn starts_of(&self, key: &str) -> usize {
+    pub fn start_count(&self, key: &str) -> usize {
         self.runs.values().filter(|run| run.key == key).count()
     }
 
-    /// Returns all that ran for an account.
+    /// Returns the tokens processed for an account, prompt and output.
     #[must_use]
     pub fn ran(&self, account: &str) -> u64 {
         self.ran_tokens.get(account).copied().unwrap_or(0)
     }
 
-    fn note_load(&mut self, now: Duration, target: &str) {
+    fn record_load(&mut self, now: Duration, target: &str) {
         let load = self.running(target);
         if let Some(target) = self.targets.get_mut(target) {
-            target.loads.push((now, load));
+            target.load_history.push((now, load));
         }
     }
 }
 
-/// Returns the content of a chunk.
+/// Returns the data of a chunk, which identifies its run and index.
 #[must_use]
 pub fn chunk_data(run: &str, index: usize) -> String {
     format!("{run}#{index}")
 }
 
-/// Cuts an answer into at most four chunks, to keep the number of events low.
-fn chunks_of(output_tokens: u64) -> Vec<u64> {
+/// Splits an answer into at most four chunks, to keep the number of events low.
+fn split_into_chunks(output_tokens: u64) -> Vec<u64> {
     if output_tokens == 0 {
         return vec![0];
     }
