--- a/crates/damaskstile-gateway/src/answer.rs
+++ b/crates/damaskstile-gateway/src/answer.rs
@@ -1,7 +1,7 @@
 //! Head of a target's answer, independent of the dialect of its headers.
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::NamedLimit;
+use damaskstile_targets::AdvertisedLimit;
 
 use crate::handling::Handling;
 
@@ -28,7 +28,7 @@
     /// Backoff: time for which the target wants no calls from this instance.
     pub pause: Option<Duration>,
     /// Rate limit that the target advertises.
-    pub named_limit: NamedLimit,
+    pub named_limit: AdvertisedLimit,
     /// The target's load.
     pub load: Option<Load>,
     /// Time for which the connection may be reused; `None` if it must be closed.
--- a/crates/damaskstile-gateway/src/emptied_list.rs
+++ b/crates/damaskstile-gateway/src/emptied_list.rs
@@ -1,7 +1,7 @@
 //! The list of data centres that operators have evacuated.
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::EmptiedNews;
+use damaskstile_targets::EvacuationChanges;
 
 use crate::fault::fault;
 use crate::gateway::Gateway;
@@ -21,7 +21,7 @@
     let all: BTreeSet<DataCentreId> = all.collect();
     let now = gateway.now();
     if !is_settled(gateway, now) {
-        let known = gateway.state().book.emptied().names();
+        let known = gateway.state().book.evacuations().names();
         if known.iter().any(|name| !all.contains(name)) {
             return false;
         }
@@ -29,7 +29,7 @@
     let news = gateway
         .state()
         .book
-        .take_emptied(now, listing.version, &all);
+        .apply_evacuations(now, listing.version, &all);
     note(gateway, &news, "store");
     true
 }
@@ -61,7 +61,7 @@
         .collect();
     let now = gateway.now();
     let book = &mut gateway.state().book;
-    let news = book.take_emptied_changes(now, version, &changes);
+    let news = book.apply_evacuation_changes(now, version, &changes);
     note(gateway, &news, "store");
 }
 
@@ -69,7 +69,7 @@
 pub(crate) fn apply_report(gateway: &Gateway, version: Version, reported: &[String], source: &str) {
     let all = reported.iter().cloned().collect();
     let now = gateway.now();
-    let news = gateway.state().book.take_emptied(now, version, &all);
+    let news = gateway.state().book.apply_evacuations(now, version, &all);
     note(gateway, &news, source);
 }
 
@@ -94,11 +94,11 @@
 }
 
 /// Logs changes and triggers a digest to peers.
-fn note(gateway: &Gateway, news: &EmptiedNews, source: &str) {
+fn note(gateway: &Gateway, news: &EvacuationChanges, source: &str) {
     if news.is_empty() {
         return;
     }
-    let emptied = news.emptied.iter();
+    let emptied = news.evacuated.iter();
     let emptied = emptied.map(|name| (EventCode::DataCentreEmptied, name));
     let taken_back = news.taken_back.iter();
     let taken_back = taken_back.map(|name| (EventCode::DataCentreTakenBack, name));
--- a/crates/damaskstile-gateway/src/exchange.rs
+++ b/crates/damaskstile-gateway/src/exchange.rs
@@ -78,7 +78,7 @@
                     body: Bytes::new(),
                     id: head.id,
                     work: Work {
-                        homes: terms.homes.clone(),
+                        home_regions: terms.home_regions.clone(),
                         ..head.work.unwrap_or_default()
                     },
                 },
--- a/crates/damaskstile-gateway/src/exchange/refusing.rs
+++ b/crates/damaskstile-gateway/src/exchange/refusing.rs
@@ -70,10 +70,10 @@
             .book
             .has_target(now, &self.terms.service, &self.call.work);
         let code = found.err()?;
-        if state.book.paused_for(now, &self.terms.service).is_some() {
+        if state.book.backoff_left(now, &self.terms.service).is_some() {
             return None;
         }
-        let wait = state.book.place_in(now, &self.terms.service);
+        let wait = state.book.time_until_room(now, &self.terms.service);
         drop(state);
         let wait = wait.map_or(RETRY_LATER, |wait| self.add_jitter(wait));
         Some(Refusal::not_run(code, Some(wait)))
@@ -91,7 +91,7 @@
         let now = self.gateway.now();
         let left = {
             let state = self.gateway.state();
-            state.book.paused_for(now, &self.terms.service)?
+            state.book.backoff_left(now, &self.terms.service)?
         };
         Some(self.add_jitter(left))
     }
--- a/crates/damaskstile-gateway/src/operators.rs
+++ b/crates/damaskstile-gateway/src/operators.rs
@@ -95,7 +95,7 @@
     let (age, version) = (state.contact.age(now), state.catalogue.version());
     let followed_at = state.followed_at.clone();
     let counts = state.book.counts();
-    let paused = state.book.paused_targets(now);
+    let paused = state.book.targets_in_backoff(now);
     drop(state);
     for (followed, at) in followed_at {
         let age = now.saturating_sub(at);
@@ -115,7 +115,7 @@
         .sample_peer_bytes(gateway.sent_bytes.counts());
     let (cold, limited, emptied) = {
         let book = &gateway.state().book;
-        let emptied = book.emptied().names().len();
+        let emptied = book.evacuations().names().len();
         (book.cold_targets(now), book.limited_targets(), emptied)
     };
     gateway.metrics.sample_places(cold, limited, emptied);
--- a/crates/damaskstile-gateway/src/options.rs
+++ b/crates/damaskstile-gateway/src/options.rs
@@ -4,7 +4,7 @@
 
 use damaskstile_core::prelude::*;
 use damaskstile_escrow::EscrowOptions;
-use damaskstile_targets::BookOptions;
+use damaskstile_targets::TargetTableOptions;
 
 use crate::cold_options::ColdOptions;
 
@@ -40,7 +40,7 @@
     /// Options of the token escrow.
     pub escrow: EscrowOptions,
     /// Options of target selection.
-    pub book: BookOptions,
+    pub book: TargetTableOptions,
     /// Rate of calls that a cold target may get.
     pub cold: ColdOptions,
 }
--- a/crates/damaskstile-gateway/src/peers.rs
+++ b/crates/damaskstile-gateway/src/peers.rs
@@ -234,7 +234,7 @@
             })
             .filter(|free| free.tokens > 0)
             .collect();
-        let limits = state.book.limits_to_tell(now).into_iter();
+        let limits = state.book.limits_to_report(now).into_iter();
         let limits = limits.map(|(identity, limit)| LimitReport::of(now, identity, limit));
         let digest = Digest {
             unix_ms: crate::clock::own_unix_ms(),
@@ -256,8 +256,8 @@
             limits: limits.collect(),
             ledger_version: state.holder.ledger_version(),
             store_history: state.holder.store_history(),
-            evacuated_version: state.book.emptied().version().unwrap_or_default(),
-            evacuated: state.book.emptied().names(),
+            evacuated_version: state.book.evacuations().version().unwrap_or_default(),
+            evacuated: state.book.evacuations().names(),
             ..Digest::default()
         };
         digest.with_departures(&state.book.draining(now), &state.vanished(now))
@@ -283,7 +283,7 @@
             DatagramBody::Reading(reading) => {
                 let now = self.gateway.now();
                 let book = &mut self.gateway.state().book;
-                book.hear_reading(now, &reading.identity(), reading.time());
+                book.apply_prefill_report(now, &reading.identity(), reading.time());
             }
             DatagramBody::Receipt(receipt) => self.handle_receipt(&datagram.from, &receipt),
             DatagramBody::Borrow(ask) => {
--- a/crates/damaskstile-gateway/src/peers/limit_report.rs
+++ b/crates/damaskstile-gateway/src/peers/limit_report.rs
@@ -2,7 +2,6 @@
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
-use damaskstile_targets::LimitWord;
 
 /// `LimitReport` is the call limit that a target advertises for all instances together.
 #[derive(prost::Message, Clone, PartialEq)]
@@ -23,7 +22,11 @@
 
 impl LimitReport {
     /// Makes the report of a limit as of `now`.
-    pub(super) fn of(now: Duration, identity: TargetIdentity, limit: LimitWord) -> Self {
+    pub(super) fn of(
+        now: Duration,
+        identity: TargetIdentity,
+        limit: damaskstile_targets::LimitReport,
+    ) -> Self {
         Self {
             target: identity.target,
             started_at_unix_ms: identity.incarnation,
@@ -33,12 +36,15 @@
     }
 
     /// Returns the target and its limit as of `now`; `None` if the value cannot be a limit.
-    pub(super) fn to_limit(&self, now: Duration) -> Option<(TargetIdentity, LimitWord)> {
+    pub(super) fn to_limit(
+        &self,
+        now: Duration,
+    ) -> Option<(TargetIdentity, damaskstile_targets::LimitReport)> {
         let is_limit = |calls: f64| calls.is_finite() && calls >= 0.0;
         if !self.calls_per_s.is_none_or(is_limit) {
             return None;
         }
-        let limit = LimitWord {
+        let limit = damaskstile_targets::LimitReport {
             calls_per_s: self.calls_per_s,
             at: now.saturating_sub(Duration::from_millis(self.age_ms)),
         };
--- a/crates/damaskstile-gateway/src/peers/list_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/list_answer.rs
@@ -2,7 +2,7 @@
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
-use damaskstile_targets::{Book, Listed};
+use damaskstile_targets::{Listed, TargetTable};
 
 use crate::gateway::Gateway;
 use crate::state::{ReportedChanges, State};
@@ -75,7 +75,7 @@
     }
 }
 
-fn to_pulled_target(book: &Book, now: Duration, listed: &Listed) -> PulledTarget {
+fn to_pulled_target(book: &TargetTable, now: Duration, listed: &Listed) -> PulledTarget {
     PulledTarget {
         target: listed.target.clone(),
         started_at_unix_ms: listed.incarnation,
@@ -88,7 +88,7 @@
     }
 }
 
-fn to_listed(book: &Book, pulled: PulledTarget) -> Option<Listed> {
+fn to_listed(book: &TargetTable, pulled: PulledTarget) -> Option<Listed> {
     Some(Listed {
         // A peer of an older release does not send incarnations. If they were treated as unstated,
         // its whole list would be refused during an upgrade of the fleet.
--- a/crates/damaskstile-gateway/src/peers/received_digest.rs
+++ b/crates/damaskstile-gateway/src/peers/received_digest.rs
@@ -73,7 +73,7 @@
             from.to_owned(),
             Member::new(incarnation, address, now, digest),
         );
-        state.book.meet(from, digest.known_instances);
+        state.book.add_instance(from, digest.known_instances);
         state.holder.hear_ledger_version(digest.ledger_version);
         let has_entered = state.holder.enter_history(digest.store_history);
         let mut limits = Vec::new();
@@ -82,7 +82,7 @@
             .iter()
             .filter_map(|report| report.to_limit(now))
         {
-            if state.book.hear_limit(now, &target, limit) {
+            if state.book.apply_limit_report(now, &target, limit) {
                 limits.push((target, limit));
             }
         }
--- a/crates/damaskstile-gateway/src/running.rs
+++ b/crates/damaskstile-gateway/src/running.rs
@@ -28,7 +28,7 @@
             state.book.sent(now, &choice, work);
             // A message to all peers takes as much of the link as the prompt itself.
             let has_room = !state.pressure.is_high(now);
-            state.book.reading_to_tell(&choice).filter(|_| has_room)
+            state.book.prefill_to_report(&choice).filter(|_| has_room)
         };
         if let Some(time) = reading {
             // Best effort: a peer that misses the message chooses targets without it.
@@ -89,7 +89,7 @@
     /// Records that the target did not answer at all.
     pub(crate) fn silent(&self) {
         let now = self.gateway.now();
-        self.gateway.state().book.silent(now, &self.choice);
+        self.gateway.state().book.unanswered(now, &self.choice);
     }
 }
 
--- a/crates/damaskstile-gateway/src/state.rs
+++ b/crates/damaskstile-gateway/src/state.rs
@@ -16,7 +16,7 @@
 use damaskstile_loans::{Borrower, Candidate, Lender};
 use damaskstile_requests::{RetryBudget, Suspects};
 use damaskstile_routes::{Account, Catalogue, CatalogueInForce, Route};
-use damaskstile_targets::{Book, ListChanges, Work};
+use damaskstile_targets::{ListChanges, TargetTable, Work};
 
 use crate::call::CallHead;
 use crate::call_times::CallTimes;
@@ -60,7 +60,7 @@
     /// Client account; `None` on routes that require none.
     pub account: Option<AccountId>,
     /// Regions that may run the call; `None` for all.
-    pub homes: Option<Arc<BTreeSet<RegionId>>>,
+    pub home_regions: Option<Arc<BTreeSet<RegionId>>>,
     /// Priority rank of the call.
     pub priority: u8,
 }
@@ -71,7 +71,7 @@
     /// Routes, services and client accounts.
     pub catalogue: CatalogueInForce,
     /// The target table.
-    pub book: Book,
+    pub book: TargetTable,
     /// This instance's share of the budgets.
     pub holder: Holder,
     /// Loans of this instance's tokens to peers.
@@ -151,8 +151,8 @@
         let address = options.peers_address.to_string();
         Self {
             catalogue: CatalogueInForce::default(),
-            book: Book::new(&identity.data_centre, options.book.clone())
-                .of_instance(&identity.instance, started_at),
+            book: TargetTable::new(&identity.data_centre, options.book.clone())
+                .for_instance(&identity.instance, started_at),
             random: Random::new(identity.incarnation),
             instance: identity.instance.clone(),
             own_candidate: Candidate::new(
@@ -226,7 +226,7 @@
             catalogue_age: self.catalogue.age(now),
             service: service.to_owned(),
             account: account.map(|account| account.name.clone()),
-            homes: homes(&route, account).map(Arc::new),
+            home_regions: home_regions(&route, account).map(Arc::new),
             priority,
             route: Arc::clone(&route),
             catalogue: Arc::clone(&catalogue),
@@ -331,15 +331,15 @@
 }
 
 /// Returns the regions that may run a call: the intersection if both route and account name some.
-fn homes(route: &Route, account: Option<&Account>) -> Option<BTreeSet<RegionId>> {
-    let of_account = account.map(|account| &account.homes);
-    let mut named = [Some(&route.homes), of_account]
+fn home_regions(route: &Route, account: Option<&Account>) -> Option<BTreeSet<RegionId>> {
+    let of_account = account.map(|account| &account.home_regions);
+    let mut named = [Some(&route.home_regions), of_account]
         .into_iter()
         .flatten()
-        .filter(|homes| !homes.is_empty());
+        .filter(|home_regions| !home_regions.is_empty());
     let first = named.next()?.clone();
-    Some(named.fold(first, |both, homes| {
-        both.intersection(homes).cloned().collect()
+    Some(named.fold(first, |both, home_regions| {
+        both.intersection(home_regions).cloned().collect()
     }))
 }
 
--- a/crates/damaskstile-gateway/src/state/targets.rs
+++ b/crates/damaskstile-gateway/src/state/targets.rs
@@ -51,7 +51,7 @@
         let touched: Vec<TargetId> = listed.chain(&changes.gone).cloned().collect();
         self.list_changes.note(version, touched);
         for target in changes.gone {
-            if self.book.is_named(&target) {
+            if self.book.is_listed(&target) {
                 self.book.unlist(now, &target, is_around_outage);
             }
         }
@@ -78,11 +78,11 @@
         identity: &TargetIdentity,
         version: Version,
     ) -> bool {
-        if version <= self.targets_version && self.book.is_named(&identity.target) {
+        if version <= self.targets_version && self.book.is_listed(&identity.target) {
             return false;
         }
         self.target_words.note_gone(&identity.target, version);
-        self.book.vanish(now, identity)
+        self.book.delist(now, identity)
     }
 
     /// Returns the recently delisted targets, to report to peers, with the versions at which they
@@ -92,14 +92,14 @@
         let with_version = |identity: TargetIdentity| {
             let reported = self.target_words.gone_at(&identity.target);
             // A target that this instance's list does not name is gone at the list's version.
-            let own = if self.book.is_named(&identity.target) {
+            let own = if self.book.is_listed(&identity.target) {
                 0
             } else {
                 self.targets_version
             };
             (identity, reported.max(own))
         };
-        let vanished = self.book.vanished(now).into_iter();
+        let vanished = self.book.delisted(now).into_iter();
         vanished.map(with_version).collect()
     }
 }
--- a/crates/damaskstile-gateway/src/target_list.rs
+++ b/crates/damaskstile-gateway/src/target_list.rs
@@ -91,7 +91,7 @@
     let now = gateway.now();
     let mut state = gateway.state();
     // A newer list names the target: it has come back since.
-    if version < state.targets_version && state.book.is_named(name) {
+    if version < state.targets_version && state.book.is_listed(name) {
         return false;
     }
     let is_around_outage = state.contact.is_around_outage(now);
--- a/crates/damaskstile-gateway/src/target_says.rs
+++ b/crates/damaskstile-gateway/src/target_says.rs
@@ -2,7 +2,7 @@
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
-use damaskstile_targets::{Choice, NamedLimit};
+use damaskstile_targets::{AdvertisedLimit, Choice};
 
 use crate::answer::AnswerHead;
 use crate::gateway::Gateway;
@@ -30,7 +30,7 @@
         handle_backoff(gateway, choice, pause);
     }
     // A late answer without an advertised limit does not mean that there is none now.
-    if is_own || head.named_limit != NamedLimit::Absent {
+    if is_own || head.named_limit != AdvertisedLimit::Absent {
         handle_limit(gateway, choice, running.sent_at(), head.named_limit);
     }
 }
@@ -66,7 +66,9 @@
     let mut state = gateway.state();
     let spread_ms = unix_ms(pause.min(BACKOFF_SPREAD_BASE_MAX) / BACKOFF_SPREAD_PART);
     let spread = Duration::from_millis(state.random.below(spread_ms));
-    state.book.pause(now, choice, pause.saturating_add(spread));
+    state
+        .book
+        .start_backoff(now, choice, pause.saturating_add(spread));
     drop(state);
     let pause_ms = pause.as_millis().to_string();
     let fields = [
@@ -77,11 +79,18 @@
 }
 
 /// Handles the rate limit that a target advertises, or its absence.
-fn handle_limit(gateway: &Gateway, choice: &Choice, sent_at: Duration, advertised: NamedLimit) {
+fn handle_limit(
+    gateway: &Gateway,
+    choice: &Choice,
+    sent_at: Duration,
+    advertised: AdvertisedLimit,
+) {
     let now = gateway.now();
     let target = choice.identity();
     let mut state = gateway.state();
-    let news = state.book.heed_limit(now, &target, sent_at, advertised);
+    let news = state
+        .book
+        .apply_advertised_limit(now, &target, sent_at, advertised);
     drop(state);
     if let Some(word) = news {
         log_limit(gateway, &target, word.calls_per_s, "answer");
--- a/crates/damaskstile-gateway/tests/fleets.rs
+++ b/crates/damaskstile-gateway/tests/fleets.rs
@@ -14,7 +14,7 @@
 use damaskstile_gateway::peers::{Digest, PeerReport};
 use damaskstile_gateway::state::State;
 use damaskstile_gateway::wanted::Wanted;
-use damaskstile_targets::BookOptions;
+use damaskstile_targets::TargetTableOptions;
 
 /// Sizes of the compared fleets: what holds for the first must hold for the second.
 const FLEETS: [usize; 2] = [250, 1_000];
@@ -79,7 +79,7 @@
         retry_percent: 20,
         extra_retries_per_s: 5,
         escrow: EscrowOptions::default(),
-        book: BookOptions::default(),
+        book: TargetTableOptions::default(),
         cold: ColdOptions::default(),
     };
     State::new(&options, Duration::ZERO)
--- a/crates/damaskstile-gateway/tests/sends.rs
+++ b/crates/damaskstile-gateway/tests/sends.rs
@@ -54,7 +54,7 @@
         priority: 0,
         attempts_max: 1,
         is_anonymous: true,
-        homes: BTreeSet::new(),
+        home_regions: BTreeSet::new(),
     };
     Terms {
         catalogue: Arc::new(Catalogue::default()),
@@ -62,7 +62,7 @@
         route: Arc::new(route),
         service: SERVICE.to_owned(),
         account: None,
-        homes: None,
+        home_regions: None,
         priority: 0,
     }
 }
--- a/crates/damaskstile-gateway/tests/support/mod.rs
+++ b/crates/damaskstile-gateway/tests/support/mod.rs
@@ -21,7 +21,7 @@
 };
 use damaskstile_gateway::options::GatewayOptions;
 use damaskstile_routes::Catalogue;
-use damaskstile_targets::{BookOptions, Choice, Listed, Work};
+use damaskstile_targets::{Choice, Listed, TargetTableOptions, Work};
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 use http::{HeaderMap, request, response};
@@ -144,7 +144,7 @@
         retry_percent: 20,
         extra_retries_per_s: 5,
         escrow: EscrowOptions::default(),
-        book: BookOptions::default(),
+        book: TargetTableOptions::default(),
         cold: ColdOptions::default(),
     };
     let log = Logger::root(Discard, o!());
--- a/crates/damaskstile-gateway/tests/writers.rs
+++ b/crates/damaskstile-gateway/tests/writers.rs
@@ -11,7 +11,7 @@
 use damaskstile_gateway::options::GatewayOptions;
 use damaskstile_gateway::peers::Digest;
 use damaskstile_gateway::state::State;
-use damaskstile_targets::BookOptions;
+use damaskstile_targets::TargetTableOptions;
 
 /// Number of instances of a grown deployment, and the number of those with more than a small part
 /// of a core.
@@ -50,7 +50,7 @@
         retry_percent: 20,
         extra_retries_per_s: 5,
         escrow: EscrowOptions::default(),
-        book: BookOptions::default(),
+        book: TargetTableOptions::default(),
         cold: ColdOptions::default(),
     };
     let mut state = State::new(&options, Duration::ZERO);
--- a/crates/damaskstile-routes/src/account.rs
+++ b/crates/damaskstile-routes/src/account.rs
@@ -14,5 +14,5 @@
     /// Total number of tokens bought; `None` if the account is not prepaid.
     pub prepaid_tokens: Option<u64>,
     /// Home regions, which may run the account's calls; empty for all regions.
-    pub homes: BTreeSet<RegionId>,
+    pub home_regions: BTreeSet<RegionId>,
 }
--- a/crates/damaskstile-routes/src/route.rs
+++ b/crates/damaskstile-routes/src/route.rs
@@ -37,7 +37,7 @@
     /// Whether calls are accepted without a key.
     pub is_anonymous: bool,
     /// Home regions, which may run the calls; empty for all regions.
-    pub homes: BTreeSet<RegionId>,
+    pub home_regions: BTreeSet<RegionId>,
 }
 
 impl Route {
@@ -53,7 +53,7 @@
     ///     name: "r".to_owned(), host: "h".to_owned(), path_prefix: "/".to_owned(),
     ///     kind: RouteKind::Idempotent, shares: vec![share("a", 9), share("b", 1)],
     ///     timeout: Duration::from_secs(1), objective: Duration::from_secs(1),
-    ///     priority: 0, attempts_max: 1, is_anonymous: false, homes: Default::default(),
+    ///     priority: 0, attempts_max: 1, is_anonymous: false, home_regions: Default::default(),
     /// };
     /// assert_eq!(route.service(8), Some("a"));
     /// assert_eq!(route.service(9), Some("b"));
--- a/crates/damaskstile-routes/tests/catalogue.rs
+++ b/crates/damaskstile-routes/tests/catalogue.rs
@@ -23,7 +23,7 @@
         priority: 0,
         attempts_max: 1,
         is_anonymous: false,
-        homes: BTreeSet::new(),
+        home_regions: BTreeSet::new(),
     }
 }
 
@@ -33,7 +33,7 @@
         keys: vec![key.to_owned()],
         priority: None,
         prepaid_tokens: Some(10),
-        homes: BTreeSet::new(),
+        home_regions: BTreeSet::new(),
     }
 }
 
--- a/crates/damaskstile-targets/src/advertised_limit.rs
+++ b/crates/damaskstile-targets/src/advertised_limit.rs
@@ -2,7 +2,7 @@
 
 /// Call limit that a target advertises in an answer; it applies to all instances together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum NamedLimit {
+pub enum AdvertisedLimit {
     /// The answer carries no limit.
     #[default]
     Absent,
--- a/crates/damaskstile-targets/src/evacuations.rs
+++ b/crates/damaskstile-targets/src/evacuations.rs
@@ -44,18 +44,18 @@
         now: Duration,
         version: Version,
         all: &BTreeSet<DataCentreId>,
-    ) -> Option<EmptiedNews> {
+    ) -> Option<EvacuationChanges> {
         if self.version.is_some_and(|known| known >= version) {
             return None;
         }
         self.version = Some(version);
         let known: BTreeSet<DataCentreId> = self.data_centres.keys().cloned().collect();
-        let changes = EmptiedNews {
-            emptied: all.difference(&known).cloned().collect(),
+        let changes = EvacuationChanges {
+            evacuated: all.difference(&known).cloned().collect(),
             taken_back: known.difference(all).cloned().collect(),
         };
         self.data_centres.retain(|name, _| all.contains(name));
-        for name in &changes.emptied {
+        for name in &changes.evacuated {
             if self.data_centres.len() < EVACUATED_MAX {
                 self.data_centres.insert(name.clone(), now);
             }
@@ -70,10 +70,10 @@
         now: Duration,
         version: Version,
         changes: &[(DataCentreId, bool)],
-    ) -> Option<EmptiedNews> {
+    ) -> Option<EvacuationChanges> {
         let mut all: BTreeSet<DataCentreId> = self.data_centres.keys().cloned().collect();
-        for (name, is_emptied) in changes {
-            if *is_emptied {
+        for (name, is_evacuated) in changes {
+            if *is_evacuated {
                 all.insert(name.clone());
             } else {
                 all.remove(name);
@@ -85,17 +85,17 @@
 
 /// What an update of the evacuated data centres changed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct EmptiedNews {
+pub struct EvacuationChanges {
     /// Newly evacuated data centres.
-    pub emptied: Vec<DataCentreId>,
+    pub evacuated: Vec<DataCentreId>,
     /// Data centres that may receive work again.
     pub taken_back: Vec<DataCentreId>,
 }
 
-impl EmptiedNews {
+impl EvacuationChanges {
     /// Tells whether the update changed nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.emptied.is_empty() && self.taken_back.is_empty()
+        self.evacuated.is_empty() && self.taken_back.is_empty()
     }
 }
--- a/crates/damaskstile-targets/src/fleet_view.rs
+++ b/crates/damaskstile-targets/src/fleet_view.rs
@@ -34,7 +34,7 @@
     }
 
     /// Records another instance; returns whether it is new.
-    pub fn meet(&mut self, other: &str) -> bool {
+    pub fn add_instance(&mut self, other: &str) -> bool {
         other != self.own && !self.others.contains(other) && self.others.insert(other.to_owned())
     }
 
@@ -59,7 +59,7 @@
     /// let mut views = ["a", "b", "c"].map(FleetView::new);
     /// for view in &mut views {
     ///     for other in ["a", "b", "c"] {
-    ///         view.meet(other);
+    ///         view.add_instance(other);
     ///     }
     /// }
     /// assert_eq!(views.iter().filter(|view| view.is_among(&["t"], 2)).count(), 2);
@@ -85,7 +85,7 @@
     /// ```
     /// use damaskstile_targets::FleetView;
     /// let mut view = FleetView::new("a");
-    /// view.meet("b");
+    /// view.add_instance("b");
     /// let turns = [0, 1, 2].map(|turn| view.is_in_turn(&["t"], 1, turn));
     /// assert_eq!(turns[0], turns[2]);
     /// assert_ne!(turns[0], turns[1]);
--- a/crates/damaskstile-targets/src/limit_report.rs
+++ b/crates/damaskstile-targets/src/limit_report.rs
@@ -12,7 +12,7 @@
 
 /// Newest known state of the limit that a target advertises.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// Calls a second from all instances together; `None` if the target no longer advertises a
     /// limit.
     pub calls_per_s: Option<f64>,
@@ -21,7 +21,7 @@
     pub at: Duration,
 }
 
-impl LimitWord {
+impl LimitReport {
     /// Returns the limit; `None` if it has ended.
     #[must_use]
     pub fn limit(&self) -> Option<CallLimit> {
--- a/crates/damaskstile-targets/src/target_state.rs
+++ b/crates/damaskstile-targets/src/target_state.rs
@@ -4,7 +4,7 @@
 
 use damaskstile_core::prelude::*;
 
-use crate::limit_report::LimitWord;
+use crate::limit_report::LimitReport;
 use crate::listed::Listed;
 use crate::sender_turn::SenderTurn;
 use crate::work::Work;
@@ -52,7 +52,7 @@
     /// End of the target's backoff.
     backoff_until: Duration,
     /// Call limit that the target advertises, or the end of one.
-    pub(crate) limit: Option<LimitWord>,
+    pub(crate) limit: Option<LimitReport>,
     /// Since when the limit has been about the same.
     pub(crate) limit_since: Duration,
     parts: BTreeMap<u64, Duration>,
@@ -150,7 +150,7 @@
     }
 
     /// Applies the newest state of the target's limit; returns whether the limit changed.
-    pub(crate) fn apply_limit(&mut self, now: Duration, report: LimitWord) -> bool {
+    pub(crate) fn apply_limit(&mut self, now: Duration, report: LimitReport) -> bool {
         let is_new = !self.limit.is_some_and(|limit| report.is_like(&limit));
         if is_new {
             self.limit_since = now;
@@ -194,7 +194,7 @@
         self.note_outcome(now, 1.0, FAILURE_WEIGHT);
     }
 
-    pub(crate) fn silent(&mut self, now: Duration) {
+    pub(crate) fn unanswered(&mut self, now: Duration) {
         self.note_outcome(now, 1.0, SILENCE_WEIGHT);
     }
 
--- a/crates/damaskstile-targets/src/target_table.rs
+++ b/crates/damaskstile-targets/src/target_table.rs
@@ -27,7 +27,7 @@
 use crate::fleet_view::FleetView;
 use crate::prefill_speed::PrefillSpeed;
 use crate::target_state::TargetState;
-use crate::target_table_options::BookOptions;
+use crate::target_table_options::TargetTableOptions;
 use crate::work::Work;
 use cost_estimate::{CostEstimate, least_passing};
 use index::ServiceIndex;
@@ -46,8 +46,8 @@
 /// load alone would repeat the prefill of shared prompt parts at every target; affinity alone would
 /// queue the calls of a busy session at one target.
 #[derive(Debug)]
-pub struct Book {
-    options: BookOptions,
+pub struct TargetTable {
+    options: TargetTableOptions,
     data_centre: String,
     targets: BTreeMap<TargetId, TargetState>,
     /// Targets by service, in the orders in which selections go through them.
@@ -87,10 +87,10 @@
     touched: BTreeSet<TargetId>,
 }
 
-impl Book {
+impl TargetTable {
     /// Creates a table without targets.
     #[must_use]
-    pub fn new(data_centre: &str, options: BookOptions) -> Self {
+    pub fn new(data_centre: &str, options: TargetTableOptions) -> Self {
         Self {
             options,
             data_centre: data_centre.to_owned(),
@@ -118,7 +118,7 @@
 
     /// Sets the name of the instance that uses the table, and when it started.
     #[must_use]
-    pub fn of_instance(mut self, instance: &str, started_at: Duration) -> Self {
+    pub fn for_instance(mut self, instance: &str, started_at: Duration) -> Self {
         self.fleet = FleetView::new(instance);
         self.started_at = Some(started_at);
         self.own_seed = stable_hash(&["order", instance]);
@@ -128,8 +128,9 @@
     /// Returns the number of candidates that selections have examined.
     ///
     /// ```
-    /// use damaskstile_targets::{Book, BookOptions};
-    /// assert_eq!(Book::new("north", BookOptions::default()).candidates_examined(), 0);
+    /// use damaskstile_targets::{TargetTable, TargetTableOptions};
+    /// let table = TargetTable::new("north", TargetTableOptions::default());
+    /// assert_eq!(table.candidates_examined(), 0);
     /// ```
     #[must_use]
     pub fn candidates_examined(&self) -> u64 {
@@ -147,8 +148,8 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use damaskstile_targets::{Book, BookOptions, Work};
-    /// let table = Book::new("north", BookOptions::default());
+    /// use damaskstile_targets::{TargetTable, TargetTableOptions, Work};
+    /// let table = TargetTable::new("north", TargetTableOptions::default());
     /// assert_eq!(table.choose(Duration::ZERO, "s", &Work::default(), &[]), None);
     /// ```
     #[must_use]
@@ -185,8 +186,8 @@
     /// ```
     /// use std::time::Duration;
     /// use damaskstile_core::prelude::TargetIdentity;
-    /// use damaskstile_targets::{Book, BookOptions};
-    /// let table = Book::new("north", BookOptions::default());
+    /// use damaskstile_targets::{TargetTable, TargetTableOptions};
+    /// let table = TargetTable::new("north", TargetTableOptions::default());
     /// assert!(!table.may_send(Duration::ZERO, &TargetIdentity::new("unknown", None)));
     /// ```
     #[must_use]
@@ -235,7 +236,7 @@
     /// Returns the prefill time of a call's prompt at its target if it is long enough to be
     /// reported to peers.
     #[must_use]
-    pub fn reading_to_tell(&self, choice: &Choice) -> Option<Duration> {
+    pub fn prefill_to_report(&self, choice: &Choice) -> Option<Duration> {
         let parts =
             f64::from(u32::try_from(self.instances).unwrap_or(u32::MAX)) / REPORTING_INSTANCES;
         let is_worth = choice.prefill_ms >= self.options.tell_ms * parts.max(1.0);
@@ -243,7 +244,12 @@
     }
 
     /// Applies a peer's report that it sent a prompt to a target, where the prefill takes so long.
-    pub fn hear_reading(&mut self, now: Duration, identity: &TargetIdentity, time: Duration) {
+    pub fn apply_prefill_report(
+        &mut self,
+        now: Duration,
+        identity: &TargetIdentity,
+        time: Duration,
+    ) {
         self.sweep(now, &identity.target);
         if let Some(state) = self.of_incarnation(&identity.target, identity.incarnation) {
             state.add_reported_prefill(now, time);
@@ -286,9 +292,9 @@
     }
 
     /// Records that a target did not answer at all.
-    pub fn silent(&mut self, now: Duration, choice: &Choice) {
+    pub fn unanswered(&mut self, now: Duration, choice: &Choice) {
         if let Some(state) = self.chosen(choice) {
-            state.silent(now);
+            state.unanswered(now);
         }
     }
 
--- a/crates/damaskstile-targets/src/target_table/advertised_limits.rs
+++ b/crates/damaskstile-targets/src/target_table/advertised_limits.rs
@@ -2,9 +2,9 @@
 
 use damaskstile_core::prelude::*;
 
-use super::Book;
-use crate::advertised_limit::NamedLimit;
-use crate::limit_report::LimitWord;
+use super::TargetTable;
+use crate::advertised_limit::AdvertisedLimit;
+use crate::limit_report::LimitReport;
 use crate::target_state::TargetState;
 
 /// Time for which an advertised limit, or its end, is reported to peers.
@@ -15,32 +15,32 @@
 /// time is unknown, so relayed reports look newer than they are.
 const EQUAL_REPORT_SLACK: Duration = Duration::from_millis(500);
 
-impl Book {
+impl TargetTable {
     /// Applies what the answer to a call says of its target's limit; returns the limit if it
     /// changed.
     ///
     /// A limit ends once a call that was sent after the limit was last advertised is answered
     /// without one. The answer to an earlier call may have been delayed.
-    pub fn heed_limit(
+    pub fn apply_advertised_limit(
         &mut self,
         now: Duration,
         identity: &TargetIdentity,
         sent_at: Duration,
-        named: NamedLimit,
-    ) -> Option<LimitWord> {
+        named: AdvertisedLimit,
+    ) -> Option<LimitReport> {
         let state = self.of_incarnation(&identity.target, identity.incarnation)?;
         let report = match named {
-            NamedLimit::CallsPerS(calls_per_s) => LimitWord {
+            AdvertisedLimit::CallsPerS(calls_per_s) => LimitReport {
                 calls_per_s: Some(calls_per_s),
                 at: now,
             },
-            NamedLimit::Absent if state.limit.is_some_and(|limit| sent_at > limit.at) => {
-                LimitWord {
+            AdvertisedLimit::Absent if state.limit.is_some_and(|limit| sent_at > limit.at) => {
+                LimitReport {
                     calls_per_s: None,
                     at: sent_at,
                 }
             }
-            NamedLimit::Absent | NamedLimit::Unreadable => return None,
+            AdvertisedLimit::Absent | AdvertisedLimit::Unreadable => return None,
         };
         let is_new = state.apply_limit(now, report);
         self.limited.insert(identity.target.clone());
@@ -48,11 +48,11 @@
     }
 
     /// Applies a peer's report on a target's limit; returns whether the limit changed.
-    pub fn hear_limit(
+    pub fn apply_limit_report(
         &mut self,
         now: Duration,
         identity: &TargetIdentity,
-        report: LimitWord,
+        report: LimitReport,
     ) -> bool {
         let Some(state) = self.of_incarnation(&identity.target, identity.incarnation) else {
             return false;
@@ -73,7 +73,7 @@
     /// Returns the limits to report to peers, newest first: those that were advertised recently,
     /// and those that ended recently.
     #[must_use]
-    pub fn limits_to_tell(&self, now: Duration) -> Vec<(TargetIdentity, LimitWord)> {
+    pub fn limits_to_report(&self, now: Duration) -> Vec<(TargetIdentity, LimitReport)> {
         let to_report = |state: &TargetState| {
             let report = state.limit?;
             let since = match report.calls_per_s {
--- a/crates/damaskstile-targets/src/target_table/backoff.rs
+++ b/crates/damaskstile-targets/src/target_table/backoff.rs
@@ -2,13 +2,13 @@
 
 use damaskstile_core::prelude::*;
 
-use super::Book;
+use super::TargetTable;
 use crate::choice::Choice;
 
-impl Book {
+impl TargetTable {
     /// Records that the target of a call accepts nothing from this instance for a time. The backoff
     /// ends early if a new incarnation replaces the target's present one.
-    pub fn pause(&mut self, now: Duration, choice: &Choice, time: Duration) {
+    pub fn start_backoff(&mut self, now: Duration, choice: &Choice, time: Duration) {
         if let Some(state) = self.chosen(choice) {
             state.start_backoff(now, time);
         }
@@ -19,12 +19,12 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use damaskstile_targets::{Book, BookOptions};
-    /// let table = Book::new("north", BookOptions::default());
-    /// assert_eq!(table.paused_for(Duration::ZERO, "s"), None);
+    /// use damaskstile_targets::{TargetTable, TargetTableOptions};
+    /// let table = TargetTable::new("north", TargetTableOptions::default());
+    /// assert_eq!(table.backoff_left(Duration::ZERO, "s"), None);
     /// ```
     #[must_use]
-    pub fn paused_for(&self, now: Duration, service: &str) -> Option<Duration> {
+    pub fn backoff_left(&self, now: Duration, service: &str) -> Option<Duration> {
         let mut shortest = None;
         for state in self.in_use(now, service) {
             let left = state.backoff_left(now);
@@ -38,7 +38,7 @@
 
     /// Returns the number of targets in backoff.
     #[must_use]
-    pub fn paused_targets(&self, now: Duration) -> usize {
+    pub fn targets_in_backoff(&self, now: Duration) -> usize {
         let states = self.targets.values();
         states
             .filter(|state| !state.backoff_left(now).is_zero())
--- a/crates/damaskstile-targets/src/target_table/call_limits.rs
+++ b/crates/damaskstile-targets/src/target_table/call_limits.rs
@@ -3,7 +3,7 @@
 
 use damaskstile_core::prelude::*;
 
-use super::Book;
+use super::TargetTable;
 use crate::call_limit::CallLimit;
 use crate::sender_turn::SenderTurn;
 use crate::target_state::TargetState;
@@ -12,7 +12,7 @@
 /// predecessor sent within the same second counts too, and it knows few other instances yet.
 const OWN_START: Duration = Duration::from_millis(1_100);
 
-impl Book {
+impl TargetTable {
     /// Tells whether the call limits of a target, if any apply, let this instance send a call now.
     pub(super) fn has_room(&self, now: Duration, state: &TargetState) -> bool {
         self.call_limits(now, state).all(|applied| {
@@ -29,12 +29,12 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use damaskstile_targets::{Book, BookOptions};
-    /// let table = Book::new("north", BookOptions::default());
-    /// assert_eq!(table.place_in(Duration::ZERO, "s"), None);
+    /// use damaskstile_targets::{TargetTable, TargetTableOptions};
+    /// let table = TargetTable::new("north", TargetTableOptions::default());
+    /// assert_eq!(table.time_until_room(Duration::ZERO, "s"), None);
     /// ```
     #[must_use]
-    pub fn place_in(&self, now: Duration, service: &str) -> Option<Duration> {
+    pub fn time_until_room(&self, now: Duration, service: &str) -> Option<Duration> {
         let mut shortest: Option<Duration> = None;
         for state in self.usable(now, service) {
             if self.has_room(now, state) {
--- a/crates/damaskstile-targets/src/target_table/candidates.rs
+++ b/crates/damaskstile-targets/src/target_table/candidates.rs
@@ -2,7 +2,7 @@
 
 use damaskstile_core::prelude::*;
 
-use super::Book;
+use super::TargetTable;
 use super::cost::CallContext;
 use super::index::ServiceIndex;
 use super::reserved_targets::LISTED_MAX;
@@ -16,7 +16,7 @@
 /// says.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-impl Book {
+impl TargetTable {
     /// Returns the targets to weigh for a call, some of which may not receive it. Of targets in the
     /// same data centre that cost the same, only the first is included.
     ///
--- a/crates/damaskstile-targets/src/target_table/cold.rs
+++ b/crates/damaskstile-targets/src/target_table/cold.rs
@@ -2,14 +2,14 @@
 
 use damaskstile_core::prelude::*;
 
-use super::Book;
+use super::TargetTable;
 use crate::cold_limit::ColdLimit;
 
 /// Time for which a target that ended may have restarted without any report of it. Within this time
 /// its entry expires or shows a newer incarnation.
 const RETURN_UNSEEN: Duration = Duration::from_secs(4);
 
-impl Book {
+impl TargetTable {
     /// Sets the call limits of cold targets, by service.
     pub fn set_cold_limits(&mut self, limits: BTreeMap<ServiceId, ColdLimit>) {
         if self.cold_limits != limits {
@@ -19,8 +19,8 @@
     }
 
     /// Records another instance, and the number of instances that it knows of.
-    pub fn meet(&mut self, instance: &str, instances: u64) {
-        let is_new = self.fleet.meet(instance);
+    pub fn add_instance(&mut self, instance: &str, instances: u64) {
+        let is_new = self.fleet.add_instance(instance);
         if self.fleet.record_count(instances) || is_new {
             self.fleet_state += 1;
         }
--- a/crates/damaskstile-targets/src/target_table/cost.rs
+++ b/crates/damaskstile-targets/src/target_table/cost.rs
@@ -3,7 +3,7 @@
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::stable_hash;
 
-use super::Book;
+use super::TargetTable;
 use super::candidates::with_parts;
 use super::cost_estimate::{CostEstimate, least_passing};
 use super::index::ServiceIndex;
@@ -38,7 +38,7 @@
     source: Option<(&'a TargetState, f64)>,
 }
 
-impl Book {
+impl TargetTable {
     pub(super) fn call_context<'a>(
         &'a self,
         now: Duration,
--- a/crates/damaskstile-targets/src/target_table/list.rs
+++ b/crates/damaskstile-targets/src/target_table/list.rs
@@ -3,7 +3,7 @@
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::stable_hash;
 
-use super::Book;
+use super::TargetTable;
 use crate::departures::DEPARTURE_REPORT_SPAN;
 use crate::listed::Listed;
 use crate::refused::Refused;
@@ -15,7 +15,7 @@
 /// Fault of an entry that does not state its target's start although others do.
 const FAULT_NO_START: &str = "the start is not stated";
 
-impl Book {
+impl TargetTable {
     /// Applies one entry of the target list. Returns whether that changed the target's incarnation
     /// or readiness, made it cold, or put it into or out of use because of an invalid entry.
     ///
@@ -117,7 +117,7 @@
         if !is_around_outage || was_refused {
             let state = self.targets.get(target);
             let incarnation = state.and_then(|state| state.listed.incarnation);
-            self.vanish(now, &TargetIdentity::new(target, incarnation));
+            self.delist(now, &TargetIdentity::new(target, incarnation));
             self.remove_state(target);
         } else if let Some(state) = self.targets.get_mut(target) {
             state.missing_since.get_or_insert(now);
@@ -175,7 +175,7 @@
     }
 
     /// Records that an incarnation was delisted; returns whether that is new.
-    pub fn vanish(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
+    pub fn delist(&mut self, now: Duration, identity: &TargetIdentity) -> bool {
         !self.is_outdated(identity) && self.departures.delist(now, identity)
     }
 
@@ -211,7 +211,7 @@
     /// Returns the recently delisted incarnations, to report them to peers. This includes those
     /// that were delisted around an outage, once their grace period is over.
     #[must_use]
-    pub fn vanished(&self, now: Duration) -> Vec<TargetIdentity> {
+    pub fn delisted(&self, now: Duration) -> Vec<TargetIdentity> {
         let lapsed = self.lapsed.iter();
         let lapsed = lapsed.filter_map(|target| self.targets.get(target));
         let lapsed = lapsed.filter(|state| {
@@ -221,8 +221,8 @@
             })
         });
         let lapsed = lapsed.map(|state| state.listed.identity());
-        let vanished = self.departures.to_report(now, false).into_iter();
-        vanished.chain(lapsed.take(LAPSED_REPORTS_MAX)).collect()
+        let delisted = self.departures.to_report(now, false).into_iter();
+        delisted.chain(lapsed.take(LAPSED_REPORTS_MAX)).collect()
     }
 
     /// Counts the targets by state.
@@ -289,8 +289,8 @@
     ///
     /// ```
     /// use damaskstile_core::prelude::TargetIdentity;
-    /// use damaskstile_targets::{Book, BookOptions};
-    /// let table = Book::new("north", BookOptions::default());
+    /// use damaskstile_targets::{TargetTable, TargetTableOptions};
+    /// let table = TargetTable::new("north", TargetTableOptions::default());
     /// assert!(!table.lists(&TargetIdentity::new("unknown", None)));
     /// ```
     #[must_use]
@@ -302,11 +302,11 @@
     /// Tells whether the list contains a target now.
     ///
     /// ```
-    /// use damaskstile_targets::{Book, BookOptions};
-    /// assert!(!Book::new("north", BookOptions::default()).is_named("unknown"));
+    /// use damaskstile_targets::{TargetTable, TargetTableOptions};
+    /// assert!(!TargetTable::new("north", TargetTableOptions::default()).is_listed("unknown"));
     /// ```
     #[must_use]
-    pub fn is_named(&self, target: &str) -> bool {
+    pub fn is_listed(&self, target: &str) -> bool {
         self.targets
             .get(target)
             .is_some_and(|state| state.missing_since.is_none())
--- a/crates/damaskstile-targets/src/target_table/location.rs
+++ b/crates/damaskstile-targets/src/target_table/location.rs
@@ -2,35 +2,39 @@
 
 use damaskstile_core::prelude::*;
 
-use super::Book;
-use crate::evacuations::{EmptiedNews, Evacuations};
+use super::TargetTable;
+use crate::evacuations::{EvacuationChanges, Evacuations};
 use crate::target_state::TargetState;
 use crate::work::Work;
 
-impl Book {
+impl TargetTable {
     /// Applies the full set of evacuated data centres as of a store version; returns what changed.
-    pub fn take_emptied(
+    pub fn apply_evacuations(
         &mut self,
         now: Duration,
         version: Version,
         all: &BTreeSet<DataCentreId>,
-    ) -> EmptiedNews {
+    ) -> EvacuationChanges {
         let changes = self.evacuations.apply_all(now, version, all);
         self.note_evacuations(now, changes)
     }
 
     /// Applies evacuations and their ends up to a store version; returns what changed.
-    pub fn take_emptied_changes(
+    pub fn apply_evacuation_changes(
         &mut self,
         now: Duration,
         version: Version,
         changes: &[(DataCentreId, bool)],
-    ) -> EmptiedNews {
+    ) -> EvacuationChanges {
         let changes = self.evacuations.apply_changes(now, version, changes);
         self.note_evacuations(now, changes)
     }
 
-    fn note_evacuations(&mut self, now: Duration, changes: Option<EmptiedNews>) -> EmptiedNews {
+    fn note_evacuations(
+        &mut self,
+        now: Duration,
+        changes: Option<EvacuationChanges>,
+    ) -> EvacuationChanges {
         let changes = changes.unwrap_or_default();
         for data_centre in &changes.taken_back {
             self.treat_data_centre_as_cold(now, data_centre);
@@ -40,7 +44,7 @@
 
     /// Returns the evacuated data centres.
     #[must_use]
-    pub fn emptied(&self) -> &Evacuations {
+    pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
@@ -53,19 +57,19 @@
 
     /// Tells whether a target is in a region that may run a call.
     pub(super) fn is_in_home_region(&self, state: &TargetState, work: &Work) -> bool {
-        let Some(homes) = &work.homes else {
+        let Some(home_regions) = &work.home_regions else {
             return true;
         };
         let region = self.options.regions.get(&state.listed.data_centre);
-        region.is_some_and(|region| homes.contains(region))
+        region.is_some_and(|region| home_regions.contains(region))
     }
 
     /// Tells whether a target other than those already tried may receive a call now.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use damaskstile_targets::{Book, BookOptions, Work};
-    /// let table = Book::new("north", BookOptions::default());
+    /// use damaskstile_targets::{TargetTable, TargetTableOptions, Work};
+    /// let table = TargetTable::new("north", TargetTableOptions::default());
     /// assert!(!table.has_other_target(Duration::ZERO, "s", &Work::default(), &[]));
     /// ```
     #[must_use]
--- a/crates/damaskstile-targets/src/target_table/prefill_speeds.rs
+++ b/crates/damaskstile-targets/src/target_table/prefill_speeds.rs
@@ -2,7 +2,7 @@
 
 use damaskstile_core::prelude::*;
 
-use super::Book;
+use super::TargetTable;
 use super::cost::{own_part_prefill_ms, tokens};
 use crate::choice::Choice;
 use crate::prefill_speed::PrefillSpeed;
@@ -12,7 +12,7 @@
 /// sample of the prefill speed.
 const AHEAD_MAX_MS: f64 = 2.0;
 
-impl Book {
+impl TargetTable {
     /// Learns from the time between the send of a call and its first token.
     pub fn first_token(&mut self, choice: &Choice, work: &Work, took: Duration) {
         let is_alone = choice.ahead_ms < AHEAD_MAX_MS && choice.fetch_from.is_none();
--- a/crates/damaskstile-targets/src/target_table_options.rs
+++ b/crates/damaskstile-targets/src/target_table_options.rs
@@ -5,7 +5,7 @@
 /// Options of target selection. Costs are in milliseconds that a call is likely to wait for its
 /// first token.
 #[derive(Debug, Clone, PartialEq)]
-pub struct BookOptions {
+pub struct TargetTableOptions {
     /// Prefill speed, in prompt tokens per millisecond, assumed until one is learned.
     pub prefill_tokens_per_ms: f64,
     /// Whether the prefill speed is learned from the first tokens of calls.
@@ -55,7 +55,7 @@
     pub regions: BTreeMap<DataCentreId, RegionId>,
 }
 
-impl Default for BookOptions {
+impl Default for TargetTableOptions {
     fn default() -> Self {
         Self {
             prefill_tokens_per_ms: 50.0,
--- a/crates/damaskstile-targets/src/work.rs
+++ b/crates/damaskstile-targets/src/work.rs
@@ -23,7 +23,7 @@
     /// Parts of the prompt, in order.
     pub parts: Vec<Part>,
     /// Home regions, which may run the call; `None` for all regions.
-    pub homes: Option<Arc<BTreeSet<RegionId>>>,
+    pub home_regions: Option<Arc<BTreeSet<RegionId>>>,
 }
 
 impl Work {
--- a/crates/damaskstile-targets/tests/book.rs
+++ b/crates/damaskstile-targets/tests/book.rs
@@ -1,7 +1,7 @@
 //! Which target a call gets: by cached prompt parts, waiting prompts, failures and departures.
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::{Book, BookOptions, Listed, Part, Work};
+use damaskstile_targets::{Listed, Part, TargetTable, TargetTableOptions, Work};
 
 const SERVICE: &str = "model";
 /// Prompts of a calm minute at usual sizes: a shared beginning, a shared prefix, an own part.
@@ -31,8 +31,8 @@
     TargetIdentity::new(name, None)
 }
 
-fn table(targets: u64) -> Book {
-    let mut table = Book::new("north", BookOptions::default());
+fn table(targets: u64) -> TargetTable {
+    let mut table = TargetTable::new("north", TargetTableOptions::default());
     for index in 0..targets {
         table.list(Duration::ZERO, listed(&format!("t{index}"), true));
     }
@@ -49,7 +49,7 @@
             part(1_000 + prefix, PREFIX_TOKENS),
             part(1_000_000 + own, OWN_TOKENS),
         ],
-        homes: None,
+        home_regions: None,
     }
 }
 
@@ -124,7 +124,7 @@
     let others = ["t1".to_owned()];
     let choice = table.choose(at(1_000), SERVICE, &work, &others).unwrap();
     for _ in 0..3 {
-        table.silent(at(1_000), &choice);
+        table.unanswered(at(1_000), &choice);
     }
 
     // Act
@@ -188,7 +188,7 @@
         table.choose(at(1_000), SERVICE, &Work::default(), &[]),
         None
     );
-    assert_eq!(table.vanished(at(1_000)), [unstated("t0")]);
+    assert_eq!(table.delisted(at(1_000)), [unstated("t0")]);
 }
 
 #[test]
@@ -202,7 +202,7 @@
     let mut waiting = table(2);
     let mut other = table(2);
     waiting.unlist(at(0), "t0", true);
-    other.vanish(at(20), &unstated("t0"));
+    other.delist(at(20), &unstated("t0"));
 
     // Act
     let all = waiting.present().cloned().map(Ok).collect();
@@ -210,7 +210,7 @@
 
     // Assert
     let chosen =
-        |table: &Book| table.choose(at(400), SERVICE, &Work::default(), &["t1".to_owned()]);
+        |table: &TargetTable| table.choose(at(400), SERVICE, &Work::default(), &["t1".to_owned()]);
     assert!(chosen(&waiting).is_some());
     assert!(chosen(&other).is_none());
 }
@@ -227,8 +227,8 @@
     table.unlist(at(0), "t0", true);
 
     // Assert
-    assert!(table.vanished(at(1_000)).is_empty());
-    assert_eq!(table.vanished(at(2_000)), [unstated("t0")]);
+    assert!(table.delisted(at(1_000)).is_empty());
+    assert_eq!(table.delisted(at(2_000)), [unstated("t0")]);
     table.list(at(2_100), listed("t0", true));
-    assert!(table.vanished(at(2_200)).is_empty());
+    assert!(table.delisted(at(2_200)).is_empty());
 }
--- a/crates/damaskstile-targets/tests/choice_cost.rs
+++ b/crates/damaskstile-targets/tests/choice_cost.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::{Book, BookOptions, Listed, Part, Work};
+use damaskstile_targets::{Listed, Part, TargetTable, TargetTableOptions, Work};
 
 const MODEL: &str = "model";
 const PORTAL: &str = "portal";
@@ -35,8 +35,9 @@
     }
 }
 
-fn table(instance: &str, models: usize, portals: usize) -> Book {
-    let mut table = Book::new("c0", BookOptions::default()).of_instance(instance, Duration::ZERO);
+fn table(instance: &str, models: usize, portals: usize) -> TargetTable {
+    let mut table = TargetTable::new("c0", TargetTableOptions::default())
+        .for_instance(instance, Duration::ZERO);
     for index in 0..models {
         table.list(Duration::ZERO, listed(MODEL, index));
     }
@@ -57,7 +58,7 @@
             part(1_000 + prefix, 3_800),
             part(1_000_000 + call, 2_700),
         ],
-        homes: None,
+        home_regions: None,
     }
 }
 
@@ -258,7 +259,7 @@
     // Arrange: seventy calls a second for ten seconds, each with another shared prefix.
     let mut table = table("i", 10_000, 0);
     let mut calls = 0;
-    let mut call = |table: &mut Book, now: Duration| {
+    let mut call = |table: &mut TargetTable, now: Duration| {
         calls += 1;
         let work = prompt(calls, calls);
         let choice = table.choose(now, MODEL, &work, &[]).unwrap();
@@ -266,7 +267,7 @@
         table.prefilled(&choice);
         table.ended(&choice);
     };
-    let mut time = |table: &mut Book, from_ms: u64| {
+    let mut time = |table: &mut TargetTable, from_ms: u64| {
         let began_at = Instant::now();
         for index in 0..50 {
             call(table, Duration::from_millis(from_ms + index * 14));
--- a/crates/damaskstile-targets/tests/cold_cost.rs
+++ b/crates/damaskstile-targets/tests/cold_cost.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::{Book, BookOptions, ColdLimit, Listed, Work};
+use damaskstile_targets::{ColdLimit, Listed, TargetTable, TargetTableOptions, Work};
 
 /// Instances and targets of the largest sweep.
 const INSTANCES: u64 = 300;
@@ -16,7 +16,8 @@
     // Guards against a check of every pair of targets and instances for each instance that is met.
 
     // Arrange
-    let mut table = Book::new("north", BookOptions::default()).of_instance("i", Duration::ZERO);
+    let mut table =
+        TargetTable::new("north", TargetTableOptions::default()).for_instance("i", Duration::ZERO);
     let limit = ColdLimit {
         cold_time: Duration::from_secs(3),
         calls_per_s: Some(23.0),
@@ -39,7 +40,7 @@
     // Act
     let began_at = Instant::now();
     for index in 0..INSTANCES {
-        table.meet(&format!("i{index}"), INSTANCES);
+        table.add_instance(&format!("i{index}"), INSTANCES);
     }
     let choice = table.choose(Duration::from_secs(2), "model", &Work::default(), &[]);
     let took = began_at.elapsed();
--- a/crates/damaskstile-targets/tests/cold_fleet.rs
+++ b/crates/damaskstile-targets/tests/cold_fleet.rs
@@ -2,7 +2,7 @@
 //! the members of the fleet.
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::{Book, BookOptions, ColdLimit, Listed, Work};
+use damaskstile_targets::{ColdLimit, Listed, TargetTable, TargetTableOptions, Work};
 
 const SERVICE: &str = "model";
 /// Calls that a cold target may receive within a second: half more than twelve, and five.
@@ -38,23 +38,27 @@
 }
 
 /// Makes the table of an instance that knows some others.
-fn table(own: usize, others: impl Iterator<Item = usize>, reported_instances: usize) -> Book {
-    let mut table =
-        Book::new("north", BookOptions::default()).of_instance(&name(own), Duration::ZERO);
+fn table(
+    own: usize,
+    others: impl Iterator<Item = usize>,
+    reported_instances: usize,
+) -> TargetTable {
+    let mut table = TargetTable::new("north", TargetTableOptions::default())
+        .for_instance(&name(own), Duration::ZERO);
     let limit = ColdLimit {
         cold_time: at(3_000),
         calls_per_s: Some(ALLOWED_PER_S),
     };
     table.set_cold_limits([(SERVICE.to_owned(), limit)].into());
     for other in others {
-        table.meet(&name(other), reported_instances as u64);
+        table.add_instance(&name(other), reported_instances as u64);
     }
     table
 }
 
 /// Lets all instances call all the time for three seconds, and select the cold target where they
 /// may. Returns the most calls that it received within a second, and all that it received.
-fn most_in_a_second(tables: &mut [Book], from_ms: u64, seed: u64) -> (usize, usize) {
+fn most_in_a_second(tables: &mut [TargetTable], from_ms: u64, seed: u64) -> (usize, usize) {
     let mut random = Random::new(seed);
     let mut sent: Vec<u64> = Vec::new();
     for ms in (from_ms..from_ms + 3_000).step_by(usize::try_from(STEP_MS).unwrap()) {
@@ -81,7 +85,7 @@
     (most.unwrap_or(0), sent.len())
 }
 
-fn list_cold(tables: &mut [Book], now_ms: u64) {
+fn list_cold(tables: &mut [TargetTable], now_ms: u64) {
     for table in tables {
         table.list(at(now_ms), listed("warm", 1, 0));
         table.list(at(now_ms), listed("cold", 1, 3_000));
@@ -94,7 +98,8 @@
     for size in SIZES {
         for seed in 0..4 {
             // Arrange
-            let mut tables: Vec<Book> = (0..size).map(|own| table(own, 0..size, size)).collect();
+            let mut tables: Vec<TargetTable> =
+                (0..size).map(|own| table(own, 0..size, size)).collect();
             list_cold(&mut tables, 10_000);
 
             // Act
@@ -113,7 +118,7 @@
     // others.
     for size in SIZES {
         // Arrange: each knows another part of the fleet, and how many instances there are.
-        let mut tables: Vec<Book> = (0..size)
+        let mut tables: Vec<TargetTable> = (0..size)
             .map(|own| {
                 let known = (0..size).filter(move |other| (own * 7 + other * 3) % 5 < 3);
                 table(own, known, size)
@@ -134,16 +139,16 @@
     // Guards against processes that know neither each other nor what their predecessors sent.
     for size in SIZES {
         // Arrange: each has heard from one peer, which knows how many instances there are.
-        let mut tables: Vec<Book> = (0..size)
+        let mut tables: Vec<TargetTable> = (0..size)
             .map(|own| {
-                let mut table =
-                    Book::new("north", BookOptions::default()).of_instance(&name(own), at(10_000));
+                let mut table = TargetTable::new("north", TargetTableOptions::default())
+                    .for_instance(&name(own), at(10_000));
                 let limit = ColdLimit {
                     cold_time: at(3_000),
                     calls_per_s: Some(ALLOWED_PER_S),
                 };
                 table.set_cold_limits([(SERVICE.to_owned(), limit)].into());
-                table.meet(&name((own + 1) % size), size as u64);
+                table.add_instance(&name((own + 1) % size), size as u64);
                 table
             })
             .collect();
@@ -162,7 +167,7 @@
     // Guards against sides that each find the full number of senders among their own instances.
 
     // Arrange: they met before the partition.
-    let mut tables: Vec<Book> = (0..90).map(|own| table(own, 0..90, 90)).collect();
+    let mut tables: Vec<TargetTable> = (0..90).map(|own| table(own, 0..90, 90)).collect();
     list_cold(&mut tables, 20_000);
 
     // Act: instances hear nothing of the other side; what each knows does not change.
@@ -222,7 +227,8 @@
 
     // Arrange
     let started_at = at(10_000);
-    let mut table = Book::new("north", BookOptions::default()).of_instance("i", started_at);
+    let mut table =
+        TargetTable::new("north", TargetTableOptions::default()).for_instance("i", started_at);
     let limit = ColdLimit {
         cold_time: at(3_000),
         calls_per_s: Some(ALLOWED_PER_S),
--- a/crates/damaskstile-targets/tests/emptied.rs
+++ b/crates/damaskstile-targets/tests/emptied.rs
@@ -4,7 +4,7 @@
 
 use assert_matches::assert_matches;
 use damaskstile_core::prelude::*;
-use damaskstile_targets::{Book, BookOptions, ColdLimit, Listed, Part, Work};
+use damaskstile_targets::{ColdLimit, Listed, Part, TargetTable, TargetTableOptions, Work};
 
 const SERVICE: &str = "model";
 
@@ -26,15 +26,15 @@
 }
 
 /// Makes a table with a target in each of two data centres, which are in different regions.
-fn table() -> Book {
+fn table() -> TargetTable {
     let regions = [("north", "upper"), ("south", "lower")];
     let regions = regions.map(|(data_centre, region)| (data_centre.to_owned(), region.to_owned()));
-    let options = BookOptions {
+    let options = TargetTableOptions {
         empties_data_centres: true,
         regions: regions.into(),
-        ..BookOptions::default()
+        ..TargetTableOptions::default()
     };
-    let mut table = Book::new("north", options).of_instance("i", Duration::ZERO);
+    let mut table = TargetTable::new("north", options).for_instance("i", Duration::ZERO);
     table.list(at(0), listed("n", "north"));
     table.list(at(0), listed("s", "south"));
     table
@@ -44,15 +44,15 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn chosen(table: &Book, now: Duration, work: &Work) -> Option<TargetId> {
+fn chosen(table: &TargetTable, now: Duration, work: &Work) -> Option<TargetId> {
     let choice = table.choose(now, SERVICE, work, &[]);
     choice.map(|choice| choice.target)
 }
 
-fn work_of(homes: &[&str]) -> Work {
-    let homes = homes.iter().map(|home| (*home).to_owned()).collect();
+fn work_of(home_regions: &[&str]) -> Work {
+    let home_regions = home_regions.iter().map(|home| (*home).to_owned()).collect();
     Work {
-        homes: Some(Arc::new(homes)),
+        home_regions: Some(Arc::new(home_regions)),
         ..Work::default()
     }
 }
@@ -67,7 +67,7 @@
 
     // Act
     let before = chosen(&table, at(10), &Work::default());
-    table.take_emptied(at(20), 5, &BTreeSet::new());
+    table.apply_evacuations(at(20), 5, &BTreeSet::new());
     let after = chosen(&table, at(30), &Work::default());
 
     // Assert
@@ -81,19 +81,19 @@
 
     // Arrange
     let mut table = table();
-    table.take_emptied(at(10), 5, &names(&["north"]));
+    table.apply_evacuations(at(10), 5, &names(&["north"]));
 
     // Act
-    let older = table.take_emptied(at(20), 4, &BTreeSet::new());
-    let emptied = chosen(&table, at(20), &Work::default());
-    table.take_emptied(at(30), 6, &BTreeSet::new());
-    let late = table.take_emptied_changes(at(40), 6, &[("south".to_owned(), true)]);
+    let older = table.apply_evacuations(at(20), 4, &BTreeSet::new());
+    let evacuated = chosen(&table, at(20), &Work::default());
+    table.apply_evacuations(at(30), 6, &BTreeSet::new());
+    let late = table.apply_evacuation_changes(at(40), 6, &[("south".to_owned(), true)]);
 
     // Assert
     assert!(older.is_empty());
-    assert_eq!(emptied.as_deref(), Some("s"));
+    assert_eq!(evacuated.as_deref(), Some("s"));
     assert!(late.is_empty());
-    assert!(!table.emptied().covers("south"));
+    assert!(!table.evacuations().covers("south"));
 }
 
 #[test]
@@ -103,7 +103,7 @@
 
     // Arrange
     let mut table = table();
-    table.take_emptied(at(10), 5, &BTreeSet::new());
+    table.apply_evacuations(at(10), 5, &BTreeSet::new());
     let part = |name| Part {
         name,
         tokens: 4_000,
@@ -119,7 +119,7 @@
     table.sent(at(20), &choice, &work);
 
     // Act
-    table.take_emptied(at(30), 6, &names(&["north"]));
+    table.apply_evacuations(at(30), 6, &names(&["north"]));
     let is_sent = table.claim_send(at(40), &choice.identity());
     let next = table.choose(at(50), SERVICE, &work, &[]).unwrap();
 
@@ -139,10 +139,10 @@
         calls_per_s: Some(10.0),
     };
     table.set_cold_limits([(SERVICE.to_owned(), limit)].into());
-    table.take_emptied(at(10), 5, &names(&["north"]));
+    table.apply_evacuations(at(10), 5, &names(&["north"]));
 
     // Act
-    table.take_emptied(at(9_000), 6, &BTreeSet::new());
+    table.apply_evacuations(at(9_000), 6, &BTreeSet::new());
 
     // Assert
     assert_eq!(table.cold_for(at(9_000), "n"), at(3_000));
@@ -153,18 +153,18 @@
 fn calls_are_refused_with_the_reason_where_no_region_may_run_them() {
     // Arrange
     let mut table = table();
-    table.take_emptied(at(10), 5, &BTreeSet::new());
+    table.apply_evacuations(at(10), 5, &BTreeSet::new());
 
     // Act
     let lower = chosen(&table, at(20), &work_of(&["lower"]));
     let unknown = table.has_target(at(20), SERVICE, &work_of(&["nowhere"]));
     let none = table.has_target(at(20), SERVICE, &work_of(&[]));
-    table.take_emptied(at(30), 6, &names(&["north", "south", "elsewhere"]));
-    let all_emptied = table.has_target(at(40), SERVICE, &Work::default());
+    table.apply_evacuations(at(30), 6, &names(&["north", "south", "elsewhere"]));
+    let all_evacuated = table.has_target(at(40), SERVICE, &Work::default());
 
     // Assert
     assert_eq!(lower.as_deref(), Some("s"));
     assert_matches!(unknown, Err(RefusalCode::NoTargetInRegion));
     assert_matches!(none, Err(RefusalCode::NoTargetInRegion));
-    assert_matches!(all_emptied, Err(RefusalCode::NoTarget));
+    assert_matches!(all_evacuated, Err(RefusalCode::NoTarget));
 }
--- a/crates/damaskstile-targets/tests/limited_fleet.rs
+++ b/crates/damaskstile-targets/tests/limited_fleet.rs
@@ -2,7 +2,9 @@
 //! and learn of each other's reports late.
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::{Book, BookOptions, LimitWord, Listed, NamedLimit, Work};
+use damaskstile_targets::{
+    AdvertisedLimit, LimitReport, Listed, TargetTable, TargetTableOptions, Work,
+};
 
 const SERVICE: &str = "model";
 /// Sizes of fleets, up to the largest expected within two years.
@@ -41,14 +43,14 @@
 
 /// A simulated fleet with one target that is the best for all of its calls.
 struct Fleet {
-    tables: Vec<Book>,
+    tables: Vec<TargetTable>,
     /// Instances that have ended.
     ended: BTreeSet<usize>,
     random: Random,
     /// When the target received calls.
     sent_ms: Vec<u64>,
     /// The limit that it advertises.
-    advertised: NamedLimit,
+    advertised: AdvertisedLimit,
     /// Whether instances receive no reports of each other.
     is_isolated: bool,
 }
@@ -57,10 +59,10 @@
     fn new(size: usize, seed: u64) -> Self {
         let name = |index: usize| format!("i{index}");
         let tables = (0..size).map(|own| {
-            let mut table = Book::new("north", BookOptions::default());
-            table = table.of_instance(&name(own), Duration::ZERO);
+            let mut table = TargetTable::new("north", TargetTableOptions::default());
+            table = table.for_instance(&name(own), Duration::ZERO);
             for other in 0..size {
-                table.meet(&name(other), size as u64);
+                table.add_instance(&name(other), size as u64);
             }
             table.list(at(0), listed("t", 1));
             table
@@ -70,7 +72,7 @@
             ended: BTreeSet::new(),
             random: Random::new(seed),
             sent_ms: Vec::new(),
-            advertised: NamedLimit::Absent,
+            advertised: AdvertisedLimit::Absent,
             is_isolated: false,
         }
     }
@@ -78,13 +80,13 @@
     /// Lets all instances call all the time. Answers arrive after a while, and each instance
     /// reports to three others once a second what it knows of the limit.
     fn play(&mut self, from_ms: u64, until_ms: u64) {
-        let mut answers: Vec<(u64, usize, u64, NamedLimit)> = Vec::new();
+        let mut answers: Vec<(u64, usize, u64, AdvertisedLimit)> = Vec::new();
         for ms in (from_ms..until_ms).step_by(usize::try_from(STEP_MS).unwrap()) {
             answers.retain(|(due_ms, own, sent_ms, advertised)| {
                 let is_due = *due_ms <= ms;
                 if is_due {
                     let table = &mut self.tables[*own];
-                    table.heed_limit(at(ms), &identity(), at(*sent_ms), *advertised);
+                    table.apply_advertised_limit(at(ms), &identity(), at(*sent_ms), *advertised);
                 }
                 !is_due
             });
@@ -112,16 +114,16 @@
         if self.is_isolated {
             return;
         }
-        let reports = self.tables[from].limits_to_tell(at(ms));
+        let reports = self.tables[from].limits_to_report(at(ms));
         for _ in 0..3 {
             let to = self.random.index(self.tables.len());
             for (target, report) in &reports {
                 // The receiver does not know the time of transmission.
-                let report = LimitWord {
+                let report = LimitReport {
                     at: report.at + at(5),
                     ..*report
                 };
-                self.tables[to].hear_limit(at(ms + 5), target, report);
+                self.tables[to].apply_limit_report(at(ms + 5), target, report);
             }
         }
     }
@@ -160,7 +162,7 @@
             // Arrange
             let mut fleet = Fleet::new(size, 3);
             fleet.play(2_000, 3_000);
-            fleet.advertised = NamedLimit::CallsPerS(calls_per_s);
+            fleet.advertised = AdvertisedLimit::CallsPerS(calls_per_s);
 
             // Act
             fleet.play(3_000, 3_000 + REPORTED_MS + 12_000);
@@ -183,11 +185,11 @@
     for size in SIZES {
         // Arrange
         let mut fleet = Fleet::new(size, 9);
-        fleet.advertised = NamedLimit::CallsPerS(12.0);
+        fleet.advertised = AdvertisedLimit::CallsPerS(12.0);
         fleet.play(2_000, 12_000);
 
         // Act
-        fleet.advertised = NamedLimit::CallsPerS(1.5);
+        fleet.advertised = AdvertisedLimit::CallsPerS(1.5);
         fleet.play(12_000, 12_000 + REPORTED_MS + 12_000);
 
         // Assert
@@ -204,14 +206,14 @@
         // Arrange: each learns of the limit by an answer to a call of its own.
         let mut fleet = Fleet::new(size, 13);
         for table in &mut fleet.tables {
-            table.heed_limit(
+            table.apply_advertised_limit(
                 at(2_000),
                 &identity(),
                 at(1_900),
-                NamedLimit::CallsPerS(6.0),
+                AdvertisedLimit::CallsPerS(6.0),
             );
         }
-        fleet.advertised = NamedLimit::CallsPerS(6.0);
+        fleet.advertised = AdvertisedLimit::CallsPerS(6.0);
         fleet.is_isolated = true;
 
         // Act: for as long as the first senders have their turn.
@@ -228,7 +230,7 @@
 fn a_limit_of_zero_lets_only_occasional_calls_through() {
     // Arrange
     let mut fleet = Fleet::new(9, 15);
-    fleet.advertised = NamedLimit::CallsPerS(0.0);
+    fleet.advertised = AdvertisedLimit::CallsPerS(0.0);
     fleet.play(2_000, 12_000);
 
     // Act
@@ -245,15 +247,15 @@
     for size in SIZES {
         // Arrange
         let mut fleet = Fleet::new(size, 5);
-        fleet.advertised = NamedLimit::CallsPerS(6.0);
+        fleet.advertised = AdvertisedLimit::CallsPerS(6.0);
         fleet.play(2_000, 12_000);
 
         // Act
-        fleet.advertised = NamedLimit::Absent;
+        fleet.advertised = AdvertisedLimit::Absent;
         fleet.play(12_000, 22_000);
 
         // Assert
-        let limited = fleet.tables.iter().map(Book::limited_targets);
+        let limited = fleet.tables.iter().map(TargetTable::limited_targets);
         assert_eq!(limited.sum::<usize>(), 0, "{size} instances");
     }
 }
@@ -265,9 +267,9 @@
     for size in [9, 90] {
         // Arrange: all instances that may send have ended.
         let mut fleet = Fleet::new(size, 7);
-        fleet.advertised = NamedLimit::CallsPerS(1.5);
+        fleet.advertised = AdvertisedLimit::CallsPerS(1.5);
         fleet.play(2_000, 12_000);
-        let may_send = |table: &Book| {
+        let may_send = |table: &TargetTable| {
             let choice = table.choose(at(14_000), SERVICE, &Work::default(), &[]);
             choice.is_some()
         };
@@ -293,18 +295,25 @@
     // Arrange
     let mut fleet = Fleet::new(1, 1);
     let table = &mut fleet.tables[0];
-    table.heed_limit(
+    table.apply_advertised_limit(
         at(5_000),
         &identity(),
         at(4_900),
-        NamedLimit::CallsPerS(2.0),
+        AdvertisedLimit::CallsPerS(2.0),
     );
 
     // Act
-    let late = table.heed_limit(at(5_100), &identity(), at(4_950), NamedLimit::Absent);
-    let unreadable = table.heed_limit(at(5_200), &identity(), at(5_150), NamedLimit::Unreadable);
+    let late =
+        table.apply_advertised_limit(at(5_100), &identity(), at(4_950), AdvertisedLimit::Absent);
+    let unreadable = table.apply_advertised_limit(
+        at(5_200),
+        &identity(),
+        at(5_150),
+        AdvertisedLimit::Unreadable,
+    );
     let limited = table.limited_targets();
-    let after = table.heed_limit(at(5_300), &identity(), at(5_250), NamedLimit::Absent);
+    let after =
+        table.apply_advertised_limit(at(5_300), &identity(), at(5_250), AdvertisedLimit::Absent);
 
     // Assert
     assert_eq!((late, unreadable, limited), (None, None, 1));
@@ -316,20 +325,20 @@
     // Arrange
     let mut fleet = Fleet::new(3, 1);
     let table = &mut fleet.tables[0];
-    table.heed_limit(
+    table.apply_advertised_limit(
         at(5_000),
         &identity(),
         at(4_900),
-        NamedLimit::CallsPerS(0.0),
+        AdvertisedLimit::CallsPerS(0.0),
     );
 
     // Act
     table.list(at(6_000), listed("t", 2));
-    let report = LimitWord {
+    let report = LimitReport {
         calls_per_s: Some(0.0),
         at: at(6_500),
     };
-    let is_new = table.hear_limit(at(6_500), &identity(), report);
+    let is_new = table.apply_limit_report(at(6_500), &identity(), report);
 
     // Assert
     assert!(!is_new);
@@ -341,18 +350,18 @@
     // Arrange: a limit that allows one call in 1.275 s.
     let mut fleet = Fleet::new(1, 1);
     let table = &mut fleet.tables[0];
-    table.heed_limit(
+    table.apply_advertised_limit(
         at(5_000),
         &identity(),
         at(4_900),
-        NamedLimit::CallsPerS(1.0),
+        AdvertisedLimit::CallsPerS(1.0),
     );
-    let before = table.place_in(at(5_000), SERVICE);
+    let before = table.time_until_room(at(5_000), SERVICE);
 
     // Act
     let is_sent = table.claim_send(at(5_000), &identity());
-    let after = table.place_in(at(5_275), SERVICE);
-    let later = table.place_in(at(6_300), SERVICE);
+    let after = table.time_until_room(at(5_275), SERVICE);
+    let later = table.time_until_room(at(6_300), SERVICE);
 
     // Assert
     assert!(is_sent);
--- a/crates/damaskstile-targets/tests/long_prompts.rs
+++ b/crates/damaskstile-targets/tests/long_prompts.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::{Book, BookOptions, Choice, Listed, Part, Work};
+use damaskstile_targets::{Choice, Listed, Part, TargetTable, TargetTableOptions, Work};
 
 const SERVICE: &str = "model";
 const TARGETS: u16 = 12;
@@ -27,16 +27,16 @@
     }
 }
 
-fn table(targets: u16) -> Book {
-    let mut table = Book::new("north", BookOptions::default());
+fn table(targets: u16) -> TargetTable {
+    let mut table = TargetTable::new("north", TargetTableOptions::default());
     for index in 0..targets {
         table.list(Duration::ZERO, listed(index, None));
     }
     table
 }
 
-fn fleet() -> Vec<Book> {
-    let mut tables: Vec<Book> = (0..INSTANCES).map(|_| table(TARGETS)).collect();
+fn fleet() -> Vec<TargetTable> {
+    let mut tables: Vec<TargetTable> = (0..INSTANCES).map(|_| table(TARGETS)).collect();
     for table in &mut tables {
         table.set_instances(u64::try_from(INSTANCES).unwrap());
     }
@@ -52,7 +52,7 @@
         prompt_tokens: shared_tokens + own_tokens,
         output_tokens: 300,
         parts: vec![part(prefix, shared_tokens), part(own, own_tokens)],
-        homes: None,
+        home_regions: None,
     }
 }
 
@@ -69,14 +69,14 @@
 }
 
 /// Sends a call to its target, where it stays open.
-fn send(table: &mut Book, ms: u64, work: &Work) -> Choice {
+fn send(table: &mut TargetTable, ms: u64, work: &Work) -> Choice {
     let choice = table.choose(at(ms), SERVICE, work, &[]).unwrap();
     table.sent(at(ms), &choice, work);
     choice
 }
 
 /// Sends a call to its target, which answers it at once.
-fn serve(table: &mut Book, ms: u64, work: &Work) -> Choice {
+fn serve(table: &mut TargetTable, ms: u64, work: &Work) -> Choice {
     let choice = send(table, ms, work);
     table.prefilled(&choice);
     table.ended(&choice);
@@ -93,7 +93,7 @@
     let mut table = table(TARGETS);
     let work = prompt(7, 5_000, 1_000);
     let affinity_target = serve(&mut table, 0, &work);
-    table.hear_reading(at(10), &affinity_target.identity(), at(1_000));
+    table.apply_prefill_report(at(10), &affinity_target.identity(), at(1_000));
 
     // Act
     let other = table.choose(at(20), SERVICE, &work, &[]).unwrap();
@@ -136,10 +136,10 @@
         prefill_ms: 500.0,
         ..usual.clone()
     };
-    let time = tables[0].reading_to_tell(&reading).unwrap();
+    let time = tables[0].prefill_to_report(&reading).unwrap();
 
     // Act
-    tables[1].hear_reading(at(100), &usual.identity(), time);
+    tables[1].apply_prefill_report(at(100), &usual.identity(), time);
     let meanwhile = tables[1].choose(at(110), SERVICE, &work, &[]).unwrap();
     let afterwards = tables[1]
         .choose(at(110) + time, SERVICE, &work, &[])
@@ -159,23 +159,23 @@
     let choice = send(&mut table, 0, &short(3));
 
     // Assert
-    assert_eq!(table.reading_to_tell(&choice), None);
+    assert_eq!(table.prefill_to_report(&choice), None);
 }
 
 #[test]
 fn outdated_or_wrong_prefill_reports_cost_seconds_at_most() {
     // Arrange: one target, which is always selected in the end.
-    let mut table = Book::new("north", BookOptions::default());
+    let mut table = TargetTable::new("north", TargetTableOptions::default());
     table.list(Duration::ZERO, listed(0, Some(5)));
     let work = short(3);
     let usual = table.choose(at(0), SERVICE, &work, &[]).unwrap();
 
     // Act: report an incarnation that has ended; report a time of years, again and again.
     let ended = TargetIdentity::new("t0", Some(4));
-    table.hear_reading(at(0), &ended, at(5_000));
+    table.apply_prefill_report(at(0), &ended, at(5_000));
     let unmoved = table.choose(at(1), SERVICE, &work, &[]).unwrap();
     for _ in 0..1_000 {
-        table.hear_reading(at(2), &usual.identity(), Duration::MAX);
+        table.apply_prefill_report(at(2), &usual.identity(), Duration::MAX);
     }
     let held = table.choose(at(2), SERVICE, &work, &[]).unwrap();
     let later = table.choose(at(4_000), SERVICE, &work, &[]).unwrap();
@@ -188,7 +188,9 @@
 
 /// Simulates a minute: a long prompt a second and forty short calls, each at a random instance.
 /// Returns how many calls of each kind each target received in the last half.
-fn simulate_a_minute(tables: &mut [Book]) -> (BTreeMap<TargetId, u64>, BTreeMap<TargetId, u64>) {
+fn simulate_a_minute(
+    tables: &mut [TargetTable],
+) -> (BTreeMap<TargetId, u64>, BTreeMap<TargetId, u64>) {
     let mut random = Random::new(5);
     let (mut of_long, mut of_short) = (BTreeMap::new(), BTreeMap::new());
     for tick in 0..2_400_u64 {
--- a/crates/damaskstile-targets/tests/lost_data_centre.rs
+++ b/crates/damaskstile-targets/tests/lost_data_centre.rs
@@ -1,7 +1,7 @@
 //! Reports on leaving targets, where a thousand leave at once.
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::{Book, BookOptions, Listed};
+use damaskstile_targets::{Listed, TargetTable, TargetTableOptions};
 
 /// Targets of a data centre of the largest deployment.
 const TARGETS: usize = 1_000;
@@ -31,7 +31,7 @@
     // second.
 
     // Arrange
-    let mut table = Book::new("north", BookOptions::default());
+    let mut table = TargetTable::new("north", TargetTableOptions::default());
     for index in 0..TARGETS {
         table.list(at(0), listed(index, true));
     }
@@ -48,8 +48,8 @@
 
     // Assert: the newest departures are reported.
     let now = at(1_100);
-    let (vanished, draining) = (table.vanished(now), table.draining(now));
-    assert!(vanished.len() <= REPORTS_MAX && draining.len() <= REPORTS_MAX);
-    assert_eq!(vanished[0].target, "t0998");
+    let (delisted, draining) = (table.delisted(now), table.draining(now));
+    assert!(delisted.len() <= REPORTS_MAX && draining.len() <= REPORTS_MAX);
+    assert_eq!(delisted[0].target, "t0998");
     assert_eq!(draining[0].target, "t0999");
 }
--- a/crates/damaskstile-targets/tests/pauses.rs
+++ b/crates/damaskstile-targets/tests/pauses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damaskstile_targets::{Book, BookOptions, Choice, Listed, Work};
+use damaskstile_targets::{Choice, Listed, TargetTable, TargetTableOptions, Work};
 
 const SERVICE: &str = "model";
 
@@ -23,15 +23,15 @@
     }
 }
 
-fn table(targets: &[&str]) -> Book {
-    let mut table = Book::new("north", BookOptions::default());
+fn table(targets: &[&str]) -> TargetTable {
+    let mut table = TargetTable::new("north", TargetTableOptions::default());
     for target in targets {
         table.list(at(0), listed(target, 1));
     }
     table
 }
 
-fn choose(table: &Book, now: Duration) -> Option<Choice> {
+fn choose(table: &TargetTable, now: Duration) -> Option<Choice> {
     table.choose(now, SERVICE, &Work::default(), &[])
 }
 
@@ -40,7 +40,7 @@
 }
 
 /// Returns the choice of a given target.
-fn choice_of(table: &Book, target: &str) -> Choice {
+fn choice_of(table: &TargetTable, target: &str) -> Choice {
     let others: Vec<String> = ["a", "b"].map(str::to_owned).into();
     let others: Vec<String> = others.into_iter().filter(|other| other != target).collect();
     table
@@ -55,16 +55,16 @@
     let choice = choice_of(&table, "a");
 
     // Act
-    table.pause(at(1_000), &choice, at(2_000));
+    table.start_backoff(at(1_000), &choice, at(2_000));
 
     // Assert: a call that waits for its connection is held back too.
     assert_eq!(choose(&table, at(2_999)), None);
     assert!(!table.may_send(at(2_999), &choice.identity()));
-    assert_eq!(table.paused_for(at(2_999), SERVICE), Some(at(1)));
-    assert_eq!(table.paused_targets(at(2_999)), 1);
+    assert_eq!(table.backoff_left(at(2_999), SERVICE), Some(at(1)));
+    assert_eq!(table.targets_in_backoff(at(2_999)), 1);
     assert_eq!(name(choose(&table, at(3_000))), Some("a".to_owned()));
     assert!(table.may_send(at(3_000), &choice.identity()));
-    assert_eq!(table.paused_for(at(3_000), SERVICE), None);
+    assert_eq!(table.backoff_left(at(3_000), SERVICE), None);
 }
 
 #[test]
@@ -74,8 +74,8 @@
     let choice = choice_of(&table, "a");
 
     // Act
-    table.pause(at(0), &choice, at(5_000));
-    table.pause(at(100), &choice, at(200));
+    table.start_backoff(at(0), &choice, at(5_000));
+    table.start_backoff(at(100), &choice, at(200));
     table.succeeded(at(150), &choice);
 
     // Assert
@@ -89,12 +89,12 @@
     let (a, b) = (choice_of(&table, "a"), choice_of(&table, "b"));
 
     // Act and assert
-    table.pause(at(0), &a, at(4_000));
-    assert_eq!(table.paused_for(at(0), SERVICE), None);
-    table.pause(at(0), &b, at(3_000));
-    assert_eq!(table.paused_for(at(0), SERVICE), Some(at(3_000)));
+    table.start_backoff(at(0), &a, at(4_000));
+    assert_eq!(table.backoff_left(at(0), SERVICE), None);
+    table.start_backoff(at(0), &b, at(3_000));
+    assert_eq!(table.backoff_left(at(0), SERVICE), Some(at(3_000)));
     table.leave(at(0), &b.identity());
-    assert_eq!(table.paused_for(at(0), SERVICE), Some(at(4_000)));
+    assert_eq!(table.backoff_left(at(0), SERVICE), Some(at(4_000)));
 }
 
 #[test]
@@ -102,12 +102,12 @@
     // Arrange
     let mut table = table(&["a"]);
     let choice = choice_of(&table, "a");
-    table.pause(at(0), &choice, Duration::from_hours(1));
+    table.start_backoff(at(0), &choice, Duration::from_hours(1));
 
     // Act
     table.list(at(1_000), listed("a", 2));
     let before = name(choose(&table, at(1_000)));
-    table.pause(at(1_100), &choice, Duration::from_hours(1));
+    table.start_backoff(at(1_100), &choice, Duration::from_hours(1));
 
     // Assert: a late backoff of the previous incarnation changes nothing.
     assert_eq!(before, Some("a".to_owned()));
@@ -120,7 +120,7 @@
     // load.
     let mut table = table(&["a", "b"]);
     let (a, b) = (choice_of(&table, "a"), choice_of(&table, "b"));
-    table.pause(at(0), &a, at(30_000));
+    table.start_backoff(at(0), &a, at(30_000));
     table.failed(at(0), &a);
     for _ in 0..10 {
         table.sent(at(30_000), &b, &Work::default());
--- a/crates/damaskstile-targets/tests/restarts.rs
+++ b/crates/damaskstile-targets/tests/restarts.rs
@@ -3,7 +3,9 @@
 mod support;
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::{Book, BookOptions, Choice, Listed, Part, Refused, TargetCounts, Work};
+use damaskstile_targets::{
+    Choice, Listed, Part, Refused, TargetCounts, TargetTable, TargetTableOptions, Work,
+};
 
 use support::{Model, SERVICE, listed, refused};
 
@@ -20,12 +22,12 @@
     Duration::from_millis(ms)
 }
 
-fn table() -> Book {
-    Book::new("north", BookOptions::default())
+fn table() -> TargetTable {
+    TargetTable::new("north", TargetTableOptions::default())
 }
 
 /// Selects a target among one name only.
-fn choose(table: &Book, now: Duration, name: &str, work: &Work) -> Option<Choice> {
+fn choose(table: &TargetTable, now: Duration, name: &str, work: &Work) -> Option<Choice> {
     let others = NAMES.iter().filter(|other| **other != name);
     let others: Vec<TargetId> = others.map(|other| (*other).to_owned()).collect();
     table.choose(now, SERVICE, work, &others)
@@ -44,7 +46,7 @@
     let before = TargetIdentity::new("t0", Some(5));
 
     // Act
-    let is_new = table.leave(at(20), &before) || table.vanish(at(30), &before);
+    let is_new = table.leave(at(20), &before) || table.delist(at(30), &before);
     table.list(at(40), listed("t0", Some(5), false));
 
     // Assert
@@ -84,7 +86,7 @@
     let own_cost_ms = choose(&table, at(30), "t0", &work).unwrap().cost_ms;
     table.prefilled(&old);
     table.ended(&old);
-    table.silent(at(30), &old);
+    table.unanswered(at(30), &old);
     table.report(at(30), &old, 40, 40);
 
     // Assert
@@ -183,7 +185,7 @@
 /// An instance, with a model of what it must know.
 #[derive(Debug)]
 struct Instance {
-    table: Book,
+    table: TargetTable,
     model: Model,
     version: u64,
     calls: Vec<Choice>,
@@ -221,14 +223,14 @@
                 self.table.list_all(now, all, false);
             }
             Message::Pulled(..) => {}
-            Message::Digest(draining, vanished) => {
+            Message::Digest(draining, delisted) => {
                 for identity in draining {
                     self.model.leave(&identity);
                     self.table.leave(now, &identity);
                 }
-                for identity in vanished.iter().filter(|_| is_list_reported) {
-                    self.model.vanish(identity);
-                    self.table.vanish(now, identity);
+                for identity in delisted.iter().filter(|_| is_list_reported) {
+                    self.model.delist(identity);
+                    self.table.delist(now, identity);
                 }
             }
         }
@@ -268,7 +270,7 @@
             let choice = self.calls.swap_remove(random.index(self.calls.len()));
             match random.below(4) {
                 0 => self.table.failed(now, &choice),
-                1 => self.table.silent(now, &choice),
+                1 => self.table.unanswered(now, &choice),
                 2 => self.table.report(now, &choice, 9, 9),
                 _ => self.table.succeeded(now, &choice),
             }
@@ -365,9 +367,9 @@
         } else {
             &self.follower
         };
-        let (draining, vanished) = (from.table.draining(self.now), from.table.vanished(self.now));
+        let (draining, delisted) = (from.table.draining(self.now), from.table.delisted(self.now));
         for _ in 0..self.random.below(3) {
-            let message = Message::Digest(draining.clone(), vanished.clone());
+            let message = Message::Digest(draining.clone(), delisted.clone());
             let due = self.due();
             self.messages.push((due, is_to_follower, message));
         }
--- a/crates/damaskstile-targets/tests/support/mod.rs
+++ b/crates/damaskstile-targets/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Model of what a target table must know of targets that restart.
 
 use damaskstile_core::prelude::*;
-use damaskstile_targets::{BookOptions, Listed, Refused};
+use damaskstile_targets::{Listed, Refused, TargetTableOptions};
 
 /// The one service of the tests.
 pub const SERVICE: &str = "model";
@@ -40,7 +40,7 @@
 pub struct Model {
     newest: BTreeMap<TargetId, Option<TargetIncarnation>>,
     drained: BTreeSet<TargetIdentity>,
-    vanished: BTreeSet<TargetIdentity>,
+    delisted: BTreeSet<TargetIdentity>,
     shown: BTreeMap<TargetId, Shown>,
     refused: BTreeSet<TargetId>,
 }
@@ -68,7 +68,7 @@
         }
         self.refused.remove(&listed.target);
         if listed.is_ready {
-            self.vanished.remove(&identity);
+            self.delisted.remove(&identity);
         } else {
             self.drained.insert(identity);
         }
@@ -120,9 +120,9 @@
     }
 
     /// A peer reports that an incarnation is no longer listed.
-    pub fn vanish(&mut self, identity: &TargetIdentity) {
+    pub fn delist(&mut self, identity: &TargetIdentity) {
         self.update_newest(identity);
-        self.vanished.insert(identity.clone());
+        self.delisted.insert(identity.clone());
     }
 
     /// Tells whether an incarnation was reported to drain.
@@ -134,14 +134,14 @@
     pub fn usable(&self, now: Duration, target: &str) -> Option<TargetIdentity> {
         let shown = self.shown.get(target)?;
         let identity = shown.listed.identity();
-        let grace = BookOptions::default().lapse_grace;
+        let grace = TargetTableOptions::default().lapse_grace;
         let is_in_grace = shown.missing_since.is_none_or(|since| now < since + grace);
         let is_usable = shown.listed.is_ready
             && is_in_grace
             && self.newest.get(target) == Some(&identity.incarnation)
             && !self.refused.contains(target)
             && !self.drained.contains(&identity)
-            && !self.vanished.contains(&identity);
+            && !self.delisted.contains(&identity);
         is_usable.then_some(identity)
     }
 }
