--- a/crates/damaskstile-escrow/src/holder.rs
+++ b/crates/damaskstile-escrow/src/holder.rs
@@ -258,7 +258,7 @@
 
     /// Returns the totals of an account according to the last seen ledger.
     #[must_use]
-    pub fn standing(&self, account: &str) -> AccountTotals {
+    pub fn account_totals(&self, account: &str) -> AccountTotals {
         AccountTotals {
             bought_tokens: self.prepaid_tokens.get(account).copied().unwrap_or(0),
             settled_tokens: self.overview.account(account).settled_tokens,
--- a/crates/damaskstile-escrow/src/holder/lending.rs
+++ b/crates/damaskstile-escrow/src/holder/lending.rs
@@ -12,7 +12,7 @@
     /// Returns whether the demand measured here counts as this instance's own, because it holds
     /// tokens of the account. Otherwise it counts at the lender from which its calls borrow.
     #[must_use]
-    pub fn is_counted(&self, now: Duration, account: &str) -> bool {
+    pub fn counts_demand_here(&self, now: Duration, account: &str) -> bool {
         let balance = self.balances.get(account);
         balance.is_some_and(|balance| !self.is_borrower(&self.demand_claim(now, balance)))
     }
--- a/crates/damaskstile-escrow/src/holder/orphaned.rs
+++ b/crates/damaskstile-escrow/src/holder/orphaned.rs
@@ -53,14 +53,14 @@
             let entry = &ledger.orphaned_entries[&name];
             let start = Some(&report.start);
             let settled = self.orphaned_unlocked(start, report.is_past_wait_limit, entry);
-            if let Some((lived, unlocked)) = settled {
+            if let Some((longest_life, unlocked)) = settled {
                 let accounts = entry.grants_tokens.iter().map(|(account, granted)| {
                     let spent = entry.spent_bound(account, unlocked);
                     (account.clone(), (*granted, spent))
                 });
                 settlements.push(Settlement {
-                    estate: name.clone(),
-                    lived,
+                    entry_name: name.clone(),
+                    longest_life,
                     accounts: accounts.collect(),
                 });
                 ledger.settle_orphaned(&name, unlocked);
@@ -80,8 +80,8 @@
     ) -> Option<(Option<Duration>, Unlocked)> {
         let start = start?;
         if let Some(passed) = entry.stamp.until(start) {
-            let lived = passed + self.options.clock_margin;
-            return Some((Some(lived), entry.unlock_rate.unlocked(lived)));
+            let longest_life = passed + self.options.clock_margin;
+            return Some((Some(longest_life), entry.unlock_rate.unlocked(longest_life)));
         }
         let is_unbounded = is_past_wait_limit || entry.stamp.fleet_early_ms.is_none();
         is_unbounded.then_some((None, Unlocked::ALL))
--- a/crates/damaskstile-escrow/src/holder/reports.rs
+++ b/crates/damaskstile-escrow/src/holder/reports.rs
@@ -117,7 +117,7 @@
 
     /// Accepts a peer's report, to be entered with the next write. Returns its receipt if the
     /// ledger already contains it.
-    pub fn take_report(&mut self, now: Duration, report: Report) -> Option<Receipt> {
+    pub fn accept_report(&mut self, now: Duration, report: Report) -> Option<Receipt> {
         let listed = self.ledger.holders.get(&report.instance);
         let is_entered = listed.is_some_and(|entry| {
             entry.incarnation == report.incarnation && entry.round >= report.number
@@ -191,7 +191,7 @@
     }
 
     /// Accepts the answer to a report; returns whether it was new.
-    pub fn take_receipt(&mut self, now: Duration, receipt: &Receipt) -> bool {
+    pub fn accept_receipt(&mut self, now: Duration, receipt: &Receipt) -> bool {
         if receipt.version < self.receipt_version {
             return false;
         }
--- a/crates/damaskstile-escrow/src/holder/restoring.rs
+++ b/crates/damaskstile-escrow/src/holder/restoring.rs
@@ -91,7 +91,7 @@
     }
 
     /// Sets the store's history, as stated by the store or a peer; returns whether it was new.
-    pub fn enter_history(&mut self, history: History) -> bool {
+    pub fn set_store_history(&mut self, history: History) -> bool {
         if history <= self.restoring.history {
             return false;
         }
@@ -114,7 +114,7 @@
     }
 
     /// Notes which ledger version a peer remembers.
-    pub fn hear_ledger_version(&mut self, version: Version) {
+    pub fn note_peer_ledger_version(&mut self, version: Version) {
         self.restoring.newest_peer_version = self.restoring.newest_peer_version.max(version);
     }
 
--- a/crates/damaskstile-escrow/src/holder/round.rs
+++ b/crates/damaskstile-escrow/src/holder/round.rs
@@ -46,7 +46,7 @@
     /// Accepts a ledger change that a peer reports as written; returns whether it was based on the
     /// version known here. The next write is then made on the current ledger, instead of
     /// conflicting once for each write of a peer.
-    pub fn hear(&mut self, now: Duration, change: LedgerChange) -> bool {
+    pub fn apply_peer_change(&mut self, now: Duration, change: LedgerChange) -> bool {
         if change.follows != self.ledger_version || self.seen_at.is_none() {
             return false;
         }
@@ -61,7 +61,7 @@
         if self.keep_stale_copy(now, version, &ledger) {
             return;
         }
-        self.enter_history(ledger.history);
+        self.set_store_history(ledger.history);
         if version < self.ledger_version {
             return;
         }
@@ -128,12 +128,12 @@
     }
 
     /// Notes that a write took effect, with the version that it created.
-    pub fn written(&mut self, now: Duration, version: Version, round: Round) {
+    pub fn note_written(&mut self, now: Duration, version: Version, round: Round) {
         self.observe(now, version, round.ledger);
     }
 
     /// Notes that a write has not taken effect and never will.
-    pub fn not_written(&mut self, number: u64) {
+    pub fn note_not_written(&mut self, number: u64) {
         self.pending.retain(|pending| pending.number != number);
     }
 
@@ -141,7 +141,7 @@
     ///
     /// No further write is made until the ledger has been seen again. While an instance is cut off,
     /// each further write in doubt could only lower what it may spend.
-    pub fn in_doubt(&mut self) {
+    pub fn note_in_doubt(&mut self) {
         self.is_in_doubt = true;
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Makes the next round due at once, after a conflict.
-    pub fn hurry(&mut self) {
+    pub fn make_round_due(&mut self) {
         self.round_at = None;
     }
 
--- a/crates/damaskstile-escrow/src/holder/transfers.rs
+++ b/crates/damaskstile-escrow/src/holder/transfers.rs
@@ -18,9 +18,9 @@
     /// use damaskstile_escrow::{EscrowOptions, Holder};
     /// let identity = Identity::new("a", 1, "north");
     /// let mut holder = Holder::new(identity, "", EscrowOptions::default());
-    /// assert_eq!(holder.give(Duration::ZERO, "account", 100), 0);
+    /// assert_eq!(holder.transfer_out(Duration::ZERO, "account", 100), 0);
     /// ```
-    pub fn give(&mut self, now: Duration, account: &str, wanted_tokens: u64) -> u64 {
+    pub fn transfer_out(&mut self, now: Duration, account: &str, wanted_tokens: u64) -> u64 {
         let spare = self.free_tokens(now, account) / TRANSFER_DIVISOR;
         if wanted_tokens == 0 || spare < wanted_tokens {
             return 0;
@@ -33,14 +33,14 @@
 
     /// Accepts tokens that a peer transferred. The host makes sure that no transfer is accepted
     /// twice.
-    pub fn take(&mut self, account: &str, tokens: u64) {
+    pub fn accept_transfer(&mut self, account: &str, tokens: u64) {
         let balance = self.balances.entry(account.to_owned()).or_default();
         balance.transferred_tokens += tokens;
     }
 
     /// Takes all tokens that peers transferred and that are not needed here, so that they can be
     /// returned when the instance stops.
-    pub fn take_back_gifts(&mut self) -> BTreeMap<AccountId, u64> {
+    pub fn take_unused_transfers(&mut self) -> BTreeMap<AccountId, u64> {
         let mut transfers = BTreeMap::new();
         for (account, balance) in &mut self.balances {
             let spare = balance
--- a/crates/damaskstile-escrow/src/settlement.rs
+++ b/crates/damaskstile-escrow/src/settlement.rs
@@ -6,10 +6,10 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settlement {
     /// Name of the orphaned entry: instance and incarnation.
-    pub estate: String,
+    pub entry_name: String,
     /// Longest time for which the incarnation can have run after its last write; `None` if no clock
     /// bounds it, so that all of its grants count as spent.
-    pub lived: Option<Duration>,
+    pub longest_life: Option<Duration>,
     /// Tokens granted and the part of them that counts as spent, by account.
     pub accounts: BTreeMap<AccountId, (u64, u64)>,
 }
--- a/crates/damaskstile-escrow/tests/holder.rs
+++ b/crates/damaskstile-escrow/tests/holder.rs
@@ -35,7 +35,7 @@
     let mut holder = holder(instance, 1);
     holder.observe(at(0), 0, Ledger::default());
     let round = next_round(&mut holder, 0).unwrap();
-    holder.written(at(5), 1, round.clone());
+    holder.note_written(at(5), 1, round.clone());
     (holder, round)
 }
 
@@ -60,7 +60,7 @@
 
     // Act
     let round = next_round(&mut holder, 2_000).unwrap();
-    holder.in_doubt();
+    holder.note_in_doubt();
 
     // Assert
     let grant = round.ledger.holders["one"].grants_tokens[ACCOUNT];
@@ -80,7 +80,7 @@
     let (mut holder, _) = started("one");
     holder.note_demand(at(100), ACCOUNT, 400_000, 0);
     let round = next_round(&mut holder, 1_500).unwrap();
-    holder.written(at(1_505), 2, round.clone());
+    holder.note_written(at(1_505), 2, round.clone());
     let entry = &round.ledger.holders["one"];
 
     // Act
@@ -100,7 +100,7 @@
     let (mut holder, first) = started("one");
     holder.note_demand(at(100), ACCOUNT, 10, 0);
     let round = next_round(&mut holder, 2_000).unwrap();
-    holder.in_doubt();
+    holder.note_in_doubt();
 
     // Act: another instance wrote first, so the write in doubt can no longer take effect.
     let mut other = first.ledger.clone();
@@ -201,11 +201,11 @@
 
     // Act
     let round = next_round(&mut holder, 1_000).unwrap();
-    holder.written(at(1_005), 2, round);
+    holder.note_written(at(1_005), 2, round);
     let with_run = holder.ledger().granted(ACCOUNT);
     holder.release(ACCOUNT, 500, 120);
     let last = next_round(&mut holder, 2_000).unwrap();
-    holder.written(at(2_005), 3, last);
+    holder.note_written(at(2_005), 3, last);
 
     // Assert
     assert_eq!(with_run, 500);
@@ -228,7 +228,7 @@
         holder.note_demand(at(call * 100), ACCOUNT, 9_000, 1);
     }
     let round = next_round(&mut holder, 4_000).unwrap();
-    holder.written(at(4_005), 2, round);
+    holder.note_written(at(4_005), 2, round);
 
     // Act
     let urgent = holder.try_reserve(at(4_010), ACCOUNT, 9_000, 0);
@@ -303,8 +303,8 @@
     let before = sender.free_tokens(at(10), ACCOUNT);
 
     // Act
-    let transferred = sender.give(at(10), ACCOUNT, before / 2);
-    receiver.take(ACCOUNT, transferred);
+    let transferred = sender.transfer_out(at(10), ACCOUNT, before / 2);
+    receiver.accept_transfer(ACCOUNT, transferred);
     receiver
         .try_reserve(at(10), ACCOUNT, transferred, 0)
         .unwrap();
--- a/crates/damaskstile-escrow/tests/reports.rs
+++ b/crates/damaskstile-escrow/tests/reports.rs
@@ -67,7 +67,7 @@
     fn round(&mut self, ms: u64) {
         for member in self.members.values_mut() {
             if let Some(report) = member.next_report(at(ms), &stamp(ms)) {
-                assert!(self.writer.take_report(at(ms), report).is_none());
+                assert!(self.writer.accept_report(at(ms), report).is_none());
             }
         }
         self.write(ms);
@@ -80,10 +80,10 @@
         self.version += 1;
         self.writes += 1;
         let reported = round.reported.clone();
-        self.writer.written(at(ms), self.version, round);
+        self.writer.note_written(at(ms), self.version, round);
         for (address, receipt) in self.writer.receipts(&reported) {
             let member = self.members.get_mut(&address).unwrap();
-            member.take_receipt(at(ms), &receipt);
+            member.accept_receipt(at(ms), &receipt);
         }
     }
 
@@ -176,7 +176,7 @@
     let listed = fleet.writer.ledger().holders["m00"].clone();
 
     // Act
-    let _ = fleet.writer.take_report(at(2_500), late.unwrap());
+    let _ = fleet.writer.accept_report(at(2_500), late.unwrap());
     fleet.write(3_500);
 
     // Assert
@@ -210,7 +210,7 @@
         member.observe(at(2_600), fleet.version, before.clone());
         as_member(&mut member);
         let report = member.next_report(at(2_700), &stamp_of_a_fresh_machine(2_700));
-        assert!(writer.take_report(at(2_710), report.unwrap()).is_none());
+        assert!(writer.accept_report(at(2_710), report.unwrap()).is_none());
     }
     let fresh = Stamp {
         boot_ms: 5,
@@ -279,7 +279,7 @@
     let member = fleet.member(1);
     (0..220).for_each(|_| member.note_demand(at(ms), ACCOUNT, CALL_TOKENS, 0));
     let report = member.next_report(at(ms), &stamp(ms)).unwrap();
-    assert!(fleet.writer.take_report(at(ms), report).is_none());
+    assert!(fleet.writer.accept_report(at(ms), report).is_none());
     fleet.write(ms + 1_100);
 }
 
@@ -315,12 +315,12 @@
     let later = report_of_a_shortage(&mut fleet, 4_400);
     assert!(later.claims[ACCOUNT].kept_tokens < held_up.claims[ACCOUNT].kept_tokens);
     let number = later.number;
-    assert!(fleet.writer.take_report(at(4_410), later).is_none());
+    assert!(fleet.writer.accept_report(at(4_410), later).is_none());
     fleet.write(4_410);
     another_member_takes_the_rest(&mut fleet, 4_500);
 
     // Act
-    let _ = fleet.writer.take_report(at(6_000), held_up);
+    let _ = fleet.writer.accept_report(at(6_000), held_up);
     fleet.write(7_000);
 
     // Assert
@@ -340,18 +340,18 @@
         .member(0)
         .next_report(at(8_000), &stamp(8_000))
         .unwrap();
-    assert!(fleet.writer.take_report(at(8_010), first).is_none());
+    assert!(fleet.writer.accept_report(at(8_010), first).is_none());
     let round = fleet.writer.next_round(at(8_010), &stamp(8_010)).unwrap();
     fleet.version += 1;
     let version = fleet.version;
-    fleet.writer.written(at(8_020), version, round);
+    fleet.writer.note_written(at(8_020), version, round);
     another_member_takes_the_rest(&mut fleet, 8_100);
 
     // Act
     let member = fleet.member(0);
     (0..400).for_each(|_| member.note_demand(at(9_300), ACCOUNT, CALL_TOKENS, 0));
     let second = report_of_a_shortage(&mut fleet, 9_400);
-    assert!(fleet.writer.take_report(at(9_410), second).is_none());
+    assert!(fleet.writer.accept_report(at(9_410), second).is_none());
     fleet.write(10_300);
 
     // Assert
--- a/crates/damaskstile-escrow/tests/rewinds.rs
+++ b/crates/damaskstile-escrow/tests/rewinds.rs
@@ -98,7 +98,7 @@
     let identity = Identity::new(instance, incarnation, "north");
     let mut holder = Holder::new(identity, instance, EscrowOptions::default());
     holder.set_prepaid(1, [(ACCOUNT.to_owned(), PREPAID_TOKENS)].into());
-    holder.enter_history(1);
+    holder.set_store_history(1);
     holder
 }
 
@@ -108,7 +108,7 @@
     let _ = holder.try_reserve(at(ms), ACCOUNT, tokens, 0);
     let round = holder.next_round(at(ms), &stamp(ms)).unwrap();
     let ledger = round.ledger.clone();
-    holder.written(at(ms), version, round);
+    holder.note_written(at(ms), version, round);
     (version, ledger)
 }
 
@@ -127,7 +127,7 @@
     let held = one.reserved_tokens(ACCOUNT);
 
     // Act
-    one.enter_history(2);
+    one.set_store_history(2);
     one.observe(at(3_000), version(2, 3), copy);
     let at_once = one.next_round(at(3_100), &stamp(3_100));
     let round = one.next_round(at(4_000), &stamp(4_000)).unwrap();
@@ -150,8 +150,8 @@
     write(&mut one, 2_000, 3_000, version(1, 9));
 
     // Act
-    other.hear_ledger_version(one.ledger_version());
-    other.enter_history(2);
+    other.note_peer_ledger_version(one.ledger_version());
+    other.set_store_history(2);
     other.observe(at(3_000), version(2, 3), copy);
     let early = other.next_round(at(4_000), &stamp(4_000));
     let late = other.next_round(at(6_100), &stamp(6_100));
@@ -165,19 +165,19 @@
 fn nothing_more_is_granted_until_all_have_reported_their_holdings() {
     // Arrange: one of two holders rebuilds the ledger.
     let (mut one, mut other, ledger) = two_holders();
-    one.enter_history(2);
+    one.set_store_history(2);
     one.observe(at(3_000), version(2, 4), ledger);
     let round = one.next_round(at(4_000), &stamp(4_000)).unwrap();
     let before = round.ledger.granted(ACCOUNT);
     let begun = round.ledger.clone();
-    one.written(at(4_000), version(2, 5), round);
+    one.note_written(at(4_000), version(2, 5), round);
 
     // Act: it requests more tokens, before and after the other one has reported.
     one.note_demand(at(4_200), ACCOUNT, 4_000, 0);
     let _ = one.try_reserve(at(4_200), ACCOUNT, 4_000, 0);
     let closed = one.next_round(at(5_200), &stamp(5_200)).unwrap();
-    one.not_written(closed.number);
-    other.enter_history(2);
+    one.note_not_written(closed.number);
+    other.set_store_history(2);
     other.observe(at(5_300), version(2, 5), begun);
     let (confirmed_version, confirmed) = write(&mut other, 5_400, 1, version(2, 6));
     one.observe(at(5_500), confirmed_version, confirmed);
@@ -204,7 +204,7 @@
 
     // Act
     let mut successor = holder("one", 7);
-    successor.enter_history(2);
+    successor.set_store_history(2);
     successor.observe(at(5_000), version(2, 3), copy);
     let round = successor.next_round(at(9_000), &stamp(9_000)).unwrap();
 
@@ -227,8 +227,8 @@
     one.observe(at(0), 0, Ledger::default());
     let (_, copy) = write(&mut one, 800, 500, version(1, 3));
     let mut fresh = holder("fresh", 2);
-    fresh.enter_history(2);
-    fresh.hear_ledger_version(version(1, 9));
+    fresh.set_store_history(2);
+    fresh.note_peer_ledger_version(version(1, 9));
 
     // Act
     fresh.observe(at(8_000), version(2, 3), copy);
@@ -279,13 +279,13 @@
     let mut one = holder("one", 1);
     one.observe(at(0), 0, Ledger::default());
     let (_, copy) = write(&mut one, 800, 500, version(1, 3));
-    one.enter_history(2);
+    one.set_store_history(2);
     one.observe(at(3_000), version(2, 3), copy);
     let round = one.next_round(at(4_000), &stamp(4_000)).unwrap();
 
     // Act
     let held = other.granted_free_tokens(ACCOUNT);
-    other.enter_history(2);
+    other.set_store_history(2);
     other.observe(at(4_100), version(2, 5), round.ledger);
     let kept = other.granted_free_tokens(ACCOUNT);
     let (_, ledger) = write(&mut other, 4_200, 1, version(2, 6));
@@ -307,19 +307,19 @@
     other.note_demand(at(2_900), ACCOUNT, 3_000, 0);
     let _ = other.try_reserve(at(2_900), ACCOUNT, 3_000, 0);
     let late = other.next_report(at(2_950), &stamp(2_950)).unwrap();
-    one.enter_history(2);
+    one.set_store_history(2);
     one.observe(at(3_000), version(2, 4), ledger);
     let round = one.next_round(at(4_000), &stamp(4_000)).unwrap();
-    one.written(at(4_000), version(2, 5), round);
+    one.note_written(at(4_000), version(2, 5), round);
 
     // Act
-    one.take_report(at(4_100), late);
+    one.accept_report(at(4_100), late);
     let with_late = one.next_round(at(5_200), &stamp(5_200)).unwrap();
-    one.not_written(with_late.number);
-    other.enter_history(2);
+    one.note_not_written(with_late.number);
+    other.set_store_history(2);
     let now = other.next_report(at(5_300), &stamp(5_300)).unwrap();
-    one.take_report(at(5_400), now);
-    one.hurry();
+    one.accept_report(at(5_400), now);
+    one.make_round_due();
     let with_both = one.next_round(at(5_500), &stamp(5_500)).unwrap();
 
     // Assert
--- a/crates/damaskstile-escrow/tests/support/world.rs
+++ b/crates/damaskstile-escrow/tests/support/world.rs
@@ -226,9 +226,9 @@
             }
             Step::Transfer(from, to, account, tokens, is_lost) => {
                 let account = ACCOUNTS[account];
-                let given = self.holders[from].give(self.now, account, tokens);
+                let given = self.holders[from].transfer_out(self.now, account, tokens);
                 if !is_lost {
-                    self.holders[to].take(account, given);
+                    self.holders[to].accept_transfer(account, given);
                 }
             }
             Step::Rewind(writes, revisions) => self.store.rewind(writes, revisions),
@@ -271,7 +271,7 @@
     fn note_history(&mut self, index: usize) {
         let history = self.store.history;
         self.known_histories[index] = history;
-        self.holders[index].enter_history(history);
+        self.holders[index].set_store_history(history);
     }
 
     /// Sends some instances the ledger version and store history that others know.
@@ -282,8 +282,8 @@
             let to = (from + 1 + draw / INSTANCES % (INSTANCES - 1)) % INSTANCES;
             let version = self.holders[from].ledger_version();
             let history = self.known_histories[from];
-            self.holders[to].hear_ledger_version(version);
-            self.holders[to].enter_history(history);
+            self.holders[to].note_peer_ledger_version(version);
+            self.holders[to].set_store_history(history);
         }
     }
 
@@ -314,12 +314,12 @@
         match message {
             Message::Report(to, report) => {
                 let from: usize = report.instance[1..].parse().unwrap();
-                if let Some(receipt) = self.holders[to].take_report(self.now, *report) {
+                if let Some(receipt) = self.holders[to].accept_report(self.now, *report) {
                     self.deliver(Message::Receipt(from, receipt));
                 }
             }
             Message::Receipt(to, receipt) => {
-                self.holders[to].take_receipt(self.now, &receipt);
+                self.holders[to].accept_receipt(self.now, &receipt);
             }
         }
     }
@@ -350,7 +350,7 @@
         if round.expected_version > 0
             && round.expected_version >> REVISION_BITS != self.known_histories[index]
         {
-            self.holders[index].not_written(round.number);
+            self.holders[index].note_not_written(round.number);
             self.read(index);
             return;
         }
@@ -359,29 +359,29 @@
             Fate::Answered if !is_known => {
                 self.store.write(&round);
                 self.note_history(index);
-                self.holders[index].in_doubt();
+                self.holders[index].note_in_doubt();
             }
             Fate::Answered => {
                 if self.store.write(&round) {
                     self.spread(index, &round);
                     let reported = round.reported.clone();
                     let version = self.store.version();
-                    self.holders[index].written(self.now, version, round);
+                    self.holders[index].note_written(self.now, version, round);
                     self.send_receipts(index, &reported);
                 } else {
-                    self.holders[index].not_written(round.number);
+                    self.holders[index].note_not_written(round.number);
                     self.read(index);
                 }
             }
             Fate::AnswerLost => {
                 self.store.write(&round);
-                self.holders[index].in_doubt();
+                self.holders[index].note_in_doubt();
             }
             Fate::Held => {
                 self.store.held.push(round);
-                self.holders[index].in_doubt();
+                self.holders[index].note_in_doubt();
             }
-            Fate::Refused => self.holders[index].not_written(round.number),
+            Fate::Refused => self.holders[index].note_not_written(round.number),
         }
     }
 
@@ -399,7 +399,7 @@
         };
         for step in 1..=peers {
             let peer = (index + step) % INSTANCES;
-            self.holders[peer].hear(self.now, change.clone());
+            self.holders[peer].apply_peer_change(self.now, change.clone());
         }
     }
 
--- a/crates/damaskstile-gateway/src/exchange/tokens.rs
+++ b/crates/damaskstile-gateway/src/exchange/tokens.rs
@@ -231,7 +231,7 @@
         let free = state.holder.free_tokens(now, &account);
         let age = state.holder.ledger_age(now);
         let version = state.holder.ledger_version();
-        let standing = state.holder.standing(&account);
+        let totals = state.holder.account_totals(&account);
         // Tokens that other instances hold become available when the store answers again. A caller
         // that retries earlier would most likely be refused again.
         let until_back = state.contact.outage_left(now).unwrap_or(RETRY_LATER);
@@ -239,9 +239,9 @@
         self.record.add("needed", tokens);
         self.record.add("free", free);
         self.record.add("shortage", shortage.as_str());
-        self.record.add("bought", standing.bought_tokens);
-        self.record.add("settled", standing.settled_tokens);
-        self.record.add("granted", standing.granted_tokens);
+        self.record.add("bought", totals.bought_tokens);
+        self.record.add("settled", totals.settled_tokens);
+        self.record.add("granted", totals.granted_tokens);
         self.record.add("ledger_version", version);
         let age_ms = age.map_or_else(|| "-".to_owned(), |age| age.as_millis().to_string());
         self.record.add("ledger_age_ms", age_ms);
--- a/crates/damaskstile-gateway/src/follow.rs
+++ b/crates/damaskstile-gateway/src/follow.rs
@@ -289,7 +289,7 @@
     let (is_other, targets_version) = {
         let mut state = gateway.state();
         let known = state.store_history.replace(history);
-        state.holder.enter_history(history);
+        state.holder.set_store_history(history);
         let is_other = known.is_some_and(|known| known != history);
         (is_other, state.targets_version)
     };
--- a/crates/damaskstile-gateway/src/holdings.rs
+++ b/crates/damaskstile-gateway/src/holdings.rs
@@ -42,7 +42,7 @@
         let accounts = state.holder.prepaid_accounts();
         accounts
             .map(|account| {
-                let bought = state.holder.standing(account).bought_tokens;
+                let bought = state.holder.account_totals(account).bought_tokens;
                 let reserved = state.holder.reserved_tokens(account);
                 let free = state.holder.granted_free_tokens(account);
                 let unlocked = state.holder.free_tokens(now, account).min(free);
--- a/crates/damaskstile-gateway/src/loan.rs
+++ b/crates/damaskstile-gateway/src/loan.rs
@@ -43,34 +43,37 @@
         rank: Rank,
         until: Duration,
     ) -> Result<Self, Option<LoanOutcome>> {
-        let (ask, is_counted) = {
+        let (request, is_counted) = {
             let now = gateway.now();
             let mut state = gateway.state();
-            let is_counted = state.holder.is_counted(now, account);
+            let is_counted = state.holder.counts_demand_here(now, account);
             (
-                state.borrower.ask(lender, account, tokens, rank),
+                state.borrower.request_loan(lender, account, tokens, rank),
                 is_counted,
             )
         };
-        let ask = damaskstile_loans::LoanAsk { is_counted, ..ask };
+        let request = damaskstile_loans::LoanRequest {
+            is_counted,
+            ..request
+        };
         let loan = Self {
             gateway: Arc::clone(gateway),
-            number: ask.number,
+            number: request.number,
             used_tokens: 0,
         };
         let silent_at = (gateway.now() + ANSWER_TIMEOUT).min(until);
         let waits_until = (gateway.now() + TOKEN_WAIT_TIMEOUT).min(until);
         let mut again_at = Some(gateway.now() + RESEND_AFTER);
         let send = || {
-            let ask = Outgoing::Borrow(lender.address, ask.clone());
+            let request = Outgoing::Borrow(lender.address, request.clone());
             // A request dropped because the queue is full is treated like a lost datagram.
-            let _ = gateway.outbox.try_send(ask);
+            let _ = gateway.outbox.try_send(request);
         };
         send();
         loop {
             let answered = gateway.loans_heard.notified();
             let now = gateway.now();
-            let outcome = gateway.state().borrower.outcome(ask.number);
+            let outcome = gateway.state().borrower.outcome(request.number);
             let limit = match outcome {
                 Some(LoanOutcome::Lent) => return Ok(loan),
                 Some(LoanOutcome::Waiting) => waits_until,
@@ -79,7 +82,10 @@
             };
             if now >= limit {
                 if outcome.is_none() {
-                    gateway.state().borrower.note_silence(now, &lender.instance);
+                    gateway
+                        .state()
+                        .borrower
+                        .note_no_answer(now, &lender.instance);
                 }
                 return Err(outcome);
             }
--- a/crates/damaskstile-gateway/src/outgoing.rs
+++ b/crates/damaskstile-gateway/src/outgoing.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use damaskstile_escrow::{LedgerChange, Receipt, Report};
-use damaskstile_loans::LoanAsk;
+use damaskstile_loans::LoanRequest;
 use damaskstile_requests::Fingerprint;
 
 use crate::peers::Reading;
@@ -20,7 +20,7 @@
     /// Entries for the ledger writer to write.
     Report(SocketAddr, Report),
     /// A request for a loan of the tokens of one call.
-    Borrow(SocketAddr, LoanAsk),
+    Borrow(SocketAddr, LoanRequest),
     /// The answer to a peer's report.
     Receipt(SocketAddr, Receipt),
 }
--- a/crates/damaskstile-gateway/src/peers.rs
+++ b/crates/damaskstile-gateway/src/peers.rs
@@ -135,8 +135,8 @@
                 Outgoing::Receipt(address, receipt) => {
                     self.send(address, DatagramBody::Receipt(receipt)).await;
                 }
-                Outgoing::Borrow(address, ask) => {
-                    self.send(address, DatagramBody::Borrow(ask)).await;
+                Outgoing::Borrow(address, request) => {
+                    self.send(address, DatagramBody::Borrow(request)).await;
                 }
             }
         }
@@ -171,7 +171,7 @@
                 let now = self.gateway.now();
                 // A change that does not apply to the ledger version known here is made up for by
                 // the next read or write.
-                self.gateway.state().holder.hear(now, change);
+                self.gateway.state().holder.apply_peer_change(now, change);
             }
             Err(error) => {
                 let error = error.to_string();
@@ -286,8 +286,8 @@
                 book.apply_prefill_report(now, &reading.identity(), reading.time());
             }
             DatagramBody::Receipt(receipt) => self.handle_receipt(&datagram.from, &receipt),
-            DatagramBody::Borrow(ask) => {
-                self.handle_loan_request(&datagram.from, datagram.incarnation, ask, from)
+            DatagramBody::Borrow(request) => {
+                self.handle_loan_request(&datagram.from, datagram.incarnation, request, from)
                     .await;
             }
             DatagramBody::Lend(answer) => self.handle_loan_answer(&datagram.from, &answer),
@@ -298,7 +298,7 @@
             DatagramBody::Suspect(report) => {
                 self.handle_suspects(&datagram.from, std::slice::from_ref(&report));
             }
-            DatagramBody::LoanEndsTaken(taken) => self.handle_loan_ends_ack(&taken, from),
+            DatagramBody::LoanEndsAck(ack) => self.handle_loan_ends_ack(&ack, from),
         }
     }
 
--- a/crates/damaskstile-gateway/src/peers/datagram.rs
+++ b/crates/damaskstile-gateway/src/peers/datagram.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use damaskstile_escrow::{Receipt, Report};
-use damaskstile_loans::{LoanAnswer, LoanAsk, LoanEnds, LoanEndsTaken};
+use damaskstile_loans::{LoanAnswer, LoanEnds, LoanEndsAck, LoanRequest};
 
 use super::{AskTokens, Digest, GiveTokens, Reading, SuspectReport};
 
@@ -32,7 +32,7 @@
     Reading(Reading),
     /// Request for a loan of the tokens of one call.
     #[prost(message, tag = "10")]
-    Borrow(LoanAsk),
+    Borrow(LoanRequest),
     /// Answer to a loan request.
     #[prost(message, tag = "11")]
     Lend(LoanAnswer),
@@ -41,7 +41,7 @@
     LoanEnds(LoanEnds),
     /// Acknowledgement of ended loans.
     #[prost(message, tag = "13")]
-    LoanEndsTaken(LoanEndsTaken),
+    LoanEndsAck(LoanEndsAck),
     /// What the sender knows of a suspect content.
     #[prost(message, tag = "14")]
     Suspect(SuspectReport),
@@ -57,7 +57,7 @@
             Self::Change(_) => "ledger",
             Self::Report(_) | Self::Receipt(_) => "report",
             Self::Reading(_) => "reading",
-            Self::Borrow(_) | Self::Lend(_) | Self::LoanEnds(_) | Self::LoanEndsTaken(_) => "loan",
+            Self::Borrow(_) | Self::Lend(_) | Self::LoanEnds(_) | Self::LoanEndsAck(_) => "loan",
             Self::Suspect(_) => "suspect",
         }
     }
--- a/crates/damaskstile-gateway/src/peers/loans.rs
+++ b/crates/damaskstile-gateway/src/peers/loans.rs
@@ -5,7 +5,7 @@
 
 use damaskstile_core::prelude::*;
 use damaskstile_loans::lender::LoanId;
-use damaskstile_loans::{LoanAnswer, LoanAsk, LoanEnds, LoanEndsTaken, LoanOutcome};
+use damaskstile_loans::{LoanAnswer, LoanEnds, LoanEndsAck, LoanOutcome, LoanRequest};
 
 use super::{DatagramBody, Peers};
 use crate::state::State;
@@ -23,24 +23,24 @@
         &self,
         from: &str,
         incarnation: Incarnation,
-        ask: LoanAsk,
+        request: LoanRequest,
         address: SocketAddr,
     ) {
         let now = self.gateway.now();
         let answer = {
-            let id = LoanId::new(from, incarnation, ask.number);
+            let id = LoanId::new(from, incarnation, request.number);
             let mut state = self.gateway.state();
             if state.is_stopping {
                 Some(LoanAnswer::new(&id, LoanOutcome::Elsewhere))
             } else {
                 let State { lender, holder, .. } = &mut *state;
-                lender.ask(holder, now, id, address, &ask)
+                lender.handle_request(holder, now, id, address, &request)
             }
         };
         let Some(answer) = answer else {
             return;
         };
-        if answer.said() == LoanOutcome::Waiting {
+        if answer.decoded_outcome() == LoanOutcome::Waiting {
             self.gateway.round_wanted.notify_one();
         }
         self.send(address, DatagramBody::Lend(answer)).await;
@@ -48,7 +48,7 @@
 
     /// Processes a lender's answer.
     pub(super) fn handle_loan_answer(&self, from: &str, answer: &LoanAnswer) {
-        if self.gateway.state().borrower.hear(from, answer) {
+        if self.gateway.state().borrower.receive_answer(from, answer) {
             self.gateway.loans_heard.notify_waiters();
         }
     }
@@ -71,17 +71,17 @@
                 lender.end(holder, now, id, end.used_tokens);
             }
         }
-        let taken = DatagramBody::LoanEndsTaken(LoanEndsTaken {
+        let ack = DatagramBody::LoanEndsAck(LoanEndsAck {
             numbers,
             incarnation,
         });
-        self.send(address, taken).await;
+        self.send(address, ack).await;
     }
 
     /// Processes a lender's acknowledgement of ended loans.
-    pub(super) fn handle_loan_ends_ack(&self, taken: &LoanEndsTaken, address: SocketAddr) {
+    pub(super) fn handle_loan_ends_ack(&self, ack: &LoanEndsAck, address: SocketAddr) {
         let mut state = self.gateway.state();
-        state.borrower.ends_taken(address, taken);
+        state.borrower.receive_ends_ack(address, ack);
     }
 
     /// Reports ended loans to their lenders until the process ends.
@@ -110,7 +110,7 @@
                 let mut state = self.gateway.state();
                 let State { lender, holder, .. } = &mut *state;
                 lender.expire(holder, now);
-                lender.ask_again(holder, now)
+                lender.retry_waiting(holder, now)
             };
             for (address, answer) in answers {
                 self.send(address, DatagramBody::Lend(answer)).await;
--- a/crates/damaskstile-gateway/src/peers/received_digest.rs
+++ b/crates/damaskstile-gateway/src/peers/received_digest.rs
@@ -74,8 +74,8 @@
             Member::new(incarnation, address, now, digest),
         );
         state.book.add_instance(from, digest.known_instances);
-        state.holder.hear_ledger_version(digest.ledger_version);
-        let has_entered = state.holder.enter_history(digest.store_history);
+        state.holder.note_peer_ledger_version(digest.ledger_version);
+        let has_entered = state.holder.set_store_history(digest.store_history);
         let mut limits = Vec::new();
         for (target, limit) in digest
             .limits
--- a/crates/damaskstile-gateway/src/peers/reports.rs
+++ b/crates/damaskstile-gateway/src/peers/reports.rs
@@ -31,7 +31,7 @@
         state
             .fleet_clock
             .hear(now, &report.instance, report.stamp.unix_ms);
-        let receipt = state.holder.take_report(now, report);
+        let receipt = state.holder.accept_report(now, report);
         drop(state);
         if let (Some(receipt), Ok(sender)) = (receipt, sender) {
             // If the queue is full the receipt is dropped, and the reporting instance asks again.
@@ -45,7 +45,7 @@
     pub(super) fn handle_receipt(&self, from: &str, receipt: &Receipt) {
         let gateway = &self.gateway;
         let now = gateway.now();
-        if !gateway.state().holder.take_receipt(now, receipt) {
+        if !gateway.state().holder.accept_receipt(now, receipt) {
             return;
         }
         gateway.round_done.notify_waiters();
--- a/crates/damaskstile-gateway/src/peers/transfers.rs
+++ b/crates/damaskstile-gateway/src/peers/transfers.rs
@@ -33,7 +33,7 @@
         if !state.is_stopping {
             return Vec::new();
         }
-        let spare = state.holder.take_back_gifts();
+        let spare = state.holder.take_unused_transfers();
         let mut transfers = Vec::new();
         for (account, tokens) in spare {
             if let Some(address) = state.richest_member(now, &account) {
@@ -61,7 +61,7 @@
         let now = self.gateway.now();
         let (tokens, number) = {
             let mut state = self.gateway.state();
-            let tokens = state.holder.give(now, &ask.account, ask.tokens);
+            let tokens = state.holder.transfer_out(now, &ask.account, ask.tokens);
             state.transfers_made += u64::from(tokens > 0);
             (tokens, state.transfers_made)
         };
@@ -93,7 +93,9 @@
             if !is_first {
                 return;
             }
-            state.holder.take(&transfer.account, transfer.tokens);
+            state
+                .holder
+                .accept_transfer(&transfer.account, transfer.tokens);
         }
         self.log_transfer(EventCode::TokensTaken, from, transfer);
         self.gateway.round_done.notify_waiters();
--- a/crates/damaskstile-gateway/src/rounds.rs
+++ b/crates/damaskstile-gateway/src/rounds.rs
@@ -90,7 +90,7 @@
         // Without a random pause, instances that collided would collide again.
         let jitter_ms = {
             let mut state = gateway.state();
-            state.holder.hurry();
+            state.holder.make_round_due();
             state.random.below(CONFLICT_JITTER_MS)
         };
         tokio::time::sleep(Duration::from_millis(jitter_ms)).await;
@@ -259,7 +259,7 @@
 async fn write(gateway: &Gateway, round: Round) -> bool {
     let number = round.number;
     let Ok(content) = serde_json::to_vec(&round.ledger) else {
-        gateway.state().holder.not_written(number);
+        gateway.state().holder.note_not_written(number);
         return true;
     };
     let expected = round.expected_version;
@@ -279,7 +279,7 @@
         }
         Err(StoreError::Conflict(object)) => {
             note_answer(gateway);
-            gateway.state().holder.not_written(number);
+            gateway.state().holder.note_not_written(number);
             match object {
                 Some(object) => observe(gateway, Some(&object)),
                 None => read(gateway).await,
@@ -289,13 +289,13 @@
         }
         Err(error @ StoreError::Lost(_)) => {
             note_failure(gateway, &error);
-            gateway.state().holder.in_doubt();
+            gateway.state().holder.note_in_doubt();
             gateway.log(EventCode::RoundInDoubt, &fields);
             true
         }
         Err(error) => {
             note_failure(gateway, &error);
-            gateway.state().holder.not_written(number);
+            gateway.state().holder.note_not_written(number);
             gateway.log(EventCode::RoundRefused, &fields);
             true
         }
@@ -313,7 +313,7 @@
     let now = gateway.now();
     let receipts = {
         let mut state = gateway.state();
-        state.holder.written(now, version, round);
+        state.holder.note_written(now, version, round);
         state.holder.receipts(&reported)
     };
     // Peers that miss a change read the ledger instead; those that miss a receipt report again.
@@ -328,11 +328,12 @@
 }
 
 fn log_settlement(gateway: &Gateway, settlement: &Settlement) {
-    let lived = settlement.lived;
-    let lived_ms = lived.map_or_else(|| "unknown".to_owned(), |time| time.as_millis().to_string());
+    let longest_life = settlement.longest_life;
+    let lived_ms =
+        longest_life.map_or_else(|| "unknown".to_owned(), |time| time.as_millis().to_string());
     let spent_of_granted = settlement.to_string();
     let fields = [
-        ("estate", settlement.estate.as_str()),
+        ("estate", settlement.entry_name.as_str()),
         ("lived_ms", lived_ms.as_str()),
         ("spent_of_granted", spent_of_granted.as_str()),
     ];
--- a/crates/damaskstile-gateway/src/state/lenders.rs
+++ b/crates/damaskstile-gateway/src/state/lenders.rs
@@ -42,7 +42,7 @@
             lenders.into_iter().cloned().collect()
         });
         let answers = |one: &&Candidate| {
-            one.instance == self.instance || !self.borrower.is_silent(now, &one.instance)
+            one.instance == self.instance || !self.borrower.is_unresponsive(now, &one.instance)
         };
         let answering: Vec<Candidate> = all.iter().filter(answers).cloned().collect();
         let first = answering.first();
@@ -68,7 +68,7 @@
     ) -> Option<Candidate> {
         let members = self.members_by_free_tokens(now, account).into_iter();
         members
-            .filter(|(free, _, name)| *free >= tokens && !self.borrower.is_silent(now, name))
+            .filter(|(free, _, name)| *free >= tokens && !self.borrower.is_unresponsive(now, name))
             .map(|(_, address, name)| Candidate::new(name, address, ""))
             .find(|one| asked.iter().all(|other| other.instance != one.instance))
     }
--- a/crates/damaskstile-loans/src/borrower.rs
+++ b/crates/damaskstile-loans/src/borrower.rs
@@ -8,7 +8,7 @@
 use damaskstile_core::prelude::*;
 
 use crate::LoanNumber;
-use crate::loan::{LoanAnswer, LoanAsk, LoanEnd, LoanEnds, LoanEndsTaken, LoanOutcome};
+use crate::loan::{LoanAnswer, LoanEnd, LoanEnds, LoanEndsAck, LoanOutcome, LoanRequest};
 use crate::placement::Candidate;
 use pending_end::PendingEnd;
 use unresponsive::UnresponsiveLenders;
@@ -52,7 +52,13 @@
     }
 
     /// Creates the request for a call's tokens, to be sent to a lender.
-    pub fn ask(&mut self, lender: &Candidate, account: &str, tokens: u64, rank: u8) -> LoanAsk {
+    pub fn request_loan(
+        &mut self,
+        lender: &Candidate,
+        account: &str,
+        tokens: u64,
+        rank: u8,
+    ) -> LoanRequest {
         self.last_number += 1;
         let request = OpenRequest {
             lender: lender.instance.clone(),
@@ -60,7 +66,7 @@
             outcome: None,
         };
         self.requests.insert(self.last_number, request);
-        LoanAsk {
+        LoanRequest {
             number: self.last_number,
             account: account.to_owned(),
             tokens,
@@ -70,9 +76,9 @@
     }
 
     /// Accepts an answer; returns whether it changed the outcome of a request.
-    pub fn hear(&mut self, from: &str, answer: &LoanAnswer) -> bool {
+    pub fn receive_answer(&mut self, from: &str, answer: &LoanAnswer) -> bool {
         self.unresponsive.clear(from);
-        let said = answer.said();
+        let outcome = answer.decoded_outcome();
         let Some(request) = self.requests.get_mut(&answer.number) else {
             return false;
         };
@@ -84,8 +90,8 @@
         if is_for_another || is_final {
             return false;
         }
-        let is_news = request.outcome != Some(said);
-        request.outcome = Some(said);
+        let is_news = request.outcome != Some(outcome);
+        request.outcome = Some(outcome);
         is_news
     }
 
@@ -134,11 +140,11 @@
     }
 
     /// Accepts a lender's acknowledgement of ends.
-    pub fn ends_taken(&mut self, address: SocketAddr, taken: &LoanEndsTaken) {
-        if taken.incarnation != self.incarnation {
+    pub fn receive_ends_ack(&mut self, address: SocketAddr, ack: &LoanEndsAck) {
+        if ack.incarnation != self.incarnation {
             return;
         }
-        for number in &taken.numbers {
+        for number in &ack.numbers {
             let pending_end = self.ends.get(number);
             if pending_end.is_some_and(|pending_end| pending_end.address == address) {
                 self.ends.remove(number);
@@ -147,13 +153,13 @@
     }
 
     /// Notes that a lender has not answered in time, so that others are asked for some time.
-    pub fn note_silence(&mut self, now: Duration, lender: &str) {
+    pub fn note_no_answer(&mut self, now: Duration, lender: &str) {
         self.unresponsive.note_no_answer(now, lender);
     }
 
     /// Returns whether a lender is currently skipped because it did not answer.
     #[must_use]
-    pub fn is_silent(&self, now: Duration, lender: &str) -> bool {
+    pub fn is_unresponsive(&self, now: Duration, lender: &str) -> bool {
         self.unresponsive.is_backed_off(now, lender)
     }
 
--- a/crates/damaskstile-loans/src/lender.rs
+++ b/crates/damaskstile-loans/src/lender.rs
@@ -10,7 +10,7 @@
 
 pub use loan_id::LoanId;
 
-use crate::loan::{LoanAnswer, LoanAsk, LoanOutcome};
+use crate::loan::{LoanAnswer, LoanOutcome, LoanRequest};
 use waiting::Waiting;
 
 /// Time without a report of its end after which a loan counts as used: longer than calls last, and
@@ -43,13 +43,13 @@
 impl Lender {
     /// Answers a request; `None` if the loan has already ended, so that no call waits for an
     /// answer.
-    pub fn ask(
+    pub fn handle_request(
         &mut self,
         holder: &mut Holder,
         now: Duration,
         id: LoanId,
         address: SocketAddr,
-        request: &LoanAsk,
+        request: &LoanRequest,
     ) -> Option<LoanAnswer> {
         if self.ended.contains_key(&id) {
             return None;
@@ -75,7 +75,7 @@
     }
 
     /// Tries the waiting requests again and answers those that no longer wait.
-    pub fn ask_again(
+    pub fn retry_waiting(
         &mut self,
         holder: &mut Holder,
         now: Duration,
@@ -98,7 +98,7 @@
         holder: &mut Holder,
         now: Duration,
         id: &LoanId,
-        request: &LoanAsk,
+        request: &LoanRequest,
     ) -> LoanOutcome {
         // The holder sets no bound on an account that it does not know to be prepaid. A lender that
         // has just started knows no accounts yet, and without this check would lend tokens that no
@@ -167,6 +167,6 @@
 }
 
 /// Returns the rank of the requested call; ranks beyond the largest count as the last.
-fn rank(request: &LoanAsk) -> u8 {
+fn rank(request: &LoanRequest) -> u8 {
     u8::try_from(request.rank).unwrap_or(u8::MAX)
 }
--- a/crates/damaskstile-loans/src/lender/waiting.rs
+++ b/crates/damaskstile-loans/src/lender/waiting.rs
@@ -5,7 +5,7 @@
 use damaskstile_core::prelude::*;
 
 use super::LoanId;
-use crate::loan::LoanAsk;
+use crate::loan::LoanRequest;
 
 /// Largest number of requests that may wait at once. With more, the store would bring too few
 /// tokens in any case; the oldest is dropped.
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub(super) struct WaitingRequest {
     pub address: SocketAddr,
-    pub request: LoanAsk,
+    pub request: LoanRequest,
     requested_at: Duration,
 }
 
@@ -26,7 +26,13 @@
 }
 
 impl Waiting {
-    pub(super) fn add(&mut self, now: Duration, id: LoanId, address: SocketAddr, request: LoanAsk) {
+    pub(super) fn add(
+        &mut self,
+        now: Duration,
+        id: LoanId,
+        address: SocketAddr,
+        request: LoanRequest,
+    ) {
         if self.requests.len() >= WAITING_MAX {
             self.requests.pop_front();
         }
--- a/crates/damaskstile-loans/src/lib.rs
+++ b/crates/damaskstile-loans/src/lib.rs
@@ -33,7 +33,7 @@
 
 pub use borrower::Borrower;
 pub use lender::Lender;
-pub use loan::{LoanAnswer, LoanAsk, LoanEnd, LoanEnds, LoanEndsTaken, LoanOutcome};
+pub use loan::{LoanAnswer, LoanEnd, LoanEnds, LoanEndsAck, LoanOutcome, LoanRequest};
 pub use placement::{Candidate, Placement};
 
 /// Number of a loan within its borrower's incarnation.
--- a/crates/damaskstile-loans/src/loan.rs
+++ b/crates/damaskstile-loans/src/loan.rs
@@ -7,5 +7,5 @@
 
 pub use answer::{LoanAnswer, LoanOutcome};
 pub use end::{LoanEnd, LoanEnds};
-pub use ends_ack::LoanEndsTaken;
-pub use request::LoanAsk;
+pub use ends_ack::LoanEndsAck;
+pub use request::LoanRequest;
--- a/crates/damaskstile-loans/src/loan/answer.rs
+++ b/crates/damaskstile-loans/src/loan/answer.rs
@@ -44,7 +44,7 @@
     /// use damaskstile_loans::lender::LoanId;
     /// use damaskstile_loans::{LoanAnswer, LoanOutcome};
     /// let answer = LoanAnswer::new(&LoanId::new("a", 1, 3), LoanOutcome::Lent);
-    /// assert_eq!(answer.said(), LoanOutcome::Lent);
+    /// assert_eq!(answer.decoded_outcome(), LoanOutcome::Lent);
     /// ```
     #[must_use]
     pub fn new(id: &LoanId, outcome: LoanOutcome) -> Self {
@@ -58,7 +58,7 @@
     /// Decodes the outcome. An outcome that only a later version knows counts as
     /// [`LoanOutcome::Elsewhere`].
     #[must_use]
-    pub fn said(&self) -> LoanOutcome {
+    pub fn decoded_outcome(&self) -> LoanOutcome {
         LoanOutcome::try_from(self.outcome).unwrap_or(LoanOutcome::Elsewhere)
     }
 }
--- a/crates/damaskstile-loans/src/loan/ends_ack.rs
+++ b/crates/damaskstile-loans/src/loan/ends_ack.rs
@@ -6,7 +6,7 @@
 
 /// Acknowledges that a lender has received the ends of loans.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct LoanEndsTaken {
+pub struct LoanEndsAck {
     /// Numbers of the loans.
     #[prost(uint64, repeated, tag = "1")]
     pub numbers: Vec<LoanNumber>,
--- a/crates/damaskstile-loans/src/loan/request.rs
+++ b/crates/damaskstile-loans/src/loan/request.rs
@@ -6,7 +6,7 @@
 
 /// Asks a lender for the tokens of one call.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct LoanAsk {
+pub struct LoanRequest {
     /// Number of the loan within the borrower's incarnation.
     #[prost(uint64, tag = "1")]
     pub number: LoanNumber,
--- a/crates/damaskstile-loans/tests/loans.rs
+++ b/crates/damaskstile-loans/tests/loans.rs
@@ -7,7 +7,7 @@
 use damaskstile_escrow::{EscrowOptions, Holder, Ledger, Stamp};
 use damaskstile_loans::lender::{LOAN_LIFE, LoanId};
 use damaskstile_loans::{
-    Borrower, Candidate, Lender, LoanAnswer, LoanAsk, LoanEndsTaken, LoanOutcome, Placement,
+    Borrower, Candidate, Lender, LoanAnswer, LoanEndsAck, LoanOutcome, LoanRequest, Placement,
 };
 
 const ACCOUNT: &str = "a";
@@ -51,13 +51,13 @@
     holder.observe(at(0), 0, Ledger::default());
     (0..9).for_each(|_| holder.note_demand(at(0), ACCOUNT, CALL_TOKENS, 0));
     let round = holder.next_round(at(0), &stamp()).unwrap();
-    holder.written(at(0), 1, round);
+    holder.note_written(at(0), 1, round);
     assert!(holder.free_tokens(at(0), ACCOUNT) >= 3 * CALL_TOKENS);
     holder
 }
 
-fn request(number: u64) -> LoanAsk {
-    LoanAsk {
+fn request(number: u64) -> LoanRequest {
+    LoanRequest {
         number,
         account: ACCOUNT.to_owned(),
         tokens: CALL_TOKENS,
@@ -71,8 +71,8 @@
 }
 
 fn lend(lender: &mut Lender, holder: &mut Holder, ms: u64, number: u64) -> Option<LoanOutcome> {
-    let answer = lender.ask(holder, at(ms), id(number), address(1), &request(number));
-    answer.map(|answer| answer.said())
+    let answer = lender.handle_request(holder, at(ms), id(number), address(1), &request(number));
+    answer.map(|answer| answer.decoded_outcome())
 }
 
 #[test]
@@ -160,12 +160,12 @@
     holder.set_prepaid(1, BTreeMap::from([(ACCOUNT.to_owned(), PREPAID_TOKENS)]));
     holder.observe(at(0), 0, Ledger::default());
     let first = lend(&mut lender, &mut holder, 10, 1);
-    let before = lender.ask_again(&mut holder, at(20));
+    let before = lender.retry_waiting(&mut holder, at(20));
 
     // Act
     let round = holder.next_round(at(30), &stamp()).unwrap();
-    holder.written(at(40), 1, round);
-    let answers = lender.ask_again(&mut holder, at(40));
+    holder.note_written(at(40), 1, round);
+    let answers = lender.retry_waiting(&mut holder, at(40));
 
     // Assert
     assert_eq!((first, before.len()), (Some(LoanOutcome::Waiting), 0));
@@ -183,21 +183,24 @@
 
     // Arrange
     let mut borrower = Borrower::new(7);
-    let number = borrower.ask(&candidate(1), ACCOUNT, CALL_TOKENS, 0).number;
+    let number = borrower
+        .request_loan(&candidate(1), ACCOUNT, CALL_TOKENS, 0)
+        .number;
     borrower.end(at(50), number, 0);
 
     // Act
     let lender = candidate(1).instance;
-    let is_news = borrower.hear(&lender, &LoanAnswer::new(&id(number), LoanOutcome::Lent));
+    let is_news =
+        borrower.receive_answer(&lender, &LoanAnswer::new(&id(number), LoanOutcome::Lent));
     let sent = [50, 60, 400].map(|ms| borrower.ends_due(at(ms)).len());
-    let taken = |incarnation| LoanEndsTaken {
+    let ack = |incarnation| LoanEndsAck {
         numbers: vec![number],
         incarnation,
     };
-    borrower.ends_taken(address(2), &taken(7));
-    borrower.ends_taken(address(1), &taken(6));
+    borrower.receive_ends_ack(address(2), &ack(7));
+    borrower.receive_ends_ack(address(1), &ack(6));
     let is_settled_by_another = borrower.is_settled();
-    borrower.ends_taken(address(1), &taken(7));
+    borrower.receive_ends_ack(address(1), &ack(7));
 
     // Assert
     assert!(!is_news);
@@ -214,12 +217,14 @@
 
     // Arrange
     let mut successor = Borrower::new(8);
-    let number = successor.ask(&candidate(1), ACCOUNT, CALL_TOKENS, 0).number;
+    let number = successor
+        .request_loan(&candidate(1), ACCOUNT, CALL_TOKENS, 0)
+        .number;
     assert_eq!(number, id(1).number);
 
     // Act
     let late = LoanAnswer::new(&id(1), LoanOutcome::Lent);
-    let is_news = successor.hear(&candidate(1).instance, &late);
+    let is_news = successor.receive_answer(&candidate(1).instance, &late);
 
     // Assert
     assert!(!is_news);
@@ -230,16 +235,16 @@
 fn an_unresponsive_lender_is_skipped_for_doubling_times() {
     // Arrange
     let mut borrower = Borrower::new(7);
-    let is_silent = |borrower: &Borrower, ms| borrower.is_silent(at(ms), "i001");
+    let is_unresponsive = |borrower: &Borrower, ms| borrower.is_unresponsive(at(ms), "i001");
 
     // Act and assert
-    borrower.note_silence(at(0), "i001");
-    assert!(is_silent(&borrower, 1_999) && !is_silent(&borrower, 2_000));
-    borrower.note_silence(at(2_000), "i001");
-    assert!(is_silent(&borrower, 5_999) && !is_silent(&borrower, 6_000));
-    borrower.note_silence(at(6_000), "i001");
-    borrower.hear("i001", &LoanAnswer::new(&id(9), LoanOutcome::Elsewhere));
-    assert!(!is_silent(&borrower, 6_001));
+    borrower.note_no_answer(at(0), "i001");
+    assert!(is_unresponsive(&borrower, 1_999) && !is_unresponsive(&borrower, 2_000));
+    borrower.note_no_answer(at(2_000), "i001");
+    assert!(is_unresponsive(&borrower, 5_999) && !is_unresponsive(&borrower, 6_000));
+    borrower.note_no_answer(at(6_000), "i001");
+    borrower.receive_answer("i001", &LoanAnswer::new(&id(9), LoanOutcome::Elsewhere));
+    assert!(!is_unresponsive(&borrower, 6_001));
 }
 
 #[test]
--- a/crates/damaskstile-loans/tests/together.rs
+++ b/crates/damaskstile-loans/tests/together.rs
@@ -8,8 +8,8 @@
 use damaskstile_escrow::{EscrowOptions, Holder, Ledger, Round, Stamp};
 use damaskstile_loans::lender::LoanId;
 use damaskstile_loans::{
-    Borrower, Candidate, Lender, LoanAnswer, LoanAsk, LoanEnds, LoanEndsTaken, LoanNumber,
-    LoanOutcome,
+    Borrower, Candidate, Lender, LoanAnswer, LoanEnds, LoanEndsAck, LoanNumber, LoanOutcome,
+    LoanRequest,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -59,10 +59,10 @@
 
 #[derive(Debug, Clone)]
 enum Body {
-    Request(LoanAsk),
+    Request(LoanRequest),
     Answer(LoanAnswer),
     Ends(LoanEnds),
-    EndsTaken(LoanEndsTaken),
+    EndsTaken(LoanEndsAck),
 }
 
 /// A message in flight between two instances.
@@ -208,7 +208,7 @@
             Step::RetryWaiting(index) => {
                 let Instance { lender, holder, .. } = &mut self.instances[index];
                 lender.expire(holder, now);
-                for (to, answer) in lender.ask_again(holder, now) {
+                for (to, answer) in lender.retry_waiting(holder, now) {
                     self.send(index, to, Body::Answer(answer));
                 }
             }
@@ -240,7 +240,7 @@
         }
         let lender = Candidate::new(&name(to), address(to), "north");
         let instance = &mut self.instances[from];
-        let request = instance.borrower.ask(&lender, ACCOUNT, tokens, 0);
+        let request = instance.borrower.request_loan(&lender, ACCOUNT, tokens, 0);
         let message = Message {
             from,
             incarnation: instance.incarnation,
@@ -302,13 +302,13 @@
         match body {
             Body::Request(request) => {
                 let id = LoanId::new(&name(from), incarnation, request.number);
-                let answer = lender.ask(holder, now, id, address(from), &request);
+                let answer = lender.handle_request(holder, now, id, address(from), &request);
                 if let Some(answer) = answer {
                     self.send(to, address(from), Body::Answer(answer));
                 }
             }
             Body::Answer(answer) => {
-                borrower.hear(&name(from), &answer);
+                borrower.receive_answer(&name(from), &answer);
             }
             Body::Ends(ends) => {
                 let numbers = ends.ends.iter().map(|end| end.number).collect();
@@ -316,13 +316,13 @@
                     let id = LoanId::new(&name(from), incarnation, end.number);
                     lender.end(holder, now, id, end.used_tokens);
                 }
-                let taken = Body::EndsTaken(LoanEndsTaken {
+                let ack = Body::EndsTaken(LoanEndsAck {
                     numbers,
                     incarnation,
                 });
-                self.send(to, address(from), taken);
+                self.send(to, address(from), ack);
             }
-            Body::EndsTaken(taken) => borrower.ends_taken(address(from), &taken),
+            Body::EndsTaken(ack) => borrower.receive_ends_ack(address(from), &ack),
         }
     }
 
@@ -347,16 +347,16 @@
             ..
         } = round;
         if expected_version != self.version {
-            holder.not_written(number);
+            holder.note_not_written(number);
             self.read(index);
             return;
         }
         self.version += 1;
         self.ledger = round.ledger.clone();
         if is_answer_lost {
-            holder.in_doubt();
+            holder.note_in_doubt();
         } else {
-            holder.written(self.now, self.version, round);
+            holder.note_written(self.now, self.version, round);
         }
     }
 
