--- a/crates/damaskstile-budgets/src/holder/transfer.rs
+++ b/crates/damaskstile-budgets/src/holder/transfer.rs
@@ -1,6 +1,6 @@
 //! Transfers of tokens between holders of the same budget.
 
-use damaskstile_core::peer::{Adoption, AskTokens, GiveTokens, TakeTokens};
+use damaskstile_core::peer::{Adoption, TokenRequest, TokenTransfer, TransferConfirmation};
 use damaskstile_core::prelude::*;
 
 use super::Holder;
@@ -82,7 +82,7 @@
         for peer in &peers {
             fx.push(HolderEffect::Send {
                 to: peer.clone(),
-                message: PeerMessage::Ask(AskTokens {
+                message: PeerMessage::Ask(TokenRequest {
                     budget: self.budget.clone(),
                     tokens,
                     ask: request_id,
@@ -114,7 +114,7 @@
         &mut self,
         now: Duration,
         from: &InstanceId,
-        ask: &AskTokens,
+        ask: &TokenRequest,
         fx: &mut Vec<HolderEffect>,
     ) {
         // Of two instances that both lack tokens, each would keep what the other needs, and neither
@@ -161,10 +161,10 @@
     fn send_no_tokens(&self, to: &InstanceId, request_id: u64, fx: &mut Vec<HolderEffect>) {
         fx.push(HolderEffect::Send {
             to: to.clone(),
-            message: PeerMessage::Give(GiveTokens {
+            message: PeerMessage::Give(TokenTransfer {
                 ask: request_id,
                 budget: self.budget.clone(),
-                ..GiveTokens::default()
+                ..TokenTransfer::default()
             }),
         });
     }
@@ -244,7 +244,7 @@
         &mut self,
         now: Duration,
         from: &InstanceId,
-        give: &GiveTokens,
+        give: &TokenTransfer,
         fx: &mut Vec<HolderEffect>,
     ) {
         let is_requested = self.is_own_request(give.ask);
@@ -295,10 +295,15 @@
         }
     }
 
-    fn confirm_transfer(&self, from: &InstanceId, give: &GiveTokens, fx: &mut Vec<HolderEffect>) {
+    fn confirm_transfer(
+        &self,
+        from: &InstanceId,
+        give: &TokenTransfer,
+        fx: &mut Vec<HolderEffect>,
+    ) {
         fx.push(HolderEffect::Send {
             to: from.clone(),
-            message: PeerMessage::Take(TakeTokens {
+            message: PeerMessage::Take(TransferConfirmation {
                 transfer: give.transfer.clone(),
                 budget: self.budget.clone(),
             }),
@@ -308,7 +313,7 @@
     fn accept_transfer(
         &mut self,
         from: &InstanceId,
-        give: &GiveTokens,
+        give: &TokenTransfer,
         fx: &mut Vec<HolderEffect>,
     ) {
         // The sender may have received the tokens from another peer and may not have entered that
@@ -411,7 +416,7 @@
 ) -> HolderEffect {
     HolderEffect::Send {
         to: outgoing.to.clone(),
-        message: PeerMessage::Give(GiveTokens {
+        message: PeerMessage::Give(TokenTransfer {
             ask: outgoing.request_id,
             budget: budget.clone(),
             transfer: transfer.clone(),
--- a/crates/damaskstile-core/src/peer.rs
+++ b/crates/damaskstile-core/src/peer.rs
@@ -1,10 +1,8 @@
 //! Messages between instances and their framing, encoded as protocol buffers.
 
 mod adoption;
-mod ask_tokens;
+mod discard_records;
 mod draw;
-mod forget_runs;
-mod give_tokens;
 mod gossip;
 mod member_state;
 mod pull_settings;
@@ -12,17 +10,17 @@
 mod run_end;
 mod run_record;
 mod settings_update;
-mod take_tokens;
 mod target_note;
+mod token_request;
+mod token_transfer;
+mod transfer_confirmation;
 
 use prost::Message;
 use serde::{Deserialize, Serialize};
 
 pub use adoption::Adoption;
-pub use ask_tokens::AskTokens;
+pub use discard_records::DiscardRecords;
 pub use draw::Draw;
-pub use forget_runs::ForgetRuns;
-pub use give_tokens::GiveTokens;
 pub use gossip::Gossip;
 pub use member_state::MemberState;
 pub use pull_settings::PullSettings;
@@ -30,8 +28,10 @@
 pub use run_end::RunEnd;
 pub use run_record::RunRecord;
 pub use settings_update::SettingsUpdate;
-pub use take_tokens::TakeTokens;
 pub use target_note::TargetNote;
+pub use token_request::TokenRequest;
+pub use token_transfer::TokenTransfer;
+pub use transfer_confirmation::TransferConfirmation;
 
 use crate::errors::{Result, invalid_error, malformed_error};
 use crate::ids::{Incarnation, InstanceId};
@@ -51,13 +51,13 @@
     RecordAck(RecordAck),
     /// Discards records whose bills are stored.
     #[prost(message, tag = "5")]
-    Forget(ForgetRuns),
+    Forget(DiscardRecords),
     /// Requests tokens from a holder.
     #[prost(message, tag = "6")]
-    Ask(AskTokens),
+    Ask(TokenRequest),
     /// Transfers tokens.
     #[prost(message, tag = "7")]
-    Give(GiveTokens),
+    Give(TokenTransfer),
     /// Spreads updates of members, targets and settings versions.
     #[prost(message, tag = "8")]
     Gossip(Gossip),
@@ -69,7 +69,7 @@
     SettingsUpdate(SettingsUpdate),
     /// Confirms that a transfer of tokens has arrived.
     #[prost(message, tag = "11")]
-    Take(TakeTokens),
+    Take(TransferConfirmation),
 }
 
 /// `PeerFrame` is a message with its sender, as sent over the wire.
@@ -100,8 +100,8 @@
 /// Decodes a frame. Returns the name and the incarnation of the sender, and the message.
 ///
 /// ```
-/// use damaskstile_core::peer::{AskTokens, PeerMessage, decode_frame, encode_frame};
-/// let ask = PeerMessage::Ask(AskTokens { budget: "b".into(), tokens: 5, ask: 1 });
+/// use damaskstile_core::peer::{TokenRequest, PeerMessage, decode_frame, encode_frame};
+/// let ask = PeerMessage::Ask(TokenRequest { budget: "b".into(), tokens: 5, ask: 1 });
 /// let bytes = encode_frame("one", 7, ask.clone());
 /// assert_eq!(decode_frame(&bytes).unwrap(), ("one".to_owned(), 7, ask));
 /// ```
--- a/crates/damaskstile-core/src/peer/forget_runs.rs
+++ b/crates/damaskstile-core/src/peer/discard_records.rs
@@ -2,10 +2,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// `ForgetRuns` tells a witness to discard the records of runs.
+/// `DiscardRecords` tells a witness to discard the records of runs.
 #[derive(prost::Message, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct ForgetRuns {
+pub struct DiscardRecords {
     /// Runs whose bills are stored.
     #[prost(string, repeated, tag = "1")]
     pub runs: Vec<String>,
--- a/crates/damaskstile-core/src/peer/ask_tokens.rs
+++ b/crates/damaskstile-core/src/peer/token_request.rs
@@ -2,10 +2,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// `AskTokens` requests tokens from a holder of a budget.
+/// `TokenRequest` requests tokens from a holder of a budget.
 #[derive(prost::Message, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct AskTokens {
+pub struct TokenRequest {
     /// Budget that the tokens belong to.
     #[prost(string, tag = "1")]
     pub budget: String,
--- a/crates/damaskstile-core/src/peer/give_tokens.rs
+++ b/crates/damaskstile-core/src/peer/token_transfer.rs
@@ -4,10 +4,10 @@
 
 use super::adoption::Adoption;
 
-/// `GiveTokens` transfers tokens to a peer. The sender has already deducted them from its own.
+/// `TokenTransfer` transfers tokens to a peer. The sender has already deducted them from its own.
 #[derive(prost::Message, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct GiveTokens {
+pub struct TokenTransfer {
     /// Number of the request that this answers.
     #[prost(uint64, tag = "1")]
     pub ask: u64,
--- a/crates/damaskstile-core/src/peer/take_tokens.rs
+++ b/crates/damaskstile-core/src/peer/transfer_confirmation.rs
@@ -2,10 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// `TakeTokens` confirms to the sender that a transfer has arrived, so that it is not sent again.
+/// `TransferConfirmation` confirms to the sender that a transfer has arrived, so that it is not
+/// sent again.
 #[derive(prost::Message, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct TakeTokens {
+pub struct TransferConfirmation {
     /// Id of the transfer.
     #[prost(string, tag = "1")]
     pub transfer: String,
--- a/crates/damaskstile-core/tests/frames.rs
+++ b/crates/damaskstile-core/tests/frames.rs
@@ -3,8 +3,8 @@
 use assert_matches::assert_matches;
 use damaskstile_core::errors::Error;
 use damaskstile_core::peer::{
-    Adoption, AskTokens, Draw, GiveTokens, Gossip, MAX_FRAME_BYTES, MemberState, PeerMessage,
-    RunRecord, TargetNote, decode_frame, encode_frame,
+    Adoption, Draw, Gossip, MAX_FRAME_BYTES, MemberState, PeerMessage, RunRecord, TargetNote,
+    TokenRequest, TokenTransfer, decode_frame, encode_frame,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -21,14 +21,14 @@
 fn message() -> impl Strategy<Value = PeerMessage> {
     prop_oneof![
         (".{0,20}", any::<u64>(), any::<u64>()).prop_map(|(budget, tokens, ask)| {
-            PeerMessage::Ask(AskTokens {
+            PeerMessage::Ask(TokenRequest {
                 budget,
                 tokens,
                 ask,
             })
         }),
         (".{0,20}", any::<u64>(), any::<u64>()).prop_map(|(transfer, tokens, incarnation)| {
-            PeerMessage::Give(GiveTokens {
+            PeerMessage::Give(TokenTransfer {
                 transfer: transfer.clone(),
                 tokens,
                 origins: vec![Adoption {
@@ -36,7 +36,7 @@
                     incarnation,
                     ..Adoption::default()
                 }],
-                ..GiveTokens::default()
+                ..TokenTransfer::default()
             })
         }),
         (".{0,20}", any::<u64>()).prop_map(|(run, tokens)| {
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_frame_without_sender_or_message_is_refused() {
-    let ask = PeerMessage::Ask(AskTokens::default());
+    let ask = PeerMessage::Ask(TokenRequest::default());
     assert_matches!(
         decode_frame(&encode_frame("", 1, ask)),
         Err(Error::Invalid(_))
--- a/crates/damaskstile-fleet/src/fleet_clock.rs
+++ b/crates/damaskstile-fleet/src/fleet_clock.rs
@@ -29,7 +29,7 @@
 
 impl FleetClock {
     /// Records a reading of a peer's clock, in milliseconds since the Unix epoch.
-    pub fn hear(&mut self, now: Duration, peer: &str, unix_ms: u64) {
+    pub fn record_reading(&mut self, now: Duration, peer: &str, unix_ms: u64) {
         let reading = Reading { unix_ms, at: now };
         self.readings.insert(peer.to_owned(), reading);
     }
@@ -42,14 +42,14 @@
     /// use std::time::Duration;
     /// use damaskstile_fleet::FleetClock;
     /// let mut clock = FleetClock::default();
-    /// clock.hear(Duration::ZERO, "b", 1_000);
-    /// clock.hear(Duration::ZERO, "c", 4_000);
+    /// clock.record_reading(Duration::ZERO, "b", 1_000);
+    /// clock.record_reading(Duration::ZERO, "c", 4_000);
     /// let now = Duration::from_millis(500);
-    /// assert_eq!(clock.middle(now, 1_510, 3), Some((1_510, 1_510)));
-    /// assert_eq!(clock.middle(now, 1_510, 9), None);
+    /// assert_eq!(clock.median(now, 1_510, 3), Some((1_510, 1_510)));
+    /// assert_eq!(clock.median(now, 1_510, 9), None);
     /// ```
     #[must_use]
-    pub fn middle(&self, now: Duration, own_unix_ms: u64, instances: usize) -> Option<(u64, u64)> {
+    pub fn median(&self, now: Duration, own_unix_ms: u64, instances: usize) -> Option<(u64, u64)> {
         let mut clocks_unix_ms: Vec<u64> = self
             .readings
             .values()
--- a/crates/damaskstile-fleet/src/lib.rs
+++ b/crates/damaskstile-fleet/src/lib.rs
@@ -5,11 +5,11 @@
 pub mod membership;
 pub mod membership_options;
 pub mod settings;
-pub mod spread;
+pub mod settings_in_force;
 
 pub use errors::{Error, Result};
 pub use fleet_clock::FleetClock;
 pub use membership::Membership;
 pub use membership_options::MembershipOptions;
 pub use settings::Settings;
-pub use spread::SettingsInForce;
+pub use settings_in_force::SettingsInForce;
--- a/crates/damaskstile-fleet/src/membership.rs
+++ b/crates/damaskstile-fleet/src/membership.rs
@@ -60,7 +60,7 @@
 
     /// Records that a message arrived from the peer itself. Ignored for peers and incarnations that
     /// are not known.
-    pub fn hear_directly(&mut self, now: Duration, from: &str, incarnation: Incarnation) {
+    pub fn note_direct_message(&mut self, now: Duration, from: &str, incarnation: Incarnation) {
         if let Some(member) = self.members.get_mut(from)
             && member.state.incarnation == incarnation
         {
@@ -71,7 +71,7 @@
     }
 
     /// Merges a gossip message. Returns the members that are new.
-    pub fn hear(&mut self, now: Duration, gossip: &Gossip) -> MembershipChanges {
+    pub fn merge_gossip(&mut self, now: Duration, gossip: &Gossip) -> MembershipChanges {
         let mut changes = MembershipChanges::default();
         for state in &gossip.members {
             if state.instance != self.own.instance && !state.instance.is_empty() {
@@ -118,7 +118,7 @@
 
     /// Excludes a pause of the own process from the silence of all members. Messages could not be
     /// received in that time, so it says nothing about them.
-    pub fn forgive(&mut self, pause: Duration) {
+    pub fn exclude_pause(&mut self, pause: Duration) {
         for member in self.members.values_mut() {
             member.updated_at += pause;
             member.direct_message_at += pause;
@@ -126,7 +126,7 @@
     }
 
     /// Returns the members that have become silent since the last call.
-    pub fn next_silent(&mut self, now: Duration) -> Vec<InstanceId> {
+    pub fn take_newly_silent(&mut self, now: Duration) -> Vec<InstanceId> {
         // A message carries the states of a fixed number of members, so updates of each member
         // arrive less often the more members there are. The limit grows accordingly.
         let rounds = self.members.len() / self.options.members_per_message.max(1);
--- a/crates/damaskstile-fleet/src/spread.rs
+++ b/crates/damaskstile-fleet/src/settings_in_force.rs
@@ -37,7 +37,7 @@
     /// Applies the settings in `text`, as TOML, if they are valid and newer than those in force.
     ///
     /// ```
-    /// use damaskstile_fleet::spread::{Applied, SettingsInForce};
+    /// use damaskstile_fleet::settings_in_force::{Applied, SettingsInForce};
     /// let mut settings = SettingsInForce::new();
     /// assert_eq!(settings.apply(2, "[fleet]\nopen_percent = 10"), Applied::InForce);
     /// assert_eq!(settings.apply(1, ""), Applied::Old);
--- a/crates/damaskstile-fleet/tests/fleet_clock.rs
+++ b/crates/damaskstile-fleet/tests/fleet_clock.rs
@@ -26,14 +26,14 @@
         (true, true) => NOW_MS + index - STEP_MS,
     };
     for index in 1..readings {
-        clock.hear(
+        clock.record_reading(
             Duration::from_secs(5),
             &format!("i{index}"),
             clock_unix_ms(index),
         );
     }
     let instances = usize::try_from(instances).unwrap();
-    clock.middle(Duration::from_secs(5), clock_unix_ms(0), instances)
+    clock.median(Duration::from_secs(5), clock_unix_ms(0), instances)
 }
 
 #[test]
--- a/crates/damaskstile-gateway/src/broken_run.rs
+++ b/crates/damaskstile-gateway/src/broken_run.rs
@@ -57,7 +57,7 @@
         // reset links would make harmless calls suspect.
         if state == TargetLiveness::Ended {
             let account = terms.account.as_deref().unwrap_or_default();
-            gateway.note_end(content, account, self.target.clone());
+            gateway.note_crash(content, account, self.target.clone());
             let now = gateway.now();
             gateway.state().book.note_ended(now, &self.target);
         }
--- a/crates/damaskstile-gateway/src/exchange.rs
+++ b/crates/damaskstile-gateway/src/exchange.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use damaskstile_core::prelude::*;
-use damaskstile_requests::{Attempts, Next, SendEnd};
+use damaskstile_requests::{Attempts, NextStep, SendFailureKind};
 use damaskstile_targets::Work;
 use http::{HeaderValue, Request, Response, header};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -126,7 +126,7 @@
 }
 
 /// Decides what to do after a send that produced no answer for the caller.
-pub(crate) fn plan_next(gateway: &Gateway, terms: &Terms, attempts: &Attempts) -> Next {
+pub(crate) fn plan_next(gateway: &Gateway, terms: &Terms, attempts: &Attempts) -> NextStep {
     let is_repeatable = terms.route.kind.is_repeatable();
     attempts.next(is_repeatable, terms.route.attempts_max, || {
         let now = gateway.now();
@@ -244,24 +244,27 @@
                 },
                 Err(failure) => failure,
             };
-            if matches!(failure.end, SendEnd::NotSent | SendEnd::NotRun) {
+            if matches!(
+                failure.end,
+                SendFailureKind::NotSent | SendFailureKind::NotRun
+            ) {
                 reservation.not_run();
             }
             self.attempts.note(failure.end);
             self.is_sending = false;
             self.record.add("cause", failure.cause);
-            if failure.end == SendEnd::Broken {
+            if failure.end == SendFailureKind::Broken {
                 sent.follow_up(&self.gateway, &self.call, &self.terms).await;
             }
             if self.time_left().is_zero() {
                 return (self.deadline_exceeded(), Some(reservation));
             }
             let response = match plan_next(&self.gateway, &self.terms, &self.attempts) {
-                Next::Again => {
+                NextStep::Retry => {
                     self.note_retry(failure.cause);
                     continue;
                 }
-                Next::GiveUp if self.attempts.has_run() => {
+                NextStep::GiveUp if self.attempts.may_have_run() => {
                     self.refuse(&Refusal::unknown(RefusalCode::TargetLost))
                 }
                 _ => self.give_up(RefusalCode::Overloaded, RETRY_SOON),
--- a/crates/damaskstile-gateway/src/exchange/answering.rs
+++ b/crates/damaskstile-gateway/src/exchange/answering.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use damaskstile_core::prelude::*;
-use damaskstile_requests::SendEnd;
+use damaskstile_requests::SendFailureKind;
 use http::{Response, StatusCode, header};
 use http_body_util::{BodyExt, Limited};
 
@@ -47,7 +47,10 @@
         let may_repeat = self.terms.route.kind.is_repeatable() && !is_last;
         if run.parts.status.is_server_error() && may_repeat {
             run.running.note(false);
-            return Err((SendFailure::new(SendEnd::Failed, "failed"), reservation));
+            return Err((
+                SendFailure::new(SendFailureKind::Failed, "failed"),
+                reservation,
+            ));
         }
         if guarantees_not_run(run.parts.status) && !self.terms.route.kind.is_repeatable() {
             run.running.note(false);
@@ -80,11 +83,16 @@
             Ok(Err(_)) => {
                 running.note(false);
                 return Err((
-                    SendFailure::new(SendEnd::Broken, "body_broken"),
+                    SendFailure::new(SendFailureKind::Broken, "body_broken"),
+                    reservation,
+                ));
+            }
+            Err(_) => {
+                return Err((
+                    SendFailure::new(SendFailureKind::Failed, "body_late"),
                     reservation,
                 ));
             }
-            Err(_) => return Err((SendFailure::new(SendEnd::Failed, "body_late"), reservation)),
         };
         self.gateway.note_forwarded(body.len());
         lease.give_back(head.reuse_for).await;
--- a/crates/damaskstile-gateway/src/exchange/refusing.rs
+++ b/crates/damaskstile-gateway/src/exchange/refusing.rs
@@ -18,7 +18,7 @@
         let refusal = self.gateway.quarantine_refusal(&self.call, account)?;
         let content = Fingerprint::of(&self.call.content(account));
         self.record.add("content", content);
-        Some(if self.attempts.has_run() {
+        Some(if self.attempts.may_have_run() {
             Refusal::unknown(refusal.code)
         } else {
             refusal
@@ -52,7 +52,7 @@
 
     pub(super) fn deadline_exceeded(&mut self) -> Response<ReplyBody> {
         let code = RefusalCode::DeadlineExceeded;
-        let refusal = if self.is_sending || self.attempts.has_run() {
+        let refusal = if self.is_sending || self.attempts.may_have_run() {
             self.note_time();
             Refusal::unknown(code)
         } else {
@@ -98,7 +98,7 @@
 
     pub(super) fn give_up(&mut self, code: RefusalCode, wait: Duration) -> Response<ReplyBody> {
         let wait = self.targets_backoff().unwrap_or(wait);
-        let refusal = if self.attempts.has_run() {
+        let refusal = if self.attempts.may_have_run() {
             Refusal::unknown(RefusalCode::TargetLost)
         } else {
             Refusal::not_run(code, Some(wait))
--- a/crates/damaskstile-gateway/src/exchange/stopping.rs
+++ b/crates/damaskstile-gateway/src/exchange/stopping.rs
@@ -41,7 +41,7 @@
     /// Answers a call that the shutdown cannot wait for. A caller without an answer would not know
     /// whether it may retry.
     pub(super) fn cut(&mut self) -> Response<ReplyBody> {
-        if self.is_sending || self.attempts.has_run() {
+        if self.is_sending || self.attempts.may_have_run() {
             let response = self.refuse(&Refusal::unknown(RefusalCode::Stopping));
             self.record.end(EventCode::CallCut, "cut_by_stop");
             response
--- a/crates/damaskstile-gateway/src/follow.rs
+++ b/crates/damaskstile-gateway/src/follow.rs
@@ -381,7 +381,7 @@
             let version = catalogue.version();
             let prepaid = catalogue.prepaid_tokens();
             let routes = catalogue.route_names();
-            let first_rank = catalogue.first_stream_rank();
+            let first_rank = catalogue.most_urgent_stream_priority();
             let cold_limits = gateway.options.cold.limits(&catalogue);
             let now = gateway.now();
             let mut state = gateway.state();
--- a/crates/damaskstile-gateway/src/peers.rs
+++ b/crates/damaskstile-gateway/src/peers.rs
@@ -224,7 +224,7 @@
     fn make_digest(&self) -> Digest {
         let now = self.gateway.now();
         let state = self.gateway.state();
-        let suspects = state.suspects.told(now);
+        let suspects = state.suspects.reports(now);
         let free = state
             .holder
             .prepaid_accounts()
--- a/crates/damaskstile-gateway/src/peers/received_digest.rs
+++ b/crates/damaskstile-gateway/src/peers/received_digest.rs
@@ -38,7 +38,7 @@
         let gateway = &self.gateway;
         let now = gateway.now();
         let mut state = gateway.state();
-        state.fleet_clock.hear(now, from, digest.unix_ms);
+        state.fleet_clock.record_reading(now, from, digest.unix_ms);
         let lacks_catalogue = digest.catalogue_version > state.catalogue.version();
         let is_store_old = state.contact.age(now).is_none_or(|age| age > STORE_AGE_MAX);
         let is_store_lost = state.contact.is_lost() && is_store_old;
--- a/crates/damaskstile-gateway/src/peers/reports.rs
+++ b/crates/damaskstile-gateway/src/peers/reports.rs
@@ -30,7 +30,7 @@
         }
         state
             .fleet_clock
-            .hear(now, &report.instance, report.stamp.unix_ms);
+            .record_reading(now, &report.instance, report.stamp.unix_ms);
         let receipt = state.holder.accept_report(now, report);
         drop(state);
         if let (Some(receipt), Ok(sender)) = (receipt, sender) {
--- a/crates/damaskstile-gateway/src/peers/suspect_report.rs
+++ b/crates/damaskstile-gateway/src/peers/suspect_report.rs
@@ -2,7 +2,7 @@
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::time::unix_ms;
-use damaskstile_requests::{Fingerprint, SuspectWord};
+use damaskstile_requests::Fingerprint;
 
 /// Limit on ends accepted from one message: more than are ever reported for one content.
 const ENDS_MAX: usize = 64;
@@ -39,8 +39,8 @@
 }
 
 impl SuspectReport {
-    pub(super) fn of(suspect: SuspectWord) -> Self {
-        let ends = suspect.ends.into_iter();
+    pub(super) fn of(suspect: damaskstile_requests::SuspectReport) -> Self {
+        let ends = suspect.crashes.into_iter();
         Self {
             fingerprint: suspect.fingerprint.to_bytes(),
             account: suspect.account,
@@ -56,12 +56,12 @@
     }
 
     /// Returns the decoded report; `None` if the fingerprint is invalid.
-    pub(super) fn to_suspect(&self) -> Option<SuspectWord> {
+    pub(super) fn to_suspect(&self) -> Option<damaskstile_requests::SuspectReport> {
         let ends = self.ends.iter().take(ENDS_MAX);
-        Some(SuspectWord {
+        Some(damaskstile_requests::SuspectReport {
             fingerprint: Fingerprint::from_bytes(&self.fingerprint)?,
             account: self.account.clone(),
-            ends: ends
+            crashes: ends
                 .map(|end| {
                     let identity = TargetIdentity::new(&end.target, end.incarnation);
                     (identity, Duration::from_millis(end.age_ms))
--- a/crates/damaskstile-gateway/src/peers/suspects.rs
+++ b/crates/damaskstile-gateway/src/peers/suspects.rs
@@ -10,7 +10,7 @@
         let now = self.gateway.now();
         let (suspect, collectors) = {
             let state = self.gateway.state();
-            let suspect = state.suspects.word(now, content);
+            let suspect = state.suspects.report(now, content);
             (suspect, state.collectors(content))
         };
         let Some(report) = suspect.map(SuspectReport::of) else {
--- a/crates/damaskstile-gateway/src/relay.rs
+++ b/crates/damaskstile-gateway/src/relay.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use damaskstile_core::prelude::*;
-use damaskstile_requests::{Attempts, SendEnd};
+use damaskstile_requests::{Attempts, SendFailureKind};
 use http_body::Frame;
 use http_body_util::{BodyExt, StreamBody};
 
@@ -137,7 +137,7 @@
                 StreamStep::End => return self.end().await,
                 StreamStep::Closed(cause) => {
                     self.follow_up_closed().await;
-                    let next = self.choose_successor(SendEnd::Unknown);
+                    let next = self.choose_successor(SendFailureKind::Unknown);
                     if !self.resume(cause, next).await {
                         return Some(Err(self.break_off(RefusalCode::TargetLost, cause)));
                     }
@@ -145,7 +145,7 @@
                 StreamStep::Stalled => {
                     // The current run is kept until a successor has been chosen: dropping it
                     // earlier would lose a run that may still continue.
-                    let Some(next) = self.choose_successor(SendEnd::Unknown) else {
+                    let Some(next) = self.choose_successor(SendFailureKind::Unknown) else {
                         self.waits_out_pauses = true;
                         continue;
                     };
@@ -155,7 +155,7 @@
                     }
                 }
                 StreamStep::Broken(cause) => {
-                    let next = self.choose_successor(SendEnd::Unknown);
+                    let next = self.choose_successor(SendFailureKind::Unknown);
                     if !self.resume(cause, next).await {
                         return Some(Err(self.break_off(RefusalCode::TargetLost, cause)));
                     }
--- a/crates/damaskstile-gateway/src/relay/resume.rs
+++ b/crates/damaskstile-gateway/src/relay/resume.rs
@@ -1,7 +1,7 @@
 //! Resumes a stream at another target after its run failed or stalled.
 
 use damaskstile_core::prelude::*;
-use damaskstile_requests::{Next, SendEnd};
+use damaskstile_requests::{NextStep, SendFailureKind};
 use damaskstile_targets::Choice;
 
 use super::Relay;
@@ -44,13 +44,13 @@
 
     /// Chooses the target at which the stream resumes if the current run ends with `end`; `None` if
     /// it cannot be resumed. The current run is left untouched.
-    pub(super) fn choose_successor(&mut self, end: SendEnd) -> Option<Choice> {
+    pub(super) fn choose_successor(&mut self, end: SendFailureKind) -> Option<Choice> {
         if !self.may_resume() || self.is_quarantined() || self.time_left().is_zero() {
             return None;
         }
         let mut attempts = self.attempts.clone();
         attempts.note(end);
-        if plan_next(&self.gateway, &self.terms, &attempts) != Next::Again {
+        if plan_next(&self.gateway, &self.terms, &attempts) != NextStep::Retry {
             return None;
         }
         let choice = send::choose(
@@ -88,15 +88,17 @@
                 Ok(run) => {
                     run.running.note(false);
                     cause = "failed";
-                    SendEnd::Failed
+                    SendFailureKind::Failed
                 }
                 Err(failure) => {
                     match failure.end {
-                        SendEnd::NotSent | SendEnd::NotRun => self.reservation.not_run(),
-                        SendEnd::Broken => {
+                        SendFailureKind::NotSent | SendFailureKind::NotRun => {
+                            self.reservation.not_run();
+                        }
+                        SendFailureKind::Broken => {
                             sent.follow_up(&self.gateway, &self.call, &self.terms).await;
                         }
-                        SendEnd::Unknown | SendEnd::Failed => {}
+                        SendFailureKind::Unknown | SendFailureKind::Failed => {}
                     }
                     cause = failure.cause;
                     failure.end
--- a/crates/damaskstile-gateway/src/run.rs
+++ b/crates/damaskstile-gateway/src/run.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use damaskstile_core::prelude::*;
-use damaskstile_requests::SendEnd;
+use damaskstile_requests::SendFailureKind;
 use damaskstile_targets::Choice;
 use http::{Request, StatusCode, response};
 use http_body_util::Full;
@@ -43,13 +43,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SendFailure {
     /// What is known about the call's execution.
-    pub end: SendEnd,
+    pub end: SendFailureKind,
     /// Cause, for the logs.
     pub cause: &'static str,
 }
 
 impl SendFailure {
-    pub(crate) const fn new(end: SendEnd, cause: &'static str) -> Self {
+    pub(crate) const fn new(end: SendFailureKind, cause: &'static str) -> Self {
         Self { end, cause }
     }
 }
@@ -79,11 +79,11 @@
         Ok(Ok(lease)) => lease,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
             running.ended();
-            return Err(SendFailure::new(SendEnd::NotSent, "no_connection"));
+            return Err(SendFailure::new(SendFailureKind::NotSent, "no_connection"));
         }
         Ok(Err(_)) | Err(_) => {
             running.silent();
-            return Err(SendFailure::new(SendEnd::NotSent, "no_connection"));
+            return Err(SendFailure::new(SendFailureKind::NotSent, "no_connection"));
         }
     };
     // Connecting takes up to a few hundred milliseconds over a saturated link, and updates received
@@ -91,7 +91,7 @@
     // other target may still take it.
     let now = gateway.now();
     if !gateway.state().book.claim_send(now, &choice.identity()) {
-        return Err(SendFailure::new(SendEnd::NotSent, "leaving"));
+        return Err(SendFailure::new(SendFailureKind::NotSent, "leaving"));
     }
     if caller.has_disconnected() {
         // The connection's task drops this future as soon as it notices that the caller has
@@ -119,7 +119,7 @@
     let answer = match answer {
         Ok(Ok(answer)) => answer,
         Ok(Err(SendError::NotSent)) => {
-            return Err(SendFailure::new(SendEnd::NotSent, "closed_before"));
+            return Err(SendFailure::new(SendFailureKind::NotSent, "closed_before"));
         }
         Ok(Err(SendError::Broken(_))) => {
             // Targets close pooled connections when their idle time is up, so a break on one says
@@ -127,11 +127,11 @@
             if !lease.is_reused {
                 running.note(false);
             }
-            return Err(SendFailure::new(SendEnd::Broken, "broken"));
+            return Err(SendFailure::new(SendFailureKind::Broken, "broken"));
         }
         Err(_) => {
             running.silent();
-            return Err(SendFailure::new(SendEnd::Unknown, "silent"));
+            return Err(SendFailure::new(SendFailureKind::Unknown, "silent"));
         }
     };
     let (parts, body) = answer.into_parts();
@@ -170,23 +170,29 @@
     // would give this caller another caller's answer. The connection is closed with the run.
     if !is_own {
         run.running.note(false);
-        return Err(SendFailure::new(SendEnd::Unknown, "foreign_answer"));
+        return Err(SendFailure::new(SendFailureKind::Unknown, "foreign_answer"));
     }
     if run.head.handling == Handling::Misdirected {
         let now = gateway.now();
         gateway.state().book.leave(now, &choice.identity());
-        return Err(SendFailure::new(SendEnd::NotRun, "misdirected"));
+        return Err(SendFailure::new(SendFailureKind::NotRun, "misdirected"));
     }
     if run.head.handling == Handling::NotRun {
         run.running.note(false);
-        return Err(SendFailure::new(SendEnd::NotRun, "rejected"));
+        return Err(SendFailure::new(SendFailureKind::NotRun, "rejected"));
     }
     if run.parts.status.is_success() && !run.head.is_signed {
         run.running.note(false);
-        return Err(SendFailure::new(SendEnd::Unknown, "unsigned_answer"));
+        return Err(SendFailure::new(
+            SendFailureKind::Unknown,
+            "unsigned_answer",
+        ));
     }
     if run.parts.status == StatusCode::SWITCHING_PROTOCOLS || run.parts.status.is_informational() {
-        return Err(SendFailure::new(SendEnd::Unknown, "unexpected_status"));
+        return Err(SendFailure::new(
+            SendFailureKind::Unknown,
+            "unexpected_status",
+        ));
     }
     Ok(run)
 }
--- a/crates/damaskstile-gateway/src/state.rs
+++ b/crates/damaskstile-gateway/src/state.rs
@@ -240,13 +240,13 @@
     #[must_use]
     pub fn stamp(&self, now: Duration, boot: BootTime, own_unix_ms: u64) -> Stamp {
         let instances = usize::try_from(self.holder.instances()).unwrap_or(usize::MAX);
-        let middle = self.fleet_clock.middle(now, own_unix_ms, instances);
+        let median = self.fleet_clock.median(now, own_unix_ms, instances);
         Stamp {
             boot_name: boot.name,
             boot_ms: boot.ms,
             unix_ms: own_unix_ms,
-            fleet_early_ms: middle.map(|(early, _)| early),
-            fleet_late_ms: middle.map(|(_, late)| late),
+            fleet_early_ms: median.map(|(early, _)| early),
+            fleet_late_ms: median.map(|(_, late)| late),
         }
     }
 
--- a/crates/damaskstile-gateway/tests/sends.rs
+++ b/crates/damaskstile-gateway/tests/sends.rs
@@ -14,7 +14,7 @@
 use damaskstile_gateway::run::{self, SendFailure};
 use damaskstile_gateway::state::Terms;
 use damaskstile_gateway::wait_limit::WaitLimit;
-use damaskstile_requests::{Attempts, Next, SendEnd};
+use damaskstile_requests::{Attempts, NextStep, SendFailureKind};
 use damaskstile_routes::{Catalogue, Route, RouteKind};
 use damaskstile_targets::Work;
 use futures_util::poll;
@@ -133,10 +133,13 @@
 
     // Assert: nothing was sent, so even a non-idempotent call may go to another target.
     assert_eq!(String::from_utf8_lossy(&read), "");
-    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::NotSent));
+    assert_eq!(
+        failure.map(|failure| failure.end),
+        Some(SendFailureKind::NotSent)
+    );
     let mut attempts = Attempts::default();
-    attempts.note(SendEnd::NotSent);
-    assert_eq!(attempts.next(false, 1, || false), Next::Again);
+    attempts.note(SendFailureKind::NotSent);
+    assert_eq!(attempts.next(false, 1, || false), NextStep::Retry);
 }
 
 #[tokio::test]
@@ -150,7 +153,10 @@
 
     // Assert
     assert_eq!(String::from_utf8_lossy(&read), "");
-    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::NotSent));
+    assert_eq!(
+        failure.map(|failure| failure.end),
+        Some(SendFailureKind::NotSent)
+    );
 }
 
 #[tokio::test]
@@ -160,7 +166,10 @@
 
     // Assert
     assert!(read.starts_with(b"POST /a/"));
-    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::Unknown));
+    assert_eq!(
+        failure.map(|failure| failure.end),
+        Some(SendFailureKind::Unknown)
+    );
 }
 
 /// Opens a listener whose accept queue is full, with the connections that fill it.
@@ -211,5 +220,8 @@
 
     // Assert
     assert!(began_at.elapsed() <= left + TIMER_STEP);
-    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::NotSent));
+    assert_eq!(
+        failure.map(|failure| failure.end),
+        Some(SendFailureKind::NotSent)
+    );
 }
--- a/crates/damaskstile-requests/src/answer.rs
+++ b/crates/damaskstile-requests/src/answer.rs
@@ -37,7 +37,7 @@
     /// assert_eq!(answer.add(0, 1, "a"), Assembled::Next);
     /// assert_eq!(answer.add(0, 1, "a"), Assembled::Repeated);
     /// assert_eq!(answer.add(2, 1, "c"), Assembled::Gap);
-    /// assert!(!answer.is_whole(2));
+    /// assert!(!answer.is_complete(2));
     /// ```
     pub fn add(&mut self, index: u64, tokens: u64, data: &str) -> Assembled {
         let expected = self.len();
@@ -55,7 +55,7 @@
 
     /// Returns whether all chunks were received, given their number as the target reports it.
     #[must_use]
-    pub fn is_whole(&self, chunks: u64) -> bool {
+    pub fn is_complete(&self, chunks: u64) -> bool {
         self.len() == chunks
     }
 
--- a/crates/damaskstile-requests/src/attempts.rs
+++ b/crates/damaskstile-requests/src/attempts.rs
@@ -1,12 +1,12 @@
 //! Decision on retries after a send to a target that yielded no answer for the caller.
 
-use crate::send_end::SendEnd;
+use crate::send_failure_kind::SendFailureKind;
 
-/// `Next` is the step after a failed send.
+/// `NextStep` is the step after a failed send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Send the call to another target.
-    Again,
+    Retry,
     /// Tell the caller that the call has not run.
     Refuse,
     /// Tell the caller that the call may have run.
@@ -21,18 +21,18 @@
 pub struct Attempts {
     not_sent: usize,
     sent: usize,
-    has_run: bool,
+    may_have_run: bool,
 }
 
 impl Attempts {
     /// Records the outcome of a send.
-    pub fn note(&mut self, end: SendEnd) {
+    pub fn note(&mut self, end: SendFailureKind) {
         match end {
-            SendEnd::NotSent => self.not_sent += 1,
-            SendEnd::NotRun => self.sent += 1,
-            SendEnd::Unknown | SendEnd::Broken | SendEnd::Failed => {
+            SendFailureKind::NotSent => self.not_sent += 1,
+            SendFailureKind::NotRun => self.sent += 1,
+            SendFailureKind::Unknown | SendFailureKind::Broken | SendFailureKind::Failed => {
                 self.sent += 1;
-                self.has_run = true;
+                self.may_have_run = true;
             }
         }
     }
@@ -45,18 +45,18 @@
 
     /// Returns whether the call may have started to run on a target.
     #[must_use]
-    pub fn has_run(&self) -> bool {
-        self.has_run
+    pub fn may_have_run(&self) -> bool {
+        self.may_have_run
     }
 
     /// Returns whether the route allows another send if the current one fails. If it does not,
     /// giving up on an unresponsive target ends the call.
     ///
     /// ```
-    /// use damaskstile_requests::{Attempts, SendEnd};
+    /// use damaskstile_requests::{Attempts, SendFailureKind};
     /// let mut attempts = Attempts::default();
     /// assert!(attempts.allow_another(true, 2));
-    /// attempts.note(SendEnd::Unknown);
+    /// attempts.note(SendFailureKind::Unknown);
     /// assert!(!attempts.allow_another(true, 2));
     /// ```
     #[must_use]
@@ -68,25 +68,25 @@
     /// another send counts as a retry.
     ///
     /// ```
-    /// use damaskstile_requests::{Attempts, Next, SendEnd};
+    /// use damaskstile_requests::{Attempts, NextStep, SendFailureKind};
     /// let mut attempts = Attempts::default();
-    /// attempts.note(SendEnd::Unknown);
-    /// assert_eq!(attempts.next(false, 2, || true), Next::GiveUp);
-    /// assert_eq!(attempts.next(true, 2, || true), Next::Again);
+    /// attempts.note(SendFailureKind::Unknown);
+    /// assert_eq!(attempts.next(false, 2, || true), NextStep::GiveUp);
+    /// assert_eq!(attempts.next(true, 2, || true), NextStep::Retry);
     /// ```
     pub fn next(
         &self,
         is_repeatable: bool,
         attempts_max: usize,
         may_retry: impl FnOnce() -> bool,
-    ) -> Next {
-        let end = if self.has_run {
-            Next::GiveUp
+    ) -> NextStep {
+        let end = if self.may_have_run {
+            NextStep::GiveUp
         } else {
-            Next::Refuse
+            NextStep::Refuse
         };
-        if self.has_run && !is_repeatable {
-            return Next::GiveUp;
+        if self.may_have_run && !is_repeatable {
+            return NextStep::GiveUp;
         }
         if self.sent >= attempts_max || self.not_sent >= NOT_SENT_MAX {
             return end;
@@ -95,6 +95,6 @@
         if self.sent > 0 && !may_retry() {
             return end;
         }
-        Next::Again
+        NextStep::Retry
     }
 }
--- a/crates/damaskstile-requests/src/send_end.rs
+++ b/crates/damaskstile-requests/src/send_failure_kind.rs
@@ -1,8 +1,8 @@
 //! Outcome of a send to a target that yielded no answer for the caller.
 
-/// `SendEnd` is the outcome of a send that yielded no answer for the caller.
+/// `SendFailureKind` is the outcome of a send that yielded no answer for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendFailureKind {
     /// No byte reached a target.
     NotSent,
     /// The target has confirmed that it did not run the call.
--- a/crates/damaskstile-requests/src/suspect.rs
+++ b/crates/damaskstile-requests/src/suspect.rs
@@ -3,7 +3,7 @@
 use damaskstile_core::prelude::*;
 
 use crate::fingerprint::Fingerprint;
-use crate::suspect_report::SuspectWord;
+use crate::suspect_report::SuspectReport;
 use crate::target_crash::TargetCrash;
 
 /// Time for which a crash counts against a content. A quarantined content is refused until too few
@@ -127,13 +127,13 @@
     }
 
     /// Returns the report of this history for peers.
-    pub(crate) fn report(&self, now: Duration, fingerprint: Fingerprint) -> SuspectWord {
+    pub(crate) fn report(&self, now: Duration, fingerprint: Fingerprint) -> SuspectReport {
         let age = |at: Duration| now.saturating_sub(at);
         let crashes = self.crashes.iter();
-        SuspectWord {
+        SuspectReport {
             fingerprint,
             account: self.account.clone(),
-            ends: crashes
+            crashes: crashes
                 .map(|crash| (crash.target.clone(), age(crash.at)))
                 .collect(),
             cleared_age: self.cleared_at.map(age),
--- a/crates/damaskstile-requests/src/suspects.rs
+++ b/crates/damaskstile-requests/src/suspects.rs
@@ -6,10 +6,10 @@
 
 use crate::content::Content;
 use crate::fingerprint::Fingerprint;
+use crate::quarantine_changes::QuarantineChanges;
 use crate::suspect::Suspect;
-use crate::suspect_report::SuspectWord;
+use crate::suspect_report::SuspectReport;
 use crate::target_crash::TargetCrash;
-use crate::verdicts::Verdicts;
 
 /// Number of crashes from which on a content is quarantined. One or two happen to any call that
 /// runs on a target when something else crashes it.
@@ -41,36 +41,36 @@
 
 impl Suspects {
     /// Records that a target crashed while it ran a content.
-    pub fn note_end(
+    pub fn note_crash(
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
         account: &str,
         target: TargetIdentity,
-    ) -> Verdicts {
+    ) -> QuarantineChanges {
         let suspect = self.suspects.entry(fingerprint);
         let suspect = suspect.or_insert_with(|| Suspect::new(account));
         if !suspect.note_crash(now, TargetCrash { target, at: now }) {
-            return Verdicts::default();
+            return QuarantineChanges::default();
         }
         self.update_quarantine(now, fingerprint)
     }
 
     /// Records that a content ran to completion on a target that is still up.
-    pub fn note_success(&mut self, now: Duration, content: &Content<'_>) -> Verdicts {
+    pub fn note_success(&mut self, now: Duration, content: &Content<'_>) -> QuarantineChanges {
         if self.suspects.is_empty() {
-            return Verdicts::default();
+            return QuarantineChanges::default();
         }
         let same_coarse_hash = Fingerprint::range_of(Fingerprint::coarse_hash_of(content));
         if self.suspects.range(same_coarse_hash).next().is_none() {
-            return Verdicts::default();
+            return QuarantineChanges::default();
         }
         let fingerprint = Fingerprint::of(content);
         let suspect = self.suspects.get_mut(&fingerprint);
         if suspect.is_some_and(|suspect| suspect.clear(now, now)) {
             self.update_quarantine(now, fingerprint)
         } else {
-            Verdicts::default()
+            QuarantineChanges::default()
         }
     }
 
@@ -84,14 +84,14 @@
     /// let mut suspects = Suspects::default();
     /// for second in 1..=3 {
     ///     let (now, target) = (Duration::from_secs(second), second.to_string());
-    ///     assert_eq!(suspects.barred_for(now, &content), None);
+    ///     assert_eq!(suspects.quarantined_for(now, &content), None);
     ///     let target = TargetIdentity::new(&target, None);
-    ///     suspects.note_end(now, Fingerprint::of(&content), "a", target);
+    ///     suspects.note_crash(now, Fingerprint::of(&content), "a", target);
     /// }
-    /// assert!(suspects.barred_for(Duration::from_secs(4), &content).is_some());
+    /// assert!(suspects.quarantined_for(Duration::from_secs(4), &content).is_some());
     /// ```
     #[must_use]
-    pub fn barred_for(&self, now: Duration, content: &Content<'_>) -> Option<Duration> {
+    pub fn quarantined_for(&self, now: Duration, content: &Content<'_>) -> Option<Duration> {
         if self.quarantined.is_empty() {
             return None;
         }
@@ -110,29 +110,29 @@
     }
 
     /// Merges a peer's report.
-    pub fn hear(&mut self, now: Duration, report: SuspectWord) -> Verdicts {
-        if report.ends.is_empty() && !self.suspects.contains_key(&report.fingerprint) {
-            return Verdicts::default();
+    pub fn merge_report(&mut self, now: Duration, report: SuspectReport) -> QuarantineChanges {
+        if report.crashes.is_empty() && !self.suspects.contains_key(&report.fingerprint) {
+            return QuarantineChanges::default();
         }
         let suspect = self.suspects.entry(report.fingerprint);
         let suspect = suspect.or_insert_with(|| Suspect::new(&report.account));
         let mut is_changed = report
             .cleared_age
             .is_some_and(|age| suspect.clear(now, now.saturating_sub(age)));
-        for (target, age) in report.ends {
+        for (target, age) in report.crashes {
             let at = now.saturating_sub(age);
             is_changed |= suspect.note_crash(now, TargetCrash { target, at });
         }
         if is_changed {
             self.update_quarantine(now, report.fingerprint)
         } else {
-            Verdicts::default()
+            QuarantineChanges::default()
         }
     }
 
     /// Returns the reports to send to all peers now, those with the most crashes first.
     #[must_use]
-    pub fn told(&self, now: Duration) -> Vec<SuspectWord> {
+    pub fn reports(&self, now: Duration) -> Vec<SuspectReport> {
         let is_reported_to_all = |fingerprint: &Fingerprint, suspect: &Suspect| {
             let is_recent = now.saturating_sub(suspect.changed_at) < REPORTED_FOR;
             (is_recent && suspect.is_reported_to_all) || self.quarantined.contains(fingerprint)
@@ -151,7 +151,7 @@
 
     /// Returns the report about a content, for the instances that collect its crashes.
     #[must_use]
-    pub fn word(&self, now: Duration, fingerprint: &Fingerprint) -> Option<SuspectWord> {
+    pub fn report(&self, now: Duration, fingerprint: &Fingerprint) -> Option<SuspectReport> {
         let suspect = self.suspects.get(fingerprint)?;
         Some(suspect.report(now, *fingerprint))
     }
@@ -164,13 +164,13 @@
 
     /// Returns the client account of a content and the number of crashes stored for it.
     #[must_use]
-    pub fn ends_of(&self, fingerprint: &Fingerprint) -> Option<(&AccountId, usize)> {
+    pub fn crashes_of(&self, fingerprint: &Fingerprint) -> Option<(&AccountId, usize)> {
         let suspect = self.suspects.get(fingerprint)?;
         Some((&suspect.account, suspect.crashes.len()))
     }
 
     /// Recomputes which contents are quarantined, after the crash history of one changed.
-    fn update_quarantine(&mut self, now: Duration, changed: Fingerprint) -> Verdicts {
+    fn update_quarantine(&mut self, now: Duration, changed: Fingerprint) -> QuarantineChanges {
         self.suspects.retain(|_, suspect| suspect.drop_expired(now));
         while self.suspects.len() > SUSPECTS_MAX {
             self.evict_one();
@@ -194,9 +194,9 @@
             .iter()
             .map(|(_, fingerprint, _)| **fingerprint)
             .collect();
-        Verdicts {
-            news: Some(changed),
-            barred: self.quarantined.difference(&before).copied().collect(),
+        QuarantineChanges {
+            changed: Some(changed),
+            quarantined: self.quarantined.difference(&before).copied().collect(),
             released: before.difference(&self.quarantined).copied().collect(),
         }
     }
--- a/crates/damaskstile-requests/tests/support/mod.rs
+++ b/crates/damaskstile-requests/tests/support/mod.rs
@@ -32,12 +32,12 @@
 /// Records a crash of a target that ran the content with the given body.
 pub fn crash(suspects: &mut Suspects, ms: u64, body: &str, target: &str) {
     let target = TargetIdentity::new(target, None);
-    let _ = suspects.note_end(at_ms(ms), fingerprint(body), ACCOUNT, target);
+    let _ = suspects.note_crash(at_ms(ms), fingerprint(body), ACCOUNT, target);
 }
 
 /// Merges all reports of a peer.
 pub fn merge_reports_of(own: &mut Suspects, peer: &Suspects, now: Duration) {
-    for report in peer.told(now) {
-        let _ = own.hear(now, report);
+    for report in peer.reports(now) {
+        let _ = own.merge_report(now, report);
     }
 }
--- a/crates/damaskstile-requests/tests/suspects.rs
+++ b/crates/damaskstile-requests/tests/suspects.rs
@@ -12,7 +12,7 @@
 const MANY_CONTENTS: u64 = 2_000;
 
 fn is_quarantined(suspects: &Suspects, now: Duration, content: &Content<'_>) -> bool {
-    suspects.barred_for(now, content).is_some()
+    suspects.quarantined_for(now, content).is_some()
 }
 
 #[test]
@@ -56,7 +56,7 @@
 
     // Act
     let left = suspects
-        .barred_for(at_ms(4_000), &content("crasher"))
+        .quarantined_for(at_ms(4_000), &content("crasher"))
         .unwrap();
 
     // Assert: a caller that retries after the stated time is not refused again.
@@ -182,7 +182,7 @@
             ..content(&body)
         });
         let target = TargetIdentity::new(&body, None);
-        let _ = suspects.note_end(at_ms(2_100), fingerprint, "many", target);
+        let _ = suspects.note_crash(at_ms(2_100), fingerprint, "many", target);
     }
     crash(&mut suspects, 3_000, "crasher", "b");
     crash(&mut suspects, 4_000, "crasher", "c");
@@ -207,17 +207,17 @@
     }
     let until = at_ms(3_000)
         + suspects[0]
-            .barred_for(at_ms(3_000), &content("crasher"))
+            .quarantined_for(at_ms(3_000), &content("crasher"))
             .unwrap();
 
     // Act: each message takes 20 ms.
     let mut now = at_ms(3_000);
     while now < at_ms(60_000) {
         let [one, other] = &mut suspects;
-        let reports = one.told(now);
+        let reports = one.reports(now);
         now += at_ms(20);
         for report in reports {
-            let _ = other.hear(now, report);
+            let _ = other.merge_report(now, report);
         }
         suspects.swap(0, 1);
         now += at_ms(400);
@@ -225,7 +225,7 @@
 
     // Assert
     for suspects in &suspects {
-        let left = suspects.barred_for(now, &content("crasher")).unwrap();
+        let left = suspects.quarantined_for(now, &content("crasher")).unwrap();
         assert!(now + left <= until + at_ms(20));
     }
 }
--- a/crates/damaskstile-requests/tests/suspects_fleet.rs
+++ b/crates/damaskstile-requests/tests/suspects_fleet.rs
@@ -7,7 +7,7 @@
 
 use damaskstile_core::prelude::*;
 use damaskstile_core::random::{Random, stable_hash};
-use damaskstile_requests::{SuspectWord, Suspects};
+use damaskstile_requests::{SuspectReport, Suspects};
 use support::{ACCOUNT, at_ms, content, fingerprint};
 
 /// Body of the call that crashes targets.
@@ -72,7 +72,7 @@
     /// When each instance last started.
     started_ms: Vec<u64>,
     /// Datagrams in transit, by arrival time.
-    datagrams: BTreeMap<u64, Vec<(usize, Vec<SuspectWord>)>>,
+    datagrams: BTreeMap<u64, Vec<(usize, Vec<SuspectReport>)>>,
     /// Incarnation of each target, and the time from which it accepts calls.
     targets: Vec<(u64, u64)>,
     in_flight: Vec<InFlight>,
@@ -110,7 +110,7 @@
 
     fn send_digest(&mut self, now_ms: u64, from: usize) {
         self.digest_at_ms[from] = now_ms + DIGEST_MS;
-        let reports = self.suspects[from].told(at_ms(now_ms));
+        let reports = self.suspects[from].reports(at_ms(now_ms));
         if reports.is_empty() {
             return;
         }
@@ -123,7 +123,7 @@
         }
     }
 
-    fn datagram(&mut self, now_ms: u64, to: usize, reports: Vec<SuspectWord>) {
+    fn datagram(&mut self, now_ms: u64, to: usize, reports: Vec<SuspectReport>) {
         if self.random.below(100) >= LOSS_PERCENT {
             let arrives_ms = now_ms + STEP_MS + self.random.below(TRANSIT_MS_MAX);
             self.datagrams
@@ -137,7 +137,7 @@
     /// fleet.
     fn report_to_collectors(&mut self, now_ms: u64, from: usize, body: &str) {
         let name = fingerprint(body);
-        let Some(report) = self.suspects[from].word(at_ms(now_ms), &name) else {
+        let Some(report) = self.suspects[from].report(at_ms(now_ms), &name) else {
             return;
         };
         let mut peers: Vec<usize> = (0..self.suspects.len()).collect();
@@ -152,7 +152,8 @@
     }
 
     fn send(&mut self, now_ms: u64, instance: usize, sends_left: usize) {
-        let is_quarantined = self.suspects[instance].barred_for(at_ms(now_ms), &content(CRASHING));
+        let is_quarantined =
+            self.suspects[instance].quarantined_for(at_ms(now_ms), &content(CRASHING));
         let available: Vec<usize> = (0..self.targets.len())
             .filter(|target| self.targets[*target].1 <= now_ms)
             .collect();
@@ -193,8 +194,8 @@
     fn note_crash(&mut self, now_ms: u64, instance: usize, body: &str, target: &TargetIdentity) {
         let suspects = &mut self.suspects[instance];
         let name = fingerprint(body);
-        let verdicts = suspects.note_end(at_ms(now_ms), name, ACCOUNT, target.clone());
-        if !verdicts.barred.is_empty() {
+        let changes = suspects.note_crash(at_ms(now_ms), name, ACCOUNT, target.clone());
+        if !changes.quarantined.is_empty() {
             self.digest_at_ms[instance] = now_ms;
         }
         self.report_to_collectors(now_ms, instance, body);
@@ -205,7 +206,7 @@
         let instance = self.random.index(self.suspects.len());
         let suspects = &self.suspects[instance];
         if suspects
-            .barred_for(at_ms(now_ms), &content(&call.body))
+            .quarantined_for(at_ms(now_ms), &content(&call.body))
             .is_some()
         {
             self.refused += 1;
@@ -256,8 +257,8 @@
             .flatten()
         {
             for report in reports {
-                let verdicts = self.suspects[to].hear(now, report);
-                if !verdicts.barred.is_empty() {
+                let changes = self.suspects[to].merge_report(now, report);
+                if !changes.quarantined.is_empty() {
                     self.digest_at_ms[to] = now_ms;
                 }
             }
@@ -302,7 +303,7 @@
         self.started_ms[instance] = now_ms;
         for _ in 0..FANOUT.min(self.suspects.len()) {
             let peer = self.random.index(self.suspects.len());
-            let reports = self.suspects[peer].told(at_ms(now_ms));
+            let reports = self.suspects[peer].reports(at_ms(now_ms));
             self.datagram(now_ms, instance, reports);
         }
     }
--- a/crates/damaskstile-routes/src/catalogue.rs
+++ b/crates/damaskstile-routes/src/catalogue.rs
@@ -132,10 +132,10 @@
     /// Returns the most urgent priority of all streaming routes; 0 if there are none.
     ///
     /// ```
-    /// assert_eq!(damaskstile_routes::Catalogue::default().first_stream_rank(), 0);
+    /// assert_eq!(damaskstile_routes::Catalogue::default().most_urgent_stream_priority(), 0);
     /// ```
     #[must_use]
-    pub fn first_stream_rank(&self) -> u8 {
+    pub fn most_urgent_stream_priority(&self) -> u8 {
         let routes = self.routes.values().flat_map(BTreeMap::values);
         let streams = routes.filter(|route| route.kind.is_stream());
         streams.map(|route| route.priority).min().unwrap_or(0)
--- a/crates/damaskstile/src/instance.rs
+++ b/crates/damaskstile/src/instance.rs
@@ -244,7 +244,7 @@
         // would seal the grants of all of them on waking.
         let is_pause = self.is_started && gap > self.options.membership.interval * 2;
         if is_pause {
-            self.membership.forgive(gap);
+            self.membership.exclude_pause(gap);
         }
     }
 
@@ -258,7 +258,7 @@
             members: seeds,
             targets: Vec::new(),
         };
-        self.membership.hear(self.now, &gossip);
+        self.membership.merge_gossip(self.now, &gossip);
         self.members_changed(effects);
         self.read_settings(effects);
         self.request_settings_from_peers(effects);
--- a/crates/damaskstile/src/instance/budgets.rs
+++ b/crates/damaskstile/src/instance/budgets.rs
@@ -2,7 +2,7 @@
 
 use damaskstile_budgets::holder::Reserve;
 use damaskstile_budgets::{Holder, HolderEffect};
-use damaskstile_core::peer::ForgetRuns;
+use damaskstile_core::peer::DiscardRecords;
 use damaskstile_core::prelude::*;
 
 use super::request::Step;
@@ -193,7 +193,7 @@
         for witness in witnesses {
             effects.push(Effect::Send {
                 to: witness,
-                message: PeerMessage::Forget(ForgetRuns {
+                message: PeerMessage::Forget(DiscardRecords {
                     runs: runs.to_vec(),
                 }),
             });
--- a/crates/damaskstile/src/instance/fleet.rs
+++ b/crates/damaskstile/src/instance/fleet.rs
@@ -4,7 +4,7 @@
 use damaskstile_core::peer::{Gossip, PullSettings, SettingsUpdate, TargetNote};
 use damaskstile_core::prelude::*;
 use damaskstile_fleet::settings::{SETTINGS_KEY, StoredSettings};
-use damaskstile_fleet::spread::Applied;
+use damaskstile_fleet::settings_in_force::Applied;
 
 use super::timers::Timer;
 use super::{Effects, Instance, StorePurpose};
@@ -23,7 +23,8 @@
         if from == &self.options.identity.instance {
             return;
         }
-        self.membership.hear_directly(self.now, from, incarnation);
+        self.membership
+            .note_direct_message(self.now, from, incarnation);
         match message {
             PeerMessage::Record(record) => self.on_record(from, incarnation, record, effects),
             PeerMessage::RecordAck(ack) => {
@@ -51,7 +52,7 @@
     }
 
     fn on_gossip(&mut self, from: &InstanceId, gossip: &Gossip, effects: &mut Effects) {
-        let merged = self.membership.hear(self.now, gossip);
+        let merged = self.membership.merge_gossip(self.now, gossip);
         for state in &gossip.members {
             let peer = (state.instance.clone(), state.incarnation);
             self.keeper.forget_below(&peer, state.settled_runs_below);
@@ -84,7 +85,7 @@
         let own = self.membership.own_mut();
         own.settled_runs_below = lowest.unwrap_or(next_number + 1);
         own.settings_version = version;
-        let silent = self.membership.next_silent(self.now);
+        let silent = self.membership.take_newly_silent(self.now);
         for instance in &silent {
             Self::log(effects, EventCode::MemberSilent, &[("instance", instance)]);
         }
--- a/crates/damaskstile/src/instance/run.rs
+++ b/crates/damaskstile/src/instance/run.rs
@@ -114,7 +114,7 @@
         };
         // The end of a stream does not prove that the answer is complete, so the chunks are
         // counted.
-        if !request.answer.is_whole(chunks) {
+        if !request.answer.is_complete(chunks) {
             self.on_stream_broken(number, effects);
             return;
         }
--- a/crates/damaskstile/src/instance/transfers.rs
+++ b/crates/damaskstile/src/instance/transfers.rs
@@ -1,7 +1,7 @@
 //! Transfers of tokens to and from peers.
 
 use damaskstile_budgets::DrawPlan;
-use damaskstile_core::peer::{AskTokens, ForgetRuns, GiveTokens, RecordAck, RunRecord};
+use damaskstile_core::peer::{DiscardRecords, RecordAck, RunRecord, TokenRequest, TokenTransfer};
 use damaskstile_core::prelude::*;
 
 use super::timers::Timer;
@@ -92,7 +92,7 @@
         for witness in pending.witnesses.into_keys() {
             effects.push(Effect::Send {
                 to: witness,
-                message: PeerMessage::Forget(ForgetRuns {
+                message: PeerMessage::Forget(DiscardRecords {
                     runs: vec![transfer.clone()],
                 }),
             });
@@ -102,7 +102,7 @@
     pub(super) fn on_token_request(
         &mut self,
         from: &InstanceId,
-        ask: &AskTokens,
+        ask: &TokenRequest,
         effects: &mut Effects,
     ) {
         if self.holders.contains_key(&ask.budget) {
@@ -111,10 +111,10 @@
             });
             return;
         }
-        let none = GiveTokens {
+        let none = TokenTransfer {
             ask: ask.ask,
             budget: ask.budget.clone(),
-            ..GiveTokens::default()
+            ..TokenTransfer::default()
         };
         effects.push(Effect::Send {
             to: from.clone(),
@@ -125,7 +125,7 @@
     pub(super) fn on_transfer_received(
         &mut self,
         from: &InstanceId,
-        give: &GiveTokens,
+        give: &TokenTransfer,
         effects: &mut Effects,
     ) {
         let budget = give.budget.clone();
--- a/crates/damaskstile/tests/witness.rs
+++ b/crates/damaskstile/tests/witness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damaskstile::core::peer::{GiveTokens, RecordAck};
+use damaskstile::core::peer::{RecordAck, TokenTransfer};
 use damaskstile::core::prelude::*;
 use damaskstile::{Instance, InstanceOptions};
 use damaskstile_fakes::options::{OFFICE_TOKEN, settings};
@@ -118,7 +118,7 @@
     // Arrange
     let mut holder = holder_with_grant(5);
     let free_tokens = holder.free_tokens("office");
-    let give = PeerMessage::Give(GiveTokens {
+    let give = PeerMessage::Give(TokenTransfer {
         ask: 12_345,
         budget: "office".to_owned(),
         transfer: "t".to_owned(),
