--- a/crates/damaskstile-gateway/src/answer.rs
+++ b/crates/damaskstile-gateway/src/answer.rs
@@ -26,9 +26,9 @@
     /// Whether the target announces that it is leaving.
     pub is_leaving: bool,
     /// Backoff: time for which the target wants no calls from this instance.
-    pub pause: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// Rate limit that the target advertises.
-    pub named_limit: AdvertisedLimit,
+    pub advertised_limit: AdvertisedLimit,
     /// The target's load.
     pub load: Option<Load>,
     /// Time for which the connection may be reused; `None` if it must be closed.
--- a/crates/damaskstile-gateway/src/target_says.rs
+++ b/crates/damaskstile-gateway/src/answer_signals.rs
@@ -26,12 +26,12 @@
     if head.is_leaving {
         handle_leaving(gateway, choice);
     }
-    if let Some(pause) = head.pause.filter(|pause| !pause.is_zero()) {
-        handle_backoff(gateway, choice, pause);
+    if let Some(backoff) = head.backoff.filter(|backoff| !backoff.is_zero()) {
+        handle_backoff(gateway, choice, backoff);
     }
     // A late answer without an advertised limit does not mean that there is none now.
-    if is_own || head.named_limit != AdvertisedLimit::Absent {
-        handle_limit(gateway, choice, running.sent_at(), head.named_limit);
+    if is_own || head.advertised_limit != AdvertisedLimit::Absent {
+        handle_limit(gateway, choice, running.sent_at(), head.advertised_limit);
     }
 }
 
@@ -44,7 +44,7 @@
 fn handle_leaving(gateway: &Gateway, choice: &Choice) {
     let target = choice.identity();
     let now = gateway.now();
-    if gateway.state().book.leave(now, &target) {
+    if gateway.state().target_table.leave(now, &target) {
         let incarnation = incarnation_text(target.incarnation);
         let fields = [
             ("target", target.target.as_str()),
@@ -52,7 +52,7 @@
             ("source", "answer"),
         ];
         gateway.log(EventCode::TargetLeaving, &fields);
-        gateway.news.notify_one();
+        gateway.gossip_wanted.notify_one();
     }
 }
 
@@ -61,16 +61,16 @@
 /// Calls sent during the backoff would be rejected after a round trip each, and keep a target busy
 /// that has no capacity. A random extra time spreads the return of instances that got the same
 /// request at the same moment.
-fn handle_backoff(gateway: &Gateway, choice: &Choice, pause: Duration) {
+fn handle_backoff(gateway: &Gateway, choice: &Choice, backoff: Duration) {
     let now = gateway.now();
     let mut state = gateway.state();
-    let spread_ms = unix_ms(pause.min(BACKOFF_SPREAD_BASE_MAX) / BACKOFF_SPREAD_PART);
+    let spread_ms = unix_ms(backoff.min(BACKOFF_SPREAD_BASE_MAX) / BACKOFF_SPREAD_PART);
     let spread = Duration::from_millis(state.random.below(spread_ms));
     state
-        .book
-        .start_backoff(now, choice, pause.saturating_add(spread));
+        .target_table
+        .start_backoff(now, choice, backoff.saturating_add(spread));
     drop(state);
-    let pause_ms = pause.as_millis().to_string();
+    let pause_ms = backoff.as_millis().to_string();
     let fields = [
         ("target", choice.target.as_str()),
         ("pause_ms", pause_ms.as_str()),
@@ -88,13 +88,13 @@
     let now = gateway.now();
     let target = choice.identity();
     let mut state = gateway.state();
-    let news = state
-        .book
+    let changed = state
+        .target_table
         .apply_advertised_limit(now, &target, sent_at, advertised);
     drop(state);
-    if let Some(word) = news {
-        log_limit(gateway, &target, word.calls_per_s, "answer");
-        gateway.news.notify_one();
+    if let Some(limit) = changed {
+        log_limit(gateway, &target, limit.calls_per_s, "answer");
+        gateway.gossip_wanted.notify_one();
     }
 }
 
--- a/crates/damaskstile-gateway/src/broken_run.rs
+++ b/crates/damaskstile-gateway/src/broken_run.rs
@@ -59,7 +59,7 @@
             let account = terms.account.as_deref().unwrap_or_default();
             gateway.note_crash(content, account, self.target.clone());
             let now = gateway.now();
-            gateway.state().book.note_ended(now, &self.target);
+            gateway.state().target_table.note_ended(now, &self.target);
         }
     }
 }
--- a/crates/damaskstile-gateway/src/dialect.rs
+++ b/crates/damaskstile-gateway/src/dialect.rs
@@ -11,14 +11,14 @@
     fn read_call(&self, head: &request::Parts) -> CallHead;
 
     /// Replaces a caller's headers by those to send to a target.
-    fn dress_send(&self, headers: &mut HeaderMap, send: &SendHead<'_>);
+    fn set_send_headers(&self, headers: &mut HeaderMap, send: &SendHead<'_>);
 
     /// Parses the headers of a target's answer.
     fn read_answer(&self, head: &response::Parts) -> AnswerHead;
 
     /// Replaces a target's headers by those to send to the caller.
-    fn dress_answer(&self, headers: &mut HeaderMap);
+    fn set_answer_headers(&self, headers: &mut HeaderMap);
 
     /// Returns the headers of an answer that this instance makes itself.
-    fn own_answer(&self, id: Option<&str>) -> HeaderMap;
+    fn own_answer_headers(&self, id: Option<&str>) -> HeaderMap;
 }
--- a/crates/damaskstile-gateway/src/directory.rs
+++ b/crates/damaskstile-gateway/src/directory.rs
@@ -16,7 +16,7 @@
     fn targets_kind(&self) -> &'static str;
 
     /// Kind under which operators list evacuated data centres.
-    fn emptied_kind(&self) -> &'static str;
+    fn evacuated_kind(&self) -> &'static str;
 
     /// Parses a catalogue; `None` for other objects of the same kind.
     ///
@@ -37,5 +37,5 @@
     /// # Errors
     ///
     /// Returns what is wrong with the name.
-    fn emptied(&self, name: &str) -> Result<DataCentreId, String>;
+    fn evacuated(&self, name: &str) -> Result<DataCentreId, String>;
 }
--- a/crates/damaskstile-gateway/src/emptied_list.rs
+++ b/crates/damaskstile-gateway/src/evacuated_list.rs
@@ -21,16 +21,16 @@
     let all: BTreeSet<DataCentreId> = all.collect();
     let now = gateway.now();
     if !is_settled(gateway, now) {
-        let known = gateway.state().book.evacuations().names();
+        let known = gateway.state().target_table.evacuations().names();
         if known.iter().any(|name| !all.contains(name)) {
             return false;
         }
     }
-    let news = gateway
+    let changes = gateway
         .state()
-        .book
+        .target_table
         .apply_evacuations(now, listing.version, &all);
-    note(gateway, &news, "store");
+    note(gateway, &changes, "store");
     true
 }
 
@@ -52,29 +52,32 @@
     let changes: Vec<(DataCentreId, bool)> = changes
         .iter()
         .filter_map(|change| {
-            let (name, is_emptied) = match change {
+            let (name, is_evacuated) = match change {
                 Change::Put(object) => (&object.name, true),
                 Change::Gone(name) => (name, false),
             };
-            Some((read(gateway, name, version)?, is_emptied))
+            Some((read(gateway, name, version)?, is_evacuated))
         })
         .collect();
     let now = gateway.now();
-    let book = &mut gateway.state().book;
-    let news = book.apply_evacuation_changes(now, version, &changes);
-    note(gateway, &news, "store");
+    let table = &mut gateway.state().target_table;
+    let changes = table.apply_evacuation_changes(now, version, &changes);
+    note(gateway, &changes, "store");
 }
 
 /// Applies a peer's list of evacuated data centres.
 pub(crate) fn apply_report(gateway: &Gateway, version: Version, reported: &[String], source: &str) {
     let all = reported.iter().cloned().collect();
     let now = gateway.now();
-    let news = gateway.state().book.apply_evacuations(now, version, &all);
-    note(gateway, &news, source);
+    let changes = gateway
+        .state()
+        .target_table
+        .apply_evacuations(now, version, &all);
+    note(gateway, &changes, source);
 }
 
 fn read(gateway: &Gateway, name: &str, version: Version) -> Option<DataCentreId> {
-    match gateway.directory.emptied(name) {
+    match gateway.directory.evacuated(name) {
         Ok(data_centre) => Some(data_centre),
         Err(error) => {
             note_refused(gateway, name, version, &error);
@@ -88,22 +91,22 @@
     let fault = fault(error);
     let before = gateway.state().evacuated_fault.replace(fault.clone());
     if before.as_ref() != Some(&fault) {
-        gateway.metrics.refused(Stored::Emptied);
+        gateway.metrics.refused(Stored::Evacuated);
         log_refused(gateway, name, version, &fault);
     }
 }
 
 /// Logs changes and triggers a digest to peers.
-fn note(gateway: &Gateway, news: &EvacuationChanges, source: &str) {
-    if news.is_empty() {
+fn note(gateway: &Gateway, changes: &EvacuationChanges, source: &str) {
+    if changes.is_empty() {
         return;
     }
-    let emptied = news.evacuated.iter();
-    let emptied = emptied.map(|name| (EventCode::DataCentreEmptied, name));
-    let taken_back = news.taken_back.iter();
+    let evacuated = changes.evacuated.iter();
+    let evacuated = evacuated.map(|name| (EventCode::DataCentreEmptied, name));
+    let taken_back = changes.taken_back.iter();
     let taken_back = taken_back.map(|name| (EventCode::DataCentreTakenBack, name));
-    for (code, name) in emptied.chain(taken_back) {
+    for (code, name) in evacuated.chain(taken_back) {
         gateway.log(code, &[("data_centre", name), ("source", source)]);
     }
-    gateway.news.notify_one();
+    gateway.gossip_wanted.notify_one();
 }
--- a/crates/damaskstile-gateway/src/exchange/answering.rs
+++ b/crates/damaskstile-gateway/src/exchange/answering.rs
@@ -100,7 +100,7 @@
         if parts.status.is_success() {
             let account = self.terms.account.as_deref();
             self.gateway.note_success(&self.call, account);
-            reservation.delivering_whole();
+            reservation.delivering_complete();
         } else {
             reservation.failed();
         }
@@ -113,7 +113,7 @@
             (EventCode::CallFailed, "target_failed")
         };
         self.record.end(code, outcome);
-        self.gateway.dialect.dress_answer(&mut parts.headers);
+        self.gateway.dialect.set_answer_headers(&mut parts.headers);
         Ok(Response::from_parts(parts, full_body(body)))
     }
 
@@ -121,7 +121,7 @@
     /// until then, so it can still get a proper refusal if no target delivers an event.
     async fn relay(&mut self, run: Run, reservation: Reservation) -> Response<ReplyBody> {
         let mut parts = run.parts.clone();
-        self.gateway.dialect.dress_answer(&mut parts.headers);
+        self.gateway.dialect.set_answer_headers(&mut parts.headers);
         parts.headers.remove(header::CONTENT_LENGTH);
         let mut relay = Relay {
             gateway: Arc::clone(&self.gateway),
--- a/crates/damaskstile-gateway/src/exchange/refusing.rs
+++ b/crates/damaskstile-gateway/src/exchange/refusing.rs
@@ -67,13 +67,17 @@
         let now = self.gateway.now();
         let state = self.gateway.state();
         let found = state
-            .book
+            .target_table
             .has_target(now, &self.terms.service, &self.call.work);
         let code = found.err()?;
-        if state.book.backoff_left(now, &self.terms.service).is_some() {
+        if state
+            .target_table
+            .backoff_left(now, &self.terms.service)
+            .is_some()
+        {
             return None;
         }
-        let wait = state.book.time_until_room(now, &self.terms.service);
+        let wait = state.target_table.time_until_room(now, &self.terms.service);
         drop(state);
         let wait = wait.map_or(RETRY_LATER, |wait| self.add_jitter(wait));
         Some(Refusal::not_run(code, Some(wait)))
@@ -91,7 +95,7 @@
         let now = self.gateway.now();
         let left = {
             let state = self.gateway.state();
-            state.book.backoff_left(now, &self.terms.service)?
+            state.target_table.backoff_left(now, &self.terms.service)?
         };
         Some(self.add_jitter(left))
     }
--- a/crates/damaskstile-gateway/src/exchange/tokens.rs
+++ b/crates/damaskstile-gateway/src/exchange/tokens.rs
@@ -215,7 +215,7 @@
             return false;
         }
         let missing = tokens.saturating_sub(state.holder.free_tokens(now, &account));
-        if state.givers(now, &account, missing).is_empty() {
+        if state.token_senders(now, &account, missing).is_empty() {
             return false;
         }
         state.wanted_tokens.insert(account, missing);
--- a/crates/damaskstile-gateway/src/follow.rs
+++ b/crates/damaskstile-gateway/src/follow.rs
@@ -8,7 +8,7 @@
 
 use damaskstile_core::prelude::*;
 
-use crate::emptied_list;
+use crate::evacuated_list;
 use crate::fault::fault;
 use crate::gateway::Gateway;
 use crate::metrics::Stored;
@@ -66,7 +66,7 @@
     /// The list of targets.
     Targets,
     /// Evacuated data centres, whose targets get no calls.
-    Emptied,
+    Evacuated,
 }
 
 impl Followed {
@@ -81,7 +81,7 @@
         match self {
             Self::Catalogue => "catalogue",
             Self::Targets => "targets",
-            Self::Emptied => "emptied",
+            Self::Evacuated => "emptied",
         }
     }
 }
@@ -91,7 +91,7 @@
     let kind = match followed {
         Followed::Catalogue => gateway.directory.catalogue_kind(),
         Followed::Targets => gateway.directory.targets_kind(),
-        Followed::Emptied => gateway.directory.emptied_kind(),
+        Followed::Evacuated => gateway.directory.evacuated_kind(),
     };
     let mut is_due = !can_follow_peers(&gateway).await;
     loop {
@@ -123,10 +123,10 @@
 
 /// Waits, in a large fleet, during an outage that other instances probe.
 async fn wait_for_store(gateway: &Gateway) {
-    let mut outages_over = gateway.outages_over.subscribe();
+    let mut outages_ended = gateway.outages_ended.subscribe();
     while !gateway.state().may_call_store(gateway.now()) {
         // Checked again at the end of an outage, at the latest after the interval.
-        let _ = tokio::time::timeout(FOLLOWER_CHECK_INTERVAL, outages_over.changed()).await;
+        let _ = tokio::time::timeout(FOLLOWER_CHECK_INTERVAL, outages_ended.changed()).await;
     }
 }
 
@@ -218,8 +218,8 @@
 ) {
     note_followed(gateway, followed);
     let is_burst = !changes.is_empty();
-    if followed == Followed::Emptied {
-        emptied_list::apply_changes(gateway, &changes, version);
+    if followed == Followed::Evacuated {
+        evacuated_list::apply_changes(gateway, &changes, version);
         return;
     }
     let mut is_news = false;
@@ -234,7 +234,7 @@
         let known = state.targets_version;
         state.note_changes(known);
         drop(state);
-        gateway.news.notify_one();
+        gateway.gossip_wanted.notify_one();
     }
     if is_burst && must_watch(gateway) {
         let pause = burst_pause(&gateway.state());
@@ -303,9 +303,9 @@
     let fields = fields.map(|(name, value)| (name, value.as_str()));
     gateway.log(EventCode::StoreRestored, &fields);
     // Restarts the watches: they wait on versions that the restored store issues a second time.
-    gateway.outages_over.send_modify(|count| *count += 1);
+    gateway.outages_ended.send_modify(|count| *count += 1);
     gateway.round_wanted.notify_one();
-    gateway.news.notify_one();
+    gateway.gossip_wanted.notify_one();
 }
 
 /// Records an answer of the store.
@@ -313,9 +313,9 @@
     note_history(gateway);
     let now = gateway.now();
     if gateway.state().contact.answered(now) {
-        gateway.outages_over.send_modify(|count| *count += 1);
+        gateway.outages_ended.send_modify(|count| *count += 1);
         // Peers that cannot reach the store should learn at once that this instance can.
-        gateway.news.notify_one();
+        gateway.gossip_wanted.notify_one();
         gateway.log(EventCode::StoreRegained, &[]);
     }
 }
@@ -346,7 +346,7 @@
             target_list::apply_listing(gateway, listing);
             true
         }
-        Followed::Emptied => emptied_list::apply_listing(gateway, listing),
+        Followed::Evacuated => evacuated_list::apply_listing(gateway, listing),
     }
 }
 
@@ -366,8 +366,8 @@
         (Followed::Targets, Change::Gone(name)) => {
             target_list::apply_removal(gateway, &name, version)
         }
-        (Followed::Emptied, change) => {
-            emptied_list::apply_changes(gateway, &[change], version);
+        (Followed::Evacuated, change) => {
+            evacuated_list::apply_changes(gateway, &[change], version);
             false
         }
     }
@@ -391,7 +391,7 @@
             }
             state.holder.set_prepaid(version, prepaid);
             state.holder.set_first_rank(first_rank);
-            state.book.set_cold_limits(cold_limits);
+            state.target_table.set_cold_limits(cold_limits);
             state.call_times.retain(|route| routes.contains(route));
             state.stored_catalogue = Some(object.clone());
             state
@@ -399,7 +399,7 @@
                 .note(object.version, &object.content);
             drop(state);
             gateway.round_wanted.notify_one();
-            gateway.news.notify_one();
+            gateway.gossip_wanted.notify_one();
             let version = version.to_string();
             gateway.log(
                 EventCode::CatalogueApplied,
--- a/crates/damaskstile-gateway/src/follow/starting.rs
+++ b/crates/damaskstile-gateway/src/follow/starting.rs
@@ -53,7 +53,7 @@
         match followed {
             Followed::Catalogue => state.catalogue.get().is_none(),
             Followed::Targets => state.targets_version == 0,
-            Followed::Emptied => state.book.evacuations().version().is_none(),
+            Followed::Evacuated => state.target_table.evacuations().version().is_none(),
         }
     };
     let wait = if gateway.options.is_first_start {
--- a/crates/damaskstile-gateway/src/follow/watching.rs
+++ b/crates/damaskstile-gateway/src/follow/watching.rs
@@ -17,7 +17,7 @@
 use crate::follow::{FOLLOWER_CHECK_INTERVAL, must_watch};
 use crate::gateway::Gateway;
 use crate::objects::{Change, ObjectStore, StoreError};
-use crate::proof;
+use crate::store_probe;
 
 /// Time limit of one watch. Each further watch is a call to the store.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
@@ -48,7 +48,7 @@
 /// Waits for changes after a version.
 pub(super) async fn watch_once(gateway: &Gateway, kind: &str, after: Version) -> WatchOutcome {
     // Subscribed before the watch is sent: an outage that ended earlier cannot have met it.
-    let outages_over = gateway.outages_over.subscribe();
+    let outages_ended = gateway.outages_ended.subscribe();
     let watching = gateway.store.watch(kind, after, WATCH_WAIT);
     tokio::select! {
         biased;
@@ -56,7 +56,7 @@
             Ok((changes, next)) => WatchOutcome::Changes(changes, next),
             Err(error) => WatchOutcome::Failed(error),
         },
-        () = until_outage_over(gateway, outages_over) => WatchOutcome::LostInOutage,
+        () = until_outage_ended(gateway, outages_ended) => WatchOutcome::LostInOutage,
         () = until_not_needed(gateway) => WatchOutcome::NotNeeded,
     }
 }
@@ -76,13 +76,13 @@
 }
 
 /// Returns once an outage has ended that may have lost a watch that was just sent.
-async fn until_outage_over(gateway: &Gateway, mut outages_over: Receiver<u64>) {
+async fn until_outage_ended(gateway: &Gateway, mut outages_ended: Receiver<u64>) {
     let sent_at = Instant::now();
     tokio::time::sleep(PROBE_DELAY).await;
-    proof::probe_store(gateway).await;
+    store_probe::probe_store(gateway).await;
     // An outage that ended before this point is still seen after it.
     tokio::time::sleep_until(sent_at + RENEWAL_INTERVAL).await;
-    if outages_over.changed().await.is_err() {
+    if outages_ended.changed().await.is_err() {
         // The gateway has ended, and this task ends with it.
         std::future::pending::<()>().await;
     }
--- a/crates/damaskstile-gateway/src/gateway.rs
+++ b/crates/damaskstile-gateway/src/gateway.rs
@@ -68,16 +68,16 @@
     /// Wakes the task that reads the catalogue when a peer has a newer one.
     pub catalogue_wanted: Notify,
     /// Wakes the gossip task, which sends updates to peers.
-    pub news: Notify,
+    pub gossip_wanted: Notify,
     /// Wakes calls that wait for an answer to a loan request.
-    pub loans_heard: Notify,
+    pub loan_answers: Notify,
     /// Wakes the task that reports ended loans to their lenders.
     pub loans_ended: Notify,
     /// Wakes the task that requests tokens from peers.
     pub tokens_wanted: Notify,
     /// Number of store outages that have ended. A change wakes the store watches, which may have
     /// been lost during the outage.
-    pub outages_over: watch::Sender<u64>,
+    pub outages_ended: watch::Sender<u64>,
     /// Current phase of the shutdown, observed by all tasks.
     pub phase: watch::Sender<Phase>,
     /// Schedule of the shutdown, set when it is ordered.
@@ -124,11 +124,11 @@
             round_wanted: Notify::new(),
             round_done: Notify::new(),
             catalogue_wanted: Notify::new(),
-            news: Notify::new(),
+            gossip_wanted: Notify::new(),
             tokens_wanted: Notify::new(),
-            loans_heard: Notify::new(),
+            loan_answers: Notify::new(),
             loans_ended: Notify::new(),
-            outages_over: watch::Sender::new(0),
+            outages_ended: watch::Sender::new(0),
             phase: watch::Sender::new(Phase::Serving),
             stop_times: OnceLock::new(),
             open_calls: AtomicUsize::new(0),
--- a/crates/damaskstile-gateway/src/lib.rs
+++ b/crates/damaskstile-gateway/src/lib.rs
@@ -6,6 +6,7 @@
 //! [`ObjectStore`](objects::ObjectStore).
 
 pub mod answer;
+mod answer_signals;
 pub mod backlog;
 mod broken_run;
 pub mod busy_times;
@@ -19,9 +20,10 @@
 pub mod contact;
 pub mod content_changes;
 pub mod counted_store;
+pub mod delisted_targets;
 pub mod dialect;
 pub mod directory;
-pub(crate) mod emptied_list;
+pub(crate) mod evacuated_list;
 pub mod events;
 pub mod exchange;
 pub mod fault;
@@ -50,7 +52,6 @@
 pub mod phase;
 pub mod pool;
 pub mod pressure;
-pub mod proof;
 pub mod readiness;
 pub mod record;
 pub mod relay;
@@ -64,11 +65,10 @@
 pub mod state;
 pub mod stop;
 pub mod stop_times;
+pub mod store_probe;
 mod suspicion;
 pub mod target_ends;
 pub mod target_list;
-mod target_says;
-pub mod target_words;
 pub mod wait_limit;
 pub mod wanted;
 mod watched_stream;
@@ -104,19 +104,19 @@
     let following = |followed| follow(Arc::clone(&gateway), followed);
     spawn_counted(&gateway, "follow", following(Followed::Catalogue));
     spawn_counted(&gateway, "follow", following(Followed::Targets));
-    if options.book.empties_data_centres {
-        spawn_counted(&gateway, "follow", following(Followed::Emptied));
+    if options.target_table.empties_data_centres {
+        spawn_counted(&gateway, "follow", following(Followed::Evacuated));
     }
-    tokio::spawn(proof::keep(Arc::clone(&gateway)));
+    tokio::spawn(store_probe::keep(Arc::clone(&gateway)));
     spawn_counted(&gateway, "rounds", rounds::keep(Arc::clone(&gateway)));
     tokio::spawn(holdings::log_periodically(Arc::clone(&gateway)));
     tokio::spawn(serve_pulls(Arc::clone(&gateway), pulls));
-    spawn_counted(&gateway, "tell", Arc::clone(&peers).tell());
-    tokio::spawn(Arc::clone(&peers).beg());
-    tokio::spawn(Arc::clone(&peers).end_loans());
-    tokio::spawn(Arc::clone(&peers).lend_later());
-    spawn_counted(&gateway, "send_out", Arc::clone(&peers).send_out(outbox));
-    spawn_counted(&gateway, "hear", peers.hear());
+    spawn_counted(&gateway, "tell", Arc::clone(&peers).send_digests());
+    tokio::spawn(Arc::clone(&peers).request_tokens());
+    tokio::spawn(Arc::clone(&peers).report_ended_loans());
+    tokio::spawn(Arc::clone(&peers).answer_waiting_loans());
+    spawn_counted(&gateway, "send_out", Arc::clone(&peers).send_queued(outbox));
+    spawn_counted(&gateway, "hear", peers.receive());
     tokio::spawn(prune(Arc::clone(&gateway)));
     tokio::spawn(load::sample_periodically(Arc::clone(&gateway)));
     tokio::spawn(front::accept(Arc::clone(&gateway), callers));
@@ -139,6 +139,8 @@
     loop {
         tokio::time::sleep(PRUNE_INTERVAL).await;
         let state = gateway.state();
-        gateway.pool.prune(|target| state.book.lists(target));
+        gateway
+            .pool
+            .prune(|target| state.target_table.lists(target));
     }
 }
--- a/crates/damaskstile-gateway/src/loan.rs
+++ b/crates/damaskstile-gateway/src/loan.rs
@@ -71,7 +71,7 @@
         };
         send();
         loop {
-            let answered = gateway.loans_heard.notified();
+            let answered = gateway.loan_answers.notified();
             let now = gateway.now();
             let outcome = gateway.state().borrower.outcome(request.number);
             let limit = match outcome {
--- a/crates/damaskstile-gateway/src/metrics.rs
+++ b/crates/damaskstile-gateway/src/metrics.rs
@@ -62,7 +62,7 @@
     /// The ledger.
     Ledger,
     /// The entry of an evacuated data centre.
-    Emptied,
+    Evacuated,
 }
 
 /// Labels of metrics of refused objects.
@@ -220,7 +220,7 @@
             Stored::Catalogue => "catalogue",
             Stored::Target => "target",
             Stored::Ledger => "ledger",
-            Stored::Emptied => "emptied",
+            Stored::Evacuated => "emptied",
         };
         let labels = StoredLabels { stored };
         self.refused_entries.get_or_create(&labels).inc();
@@ -242,7 +242,7 @@
     }
 
     /// Sets the number of targets that are in backoff at this instance.
-    pub fn sample_paused(&self, paused: usize) {
+    pub fn sample_backoff(&self, paused: usize) {
         let count = i64::try_from(paused).unwrap_or(i64::MAX);
         let labels = StateLabels { state: "paused" };
         self.targets.get_or_create(&labels).set(count);
@@ -310,7 +310,7 @@
 
     /// Sets the numbers of cold targets, of targets that advertise a limit and of evacuated data
     /// centres.
-    pub fn sample_places(
+    pub fn sample_limited_targets(
         &self,
         cold_targets: usize,
         limited_targets: usize,
--- a/crates/damaskstile-gateway/src/operators.rs
+++ b/crates/damaskstile-gateway/src/operators.rs
@@ -94,15 +94,15 @@
         .collect();
     let (age, version) = (state.contact.age(now), state.catalogue.version());
     let followed_at = state.followed_at.clone();
-    let counts = state.book.counts();
-    let paused = state.book.targets_in_backoff(now);
+    let counts = state.target_table.counts();
+    let paused = state.target_table.targets_in_backoff(now);
     drop(state);
     for (followed, at) in followed_at {
         let age = now.saturating_sub(at);
         gateway.metrics.sample_watch(followed.name(), age);
     }
     gateway.metrics.count_targets(&counts);
-    gateway.metrics.sample_paused(paused);
+    gateway.metrics.sample_backoff(paused);
     gateway.metrics.sample(&free, age, version);
     let readiness = Readiness::of(gateway);
     gateway.metrics.sample_readiness(readiness);
@@ -113,12 +113,14 @@
     gateway
         .metrics
         .sample_peer_bytes(gateway.sent_bytes.counts());
-    let (cold, limited, emptied) = {
-        let book = &gateway.state().book;
-        let emptied = book.evacuations().names().len();
-        (book.cold_targets(now), book.limited_targets(), emptied)
+    let (cold, limited, evacuated) = {
+        let table = &gateway.state().target_table;
+        let evacuated = table.evacuations().names().len();
+        (table.cold_targets(now), table.limited_targets(), evacuated)
     };
-    gateway.metrics.sample_places(cold, limited, emptied);
+    gateway
+        .metrics
+        .sample_limited_targets(cold, limited, evacuated);
     let (made, open) = {
         let lender = &gateway.state().lender;
         (lender.lent_loans(), lender.open_loans())
--- a/crates/damaskstile-gateway/src/options.rs
+++ b/crates/damaskstile-gateway/src/options.rs
@@ -40,7 +40,7 @@
     /// Options of the token escrow.
     pub escrow: EscrowOptions,
     /// Options of target selection.
-    pub book: TargetTableOptions,
+    pub target_table: TargetTableOptions,
     /// Rate of calls that a cold target may get.
     pub cold: ColdOptions,
 }
--- a/crates/damaskstile-gateway/src/peers.rs
+++ b/crates/damaskstile-gateway/src/peers.rs
@@ -44,7 +44,7 @@
 pub use reading::Reading;
 pub use suspect_report::{SuspectReport, TargetEndReport};
 pub use target_report::TargetReport;
-pub use tokens::{AskTokens, GiveTokens};
+pub use tokens::{TokenRequest, TokenTransfer};
 
 use crate::gateway::Gateway;
 use crate::outgoing::Outgoing;
@@ -87,11 +87,11 @@
     }
 
     /// Sends digests until the process ends.
-    pub async fn tell(self: Arc<Self>) {
+    pub async fn send_digests(self: Arc<Self>) {
         // The first digest is sent immediately so that peers learn of the start.
         let mut pause = Duration::ZERO;
         loop {
-            let changed = self.gateway.news.notified();
+            let changed = self.gateway.gossip_wanted.notified();
             // The next digest is sent on an update, at the latest after the interval.
             let _ = tokio::time::timeout(pause, changed).await;
             pause = DIGEST_INTERVAL;
@@ -109,21 +109,23 @@
 
     /// Requests tokens from peers whenever calls lack them. At a stop, returns the tokens that
     /// peers transferred.
-    pub async fn beg(self: Arc<Self>) {
+    pub async fn request_tokens(self: Arc<Self>) {
         loop {
             self.gateway.tokens_wanted.notified().await;
-            for (address, ask) in self.token_requests() {
-                self.send(address, DatagramBody::Ask(ask)).await;
+            for (address, request) in self.token_requests() {
+                self.send(address, DatagramBody::TokenRequest(request))
+                    .await;
             }
             for (address, transfer) in self.token_returns() {
                 self.log_transfer(EventCode::TokensGiven, &address.to_string(), &transfer);
-                self.send(address, DatagramBody::Give(transfer)).await;
+                self.send(address, DatagramBody::TokenTransfer(transfer))
+                    .await;
             }
         }
     }
 
     /// Sends the messages that other background tasks queue for peers, until the process ends.
-    pub async fn send_out(self: Arc<Self>, mut outbox: Receiver<Outgoing>) {
+    pub async fn send_queued(self: Arc<Self>, mut outbox: Receiver<Outgoing>) {
         while let Some(outgoing) = outbox.recv().await {
             match outgoing {
                 Outgoing::Change(change) => self.send_change(&change).await,
@@ -182,7 +184,7 @@
     }
 
     /// Receives and handles datagrams until the process ends.
-    pub async fn hear(self: Arc<Self>) {
+    pub async fn receive(self: Arc<Self>) {
         let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
         loop {
             match self.socket.recv_from(&mut buffer).await {
@@ -234,7 +236,7 @@
             })
             .filter(|free| free.tokens > 0)
             .collect();
-        let limits = state.book.limits_to_report(now).into_iter();
+        let limits = state.target_table.limits_to_report(now).into_iter();
         let limits = limits.map(|(identity, limit)| LimitReport::of(now, identity, limit));
         let digest = Digest {
             unix_ms: crate::clock::own_unix_ms(),
@@ -256,11 +258,15 @@
             limits: limits.collect(),
             ledger_version: state.holder.ledger_version(),
             store_history: state.holder.store_history(),
-            evacuated_version: state.book.evacuations().version().unwrap_or_default(),
-            evacuated: state.book.evacuations().names(),
+            evacuated_version: state
+                .target_table
+                .evacuations()
+                .version()
+                .unwrap_or_default(),
+            evacuated: state.target_table.evacuations().names(),
             ..Digest::default()
         };
-        digest.with_departures(&state.book.draining(now), &state.vanished(now))
+        digest.with_departures(&state.target_table.draining(now), &state.delisted(now))
     }
 
     async fn handle(&self, datagram: Datagram, from: SocketAddr) {
@@ -274,16 +280,19 @@
                 self.handle_suspects(&datagram.from, &digest.suspects);
                 self.send_digest_to_newcomer(&digest, is_new, from).await;
             }
-            DatagramBody::Ask(ask) => self.answer_token_request(&datagram.from, ask, from).await,
+            DatagramBody::TokenRequest(request) => {
+                self.answer_token_request(&datagram.from, request, from)
+                    .await;
+            }
             DatagramBody::Change(bytes) => self.apply_change(&bytes),
-            DatagramBody::Give(transfer) => {
+            DatagramBody::TokenTransfer(transfer) => {
                 self.accept_transfer(&datagram.from, datagram.incarnation, &transfer);
             }
             DatagramBody::Report(report) => self.handle_report(report),
             DatagramBody::Reading(reading) => {
                 let now = self.gateway.now();
-                let book = &mut self.gateway.state().book;
-                book.apply_prefill_report(now, &reading.identity(), reading.time());
+                let table = &mut self.gateway.state().target_table;
+                table.apply_prefill_report(now, &reading.identity(), reading.time());
             }
             DatagramBody::Receipt(receipt) => self.handle_receipt(&datagram.from, &receipt),
             DatagramBody::Borrow(request) => {
--- a/crates/damaskstile-gateway/src/peers/datagram.rs
+++ b/crates/damaskstile-gateway/src/peers/datagram.rs
@@ -4,7 +4,7 @@
 use damaskstile_escrow::{Receipt, Report};
 use damaskstile_loans::{LoanAnswer, LoanEnds, LoanEndsAck, LoanRequest};
 
-use super::{AskTokens, Digest, GiveTokens, Reading, SuspectReport};
+use super::{Digest, Reading, SuspectReport, TokenRequest, TokenTransfer};
 
 /// `DatagramBody` is the payload of a datagram.
 #[derive(prost::Oneof, Clone, PartialEq)]
@@ -14,10 +14,10 @@
     Digest(Digest),
     /// A request for tokens.
     #[prost(message, tag = "4")]
-    Ask(AskTokens),
+    TokenRequest(TokenRequest),
     /// A transfer of tokens.
     #[prost(message, tag = "5")]
-    Give(GiveTokens),
+    TokenTransfer(TokenTransfer),
     /// A ledger change, as JSON.
     #[prost(bytes = "bytes", tag = "6")]
     Change(Bytes),
@@ -53,7 +53,7 @@
     pub const fn duty(&self) -> &'static str {
         match self {
             Self::Digest(_) => "digest",
-            Self::Ask(_) | Self::Give(_) => "gift",
+            Self::TokenRequest(_) | Self::TokenTransfer(_) => "gift",
             Self::Change(_) => "ledger",
             Self::Report(_) | Self::Receipt(_) => "report",
             Self::Reading(_) => "reading",
--- a/crates/damaskstile-gateway/src/peers/digest.rs
+++ b/crates/damaskstile-gateway/src/peers/digest.rs
@@ -105,7 +105,7 @@
         delisted: &[(TargetIdentity, Version)],
     ) -> Self {
         (self.leaving, self.leaving_incarnations) = split(leaving);
-        // The order of the versions must match the order in which `vanished_with_versions` joins
+        // The order of the versions must match the order in which `delisted_with_versions` joins
         // the two lists.
         let (unstated, stated): (Vec<_>, Vec<_>) = delisted
             .iter()
@@ -125,7 +125,7 @@
 
     /// Returns the delisted targets with the list versions at which they were gone.
     #[must_use]
-    pub fn vanished_with_versions(&self) -> Vec<(TargetIdentity, Version)> {
+    pub fn delisted_with_versions(&self) -> Vec<(TargetIdentity, Version)> {
         let versions = self.delisted_at.iter().copied();
         // Delisted targets without a version get that of the sender's list, which does not name
         // them either.
--- a/crates/damaskstile-gateway/src/peers/list_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/list_answer.rs
@@ -44,7 +44,7 @@
     let since = request.since;
     let state = gateway.state();
     let content_hash = if request.wants_hash {
-        state.book.content_hash(now)
+        state.target_table.content_hash(now)
     } else {
         None
     };
@@ -54,15 +54,15 @@
         content_hash,
         ..PullAnswer::default()
     };
-    let to_pulled = |listed: &Listed| to_pulled_target(&state.book, now, listed);
+    let to_pulled = |listed: &Listed| to_pulled_target(&state.target_table, now, listed);
     let changed = state.list_changes.since(since).filter(|_| since > 0);
     let Some(changed) = changed else {
-        let targets = state.book.present().map(to_pulled).collect();
+        let targets = state.target_table.present().map(to_pulled).collect();
         return PullAnswer { targets, ..answer };
     };
     let (there, gone): (Vec<_>, Vec<_>) = changed
         .into_iter()
-        .map(|target| (target, state.book.present_entry(target)))
+        .map(|target| (target, state.target_table.present_entry(target)))
         .partition(|(_, entry)| entry.is_some());
     PullAnswer {
         since,
@@ -75,7 +75,7 @@
     }
 }
 
-fn to_pulled_target(book: &TargetTable, now: Duration, listed: &Listed) -> PulledTarget {
+fn to_pulled_target(table: &TargetTable, now: Duration, listed: &Listed) -> PulledTarget {
     PulledTarget {
         target: listed.target.clone(),
         started_at_unix_ms: listed.incarnation,
@@ -84,17 +84,17 @@
         data_centre: listed.data_centre.clone(),
         slots_requests: listed.slots_requests,
         is_ready: listed.is_ready,
-        cold_for_ms: unix_ms(book.cold_for(now, &listed.target)),
+        cold_for_ms: unix_ms(table.cold_for(now, &listed.target)),
     }
 }
 
-fn to_listed(book: &TargetTable, pulled: PulledTarget) -> Option<Listed> {
+fn to_listed(table: &TargetTable, pulled: PulledTarget) -> Option<Listed> {
     Some(Listed {
         // A peer of an older release does not send incarnations. If they were treated as unstated,
         // its whole list would be refused during an upgrade of the fleet.
         incarnation: pulled
             .started_at_unix_ms
-            .or_else(|| book.newest(&pulled.target)),
+            .or_else(|| table.newest(&pulled.target)),
         target: pulled.target,
         service: pulled.service,
         address: pulled.address.parse().ok()?,
@@ -119,7 +119,7 @@
     }
     let pulled = answer.targets.into_iter();
     let listed: Vec<Listed> = pulled
-        .filter_map(|pulled| to_listed(&state.book, pulled))
+        .filter_map(|pulled| to_listed(&state.target_table, pulled))
         .collect();
     // Entries that lapsed during an outage get the same grace period here as at the instance that
     // read the list. An instance that relies on its peers may not have called the store meanwhile
@@ -127,12 +127,12 @@
     let is_around_outage = answer.is_around_outage || state.contact.is_around_outage(now);
     if is_whole {
         let all = listed.into_iter().map(Ok).collect();
-        state.take_list(now, answer.version, all, is_around_outage);
+        state.apply_list(now, answer.version, all, is_around_outage);
         state.wants_whole_list = false;
     } else {
         let gone = answer.gone;
         let changes = ReportedChanges { listed, gone };
-        state.take_list_changes(now, answer.version, changes, is_around_outage);
+        state.apply_list_changes(now, answer.version, changes, is_around_outage);
         check_difference(&mut state, now, answer.content_hash);
     }
     drop(state);
@@ -153,6 +153,6 @@
     let Some(reported) = reported else {
         return;
     };
-    let own = state.book.content_hash(now);
+    let own = state.target_table.content_hash(now);
     state.wants_whole_list |= own.is_some_and(|own| own != reported);
 }
--- a/crates/damaskstile-gateway/src/peers/loans.rs
+++ b/crates/damaskstile-gateway/src/peers/loans.rs
@@ -49,7 +49,7 @@
     /// Processes a lender's answer.
     pub(super) fn handle_loan_answer(&self, from: &str, answer: &LoanAnswer) {
         if self.gateway.state().borrower.receive_answer(from, answer) {
-            self.gateway.loans_heard.notify_waiters();
+            self.gateway.loan_answers.notify_waiters();
         }
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// Reports ended loans to their lenders until the process ends.
-    pub async fn end_loans(self: Arc<Self>) {
+    pub async fn report_ended_loans(self: Arc<Self>) {
         loop {
             let ended = self.gateway.loans_ended.notified();
             // Woken when a loan ends, at the latest after the interval.
@@ -100,7 +100,7 @@
     }
 
     /// Answers loan requests that waited for tokens, until the process ends.
-    pub async fn lend_later(self: Arc<Self>) {
+    pub async fn answer_waiting_loans(self: Arc<Self>) {
         loop {
             let round_done = self.gateway.round_done.notified();
             // Woken when a round is done, at the latest after the interval.
--- a/crates/damaskstile-gateway/src/peers/member_answer.rs
+++ b/crates/damaskstile-gateway/src/peers/member_answer.rs
@@ -42,7 +42,7 @@
         }
         if let Some(member) = Member::from_report(now, report) {
             state.members.insert(report.instance.clone(), member);
-            state.book.add_instance(&report.instance, 0);
+            state.target_table.add_instance(&report.instance, 0);
         }
     }
 }
--- a/crates/damaskstile-gateway/src/peers/pull.rs
+++ b/crates/damaskstile-gateway/src/peers/pull.rs
@@ -171,7 +171,7 @@
     };
     let request = PullRequest::decode(frame?).map_err(std::io::Error::other)?;
     let is_long = request.is_targets || request.is_members;
-    if is_long && gateway.state().pressure.is_high(gateway.now()) {
+    if is_long && gateway.state().pressure.is_overloaded(gateway.now()) {
         // A refused peer asks another instance, and calls here compete for the same link.
         return Ok(());
     }
--- a/crates/damaskstile-gateway/src/peers/received_digest.rs
+++ b/crates/damaskstile-gateway/src/peers/received_digest.rs
@@ -7,11 +7,11 @@
 
 use super::pull;
 use super::{Digest, Peers};
-use crate::emptied_list;
+use crate::answer_signals::log_limit;
+use crate::evacuated_list;
 use crate::member::Member;
 use crate::spawn_counted;
 use crate::target_list::incarnation_text;
-use crate::target_says::log_limit;
 use crate::wanted::Wanted;
 
 /// Time that this instance's own watch of the store is given before a newer catalogue is pulled
@@ -45,7 +45,7 @@
         let is_peer_in_touch = Duration::from_millis(digest.store_age_ms) < STORE_AGE_MAX;
         let mut left = Vec::new();
         for target in digest.all_leaving() {
-            if state.book.leave(now, &target) {
+            if state.target_table.leave(now, &target) {
                 left.push(target);
             }
         }
@@ -53,7 +53,7 @@
         // report.
         let is_follower = !state.is_watcher(now);
         let uses_reported_list = is_store_lost || is_follower;
-        let delisted = digest.vanished_with_versions();
+        let delisted = digest.delisted_with_versions();
         for (target, version) in delisted.into_iter().filter(|_| uses_reported_list) {
             if state.apply_delisting(now, &target, version) {
                 left.push(target);
@@ -73,7 +73,9 @@
             from.to_owned(),
             Member::new(incarnation, address, now, digest),
         );
-        state.book.add_instance(from, digest.known_instances);
+        state
+            .target_table
+            .add_instance(from, digest.known_instances);
         state.holder.note_peer_ledger_version(digest.ledger_version);
         let has_entered = state.holder.set_store_history(digest.store_history);
         let mut limits = Vec::new();
@@ -82,7 +84,7 @@
             .iter()
             .filter_map(|report| report.to_limit(now))
         {
-            if state.book.apply_limit_report(now, &target, limit) {
+            if state.target_table.apply_limit_report(now, &target, limit) {
                 limits.push((target, limit));
             }
         }
@@ -94,7 +96,8 @@
         let lacks_members = state.lacks_members();
         drop(state);
         if digest.evacuated_version > 0 {
-            emptied_list::apply_report(gateway, digest.evacuated_version, &digest.evacuated, from);
+            let evacuated = &digest.evacuated;
+            evacuated_list::apply_report(gateway, digest.evacuated_version, evacuated, from);
         }
         if has_entered {
             gateway.round_wanted.notify_one();
--- a/crates/damaskstile-gateway/src/peers/suspects.rs
+++ b/crates/damaskstile-gateway/src/peers/suspects.rs
@@ -25,7 +25,7 @@
     /// Processes a peer's reports of suspect contents.
     pub(super) fn handle_suspects(&self, from: &str, reports: &[SuspectReport]) {
         for suspect in reports.iter().filter_map(SuspectReport::to_suspect) {
-            self.gateway.hear_suspect(from, suspect);
+            self.gateway.receive_suspect_report(from, suspect);
         }
     }
 }
--- a/crates/damaskstile-gateway/src/peers/tokens.rs
+++ b/crates/damaskstile-gateway/src/peers/tokens.rs
@@ -1,8 +1,8 @@
 //! Messages for token transfers between instances.
 
-/// `AskTokens` requests tokens from a peer.
+/// `TokenRequest` requests tokens from a peer.
 #[derive(prost::Message, Clone, PartialEq)]
-pub struct AskTokens {
+pub struct TokenRequest {
     /// The account.
     #[prost(string, tag = "1")]
     pub account: String,
@@ -11,9 +11,9 @@
     pub tokens: u64,
 }
 
-/// `GiveTokens` transfers tokens to a peer.
+/// `TokenTransfer` transfers tokens to a peer.
 #[derive(prost::Message, Clone, PartialEq)]
-pub struct GiveTokens {
+pub struct TokenTransfer {
     /// The account.
     #[prost(string, tag = "1")]
     pub account: String,
@@ -22,5 +22,5 @@
     pub tokens: u64,
     /// Number of the transfer within the sender's incarnation.
     #[prost(uint64, tag = "3")]
-    pub gift: u64,
+    pub number: u64,
 }
--- a/crates/damaskstile-gateway/src/peers/transfers.rs
+++ b/crates/damaskstile-gateway/src/peers/transfers.rs
@@ -4,22 +4,22 @@
 
 use damaskstile_core::prelude::*;
 
-use super::{AskTokens, DatagramBody, GiveTokens, Peers};
+use super::{DatagramBody, Peers, TokenRequest, TokenTransfer};
 
 impl Peers {
     /// Makes the token requests for each account whose tokens calls lack here, addressed to the
     /// peers that last reported the most free tokens.
-    pub(super) fn token_requests(&self) -> Vec<(SocketAddr, AskTokens)> {
+    pub(super) fn token_requests(&self) -> Vec<(SocketAddr, TokenRequest)> {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         let wanted = std::mem::take(&mut state.wanted_tokens);
         wanted
             .into_iter()
             .flat_map(|(account, tokens)| {
-                let senders = state.givers(now, &account, tokens);
+                let senders = state.token_senders(now, &account, tokens);
                 senders.into_iter().map(move |(address, tokens)| {
                     let account = account.clone();
-                    (address, AskTokens { account, tokens })
+                    (address, TokenRequest { account, tokens })
                 })
             })
             .collect()
@@ -27,7 +27,7 @@
 
     /// Makes the transfers that return, at a stop, the tokens that peers transferred to this
     /// instance.
-    pub(super) fn token_returns(&self) -> Vec<(SocketAddr, GiveTokens)> {
+    pub(super) fn token_returns(&self) -> Vec<(SocketAddr, TokenTransfer)> {
         let now = self.gateway.now();
         let mut state = self.gateway.state();
         if !state.is_stopping {
@@ -41,10 +41,10 @@
                 let number = state.transfers_made;
                 transfers.push((
                     address,
-                    GiveTokens {
+                    TokenTransfer {
                         account,
                         tokens,
-                        gift: number,
+                        number,
                     },
                 ));
             }
@@ -55,32 +55,35 @@
     pub(super) async fn answer_token_request(
         &self,
         from: &str,
-        ask: AskTokens,
+        request: TokenRequest,
         address: SocketAddr,
     ) {
         let now = self.gateway.now();
         let (tokens, number) = {
             let mut state = self.gateway.state();
-            let tokens = state.holder.transfer_out(now, &ask.account, ask.tokens);
+            let tokens = state
+                .holder
+                .transfer_out(now, &request.account, request.tokens);
             state.transfers_made += u64::from(tokens > 0);
             (tokens, state.transfers_made)
         };
-        if tokens < ask.tokens {
+        if tokens < request.tokens {
             self.gateway.round_wanted.notify_one();
         }
         if tokens == 0 {
             return;
         }
-        let transfer = GiveTokens {
-            account: ask.account,
+        let transfer = TokenTransfer {
+            account: request.account,
             tokens,
-            gift: number,
+            number,
         };
         self.log_transfer(EventCode::TokensGiven, from, &transfer);
-        self.send(address, DatagramBody::Give(transfer)).await;
+        self.send(address, DatagramBody::TokenTransfer(transfer))
+            .await;
     }
 
-    pub(super) fn accept_transfer(&self, from: &str, incarnation: u64, transfer: &GiveTokens) {
+    pub(super) fn accept_transfer(&self, from: &str, incarnation: u64, transfer: &TokenTransfer) {
         {
             let mut state = self.gateway.state();
             // The network may deliver a datagram twice; accepting the same transfer twice would
@@ -89,7 +92,7 @@
                 .transfers_accepted
                 .entry((from.to_owned(), incarnation))
                 .or_default()
-                .insert(transfer.gift);
+                .insert(transfer.number);
             if !is_first {
                 return;
             }
@@ -101,9 +104,9 @@
         self.gateway.round_done.notify_waiters();
     }
 
-    pub(super) fn log_transfer(&self, code: EventCode, peer: &str, transfer: &GiveTokens) {
+    pub(super) fn log_transfer(&self, code: EventCode, peer: &str, transfer: &TokenTransfer) {
         let tokens = transfer.tokens.to_string();
-        let number = transfer.gift.to_string();
+        let number = transfer.number.to_string();
         let fields = [
             ("peer", peer),
             ("account", transfer.account.as_str()),
--- a/crates/damaskstile-gateway/src/pressure.rs
+++ b/crates/damaskstile-gateway/src/pressure.rs
@@ -88,7 +88,7 @@
     /// use damaskstile_gateway::pressure::Pressure;
     /// let mut pressure = Pressure::new(1_000_000);
     /// pressure.note_received(Duration::ZERO, 900_000);
-    /// assert!(pressure.is_high(Duration::ZERO));
+    /// assert!(pressure.is_overloaded(Duration::ZERO));
     /// ```
     #[allow(clippy::cast_precision_loss)] // sizes of messages
     pub fn note_received(&mut self, now: Duration, bytes: usize) {
@@ -155,7 +155,7 @@
     /// let samples = [1, 2, 3].map(Duration::from_secs);
     /// let high = samples.map(|now| {
     ///     pressure.sample(now, &sample);
-    ///     pressure.is_high(now)
+    ///     pressure.is_overloaded(now)
     /// });
     /// assert_eq!(high, [false, false, true]);
     /// ```
@@ -176,7 +176,7 @@
                 self.note_overload(now);
             }
         }
-        if self.is_high(now) && self.share(now) >= FULL_SHARE {
+        if self.is_overloaded(now) && self.share(now) >= FULL_SHARE {
             self.overloaded_at = Some(now);
         }
     }
@@ -184,7 +184,7 @@
     /// Returns whether the instance was overloaded within the cool-down and should get no new
     /// connections.
     #[must_use]
-    pub fn is_high(&self, now: Duration) -> bool {
+    pub fn is_overloaded(&self, now: Duration) -> bool {
         let is_recent = |at| now.saturating_sub(at) < self.cool_down;
         self.overloaded_at.is_some_and(is_recent)
     }
@@ -214,7 +214,7 @@
     }
 
     fn note_overload(&mut self, now: Duration) {
-        if !self.is_high(now) {
+        if !self.is_overloaded(now) {
             let is_soon = |at| now.saturating_sub(at) < self.cool_down * 2;
             self.cool_down = if self.overloaded_at.is_some_and(is_soon) {
                 (self.cool_down * COOL_DOWN_GROWTH).min(COOL_DOWN_MAX)
--- a/crates/damaskstile-gateway/src/readiness.rs
+++ b/crates/damaskstile-gateway/src/readiness.rs
@@ -39,7 +39,7 @@
             Self::Starting
         } else if is_young && !state.holder.is_listed() {
             Self::WithoutTokens
-        } else if state.pressure.is_high(now) {
+        } else if state.pressure.is_overloaded(now) {
             Self::Overloaded
         } else {
             Self::Ready
--- a/crates/damaskstile-gateway/src/reply.rs
+++ b/crates/damaskstile-gateway/src/reply.rs
@@ -106,7 +106,7 @@
         let mut response = Response::new(full_body(Bytes::from(body)));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
-        *headers = gateway.dialect.own_answer(id);
+        *headers = gateway.dialect.own_answer_headers(id);
         headers.insert(
             header::CONTENT_TYPE,
             HeaderValue::from_static("application/json"),
--- a/crates/damaskstile-gateway/src/reservation.rs
+++ b/crates/damaskstile-gateway/src/reservation.rs
@@ -140,7 +140,7 @@
     }
 
     /// Records that a complete answer is delivered, whose tokens are not counted on the way.
-    pub fn delivering_whole(&mut self) {
+    pub fn delivering_complete(&mut self) {
         self.ending = Ending::Complete;
         self.update_charge();
     }
--- a/crates/damaskstile-gateway/src/rounds.rs
+++ b/crates/damaskstile-gateway/src/rounds.rs
@@ -45,13 +45,13 @@
         let urgent_wait = gateway.state().holder.urgent_wait(now);
         let wait = urgent_wait.map_or(CHECK_INTERVAL, |wait| wait.min(CHECK_INTERVAL));
         let _ = tokio::time::timeout(wait, gateway.round_wanted.notified()).await;
-        look(&gateway).await;
+        run_if_due(&gateway).await;
         tokio::time::sleep(CALL_INTERVAL).await;
     }
 }
 
 /// Reads the ledger if needed, and writes or reports a round if one is due.
-pub async fn look(gateway: &Gateway) {
+pub async fn run_if_due(gateway: &Gateway) {
     let now = gateway.now();
     let has_catalogue = gateway.state().catalogue.get().is_some();
     if !has_catalogue {
--- a/crates/damaskstile-gateway/src/run.rs
+++ b/crates/damaskstile-gateway/src/run.rs
@@ -14,6 +14,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::answer::AnswerHead;
+use crate::answer_signals;
 use crate::call::SendHead;
 use crate::caller_connection::CallerConnection;
 use crate::gateway::Gateway;
@@ -21,7 +22,6 @@
 use crate::lease::{Lease, SendError};
 use crate::outbound_call::OutboundCall;
 use crate::running::Running;
-use crate::target_says;
 use crate::wait_limit::WaitLimit;
 
 /// An answer whose head has arrived from a target.
@@ -90,7 +90,11 @@
     // meanwhile may have taken the target out of use. Nothing of the call has been sent yet, so any
     // other target may still take it.
     let now = gateway.now();
-    if !gateway.state().book.claim_send(now, &choice.identity()) {
+    if !gateway
+        .state()
+        .target_table
+        .claim_send(now, &choice.identity())
+    {
         return Err(SendFailure::new(SendFailureKind::NotSent, "leaving"));
     }
     if caller.has_disconnected() {
@@ -151,7 +155,7 @@
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
     let mut headers = call.headers.clone();
-    gateway.dialect.dress_send(&mut headers, send);
+    gateway.dialect.set_send_headers(&mut headers, send);
     *request.headers_mut() = headers;
     request
 }
@@ -160,11 +164,13 @@
 fn check_answer(gateway: &Gateway, call: &OutboundCall, run: Run) -> Result<Run, SendFailure> {
     let choice = &run.running.choice;
     let is_own = run.head.id.is_none() || call.id.is_none() || run.head.id == call.id;
-    target_says::handle_head(gateway, &run.head, &run.running, is_own);
+    answer_signals::handle_head(gateway, &run.head, &run.running, is_own);
     if let Some(load) = run.head.load {
         let now = gateway.now();
         let mut state = gateway.state();
-        state.book.report(now, choice, load.running, load.waiting);
+        state
+            .target_table
+            .report(now, choice, load.running, load.waiting);
     }
     // A late answer to an earlier call may arrive where the next one is expected. Passing it on
     // would give this caller another caller's answer. The connection is closed with the run.
@@ -174,7 +180,7 @@
     }
     if run.head.handling == Handling::Misdirected {
         let now = gateway.now();
-        gateway.state().book.leave(now, &choice.identity());
+        gateway.state().target_table.leave(now, &choice.identity());
         return Err(SendFailure::new(SendFailureKind::NotRun, "misdirected"));
     }
     if run.head.handling == Handling::NotRun {
--- a/crates/damaskstile-gateway/src/running.rs
+++ b/crates/damaskstile-gateway/src/running.rs
@@ -25,10 +25,13 @@
         let reading = {
             let now = gateway.now();
             let mut state = gateway.state();
-            state.book.sent(now, &choice, work);
+            state.target_table.sent(now, &choice, work);
             // A message to all peers takes as much of the link as the prompt itself.
-            let has_room = !state.pressure.is_high(now);
-            state.book.prefill_to_report(&choice).filter(|_| has_room)
+            let has_room = !state.pressure.is_overloaded(now);
+            state
+                .target_table
+                .prefill_to_report(&choice)
+                .filter(|_| has_room)
         };
         if let Some(time) = reading {
             // Best effort: a peer that misses the message chooses targets without it.
@@ -54,8 +57,8 @@
     pub fn event(&mut self) {
         if !self.is_prefilled {
             let took = self.gateway.now().saturating_sub(self.sent_at);
-            let book = &mut self.gateway.state().book;
-            book.first_token(&self.choice, &self.work, took);
+            let table = &mut self.gateway.state().target_table;
+            table.first_token(&self.choice, &self.work, took);
         }
         self.prefilled();
     }
@@ -63,18 +66,18 @@
     fn prefilled(&mut self) {
         if !self.is_prefilled {
             self.is_prefilled = true;
-            self.gateway.state().book.prefilled(&self.choice);
+            self.gateway.state().target_table.prefilled(&self.choice);
         }
     }
 
     /// Records whether the target served the call.
     pub fn note(&self, is_success: bool) {
         let now = self.gateway.now();
-        let book = &mut self.gateway.state().book;
+        let table = &mut self.gateway.state().target_table;
         if is_success {
-            book.succeeded(now, &self.choice);
+            table.succeeded(now, &self.choice);
         } else {
-            book.failed(now, &self.choice);
+            table.failed(now, &self.choice);
         }
     }
 
@@ -82,20 +85,23 @@
     pub(crate) fn ended(&self) {
         self.silent();
         let now = self.gateway.now();
-        let book = &mut self.gateway.state().book;
-        book.note_ended(now, &self.choice.identity());
+        let table = &mut self.gateway.state().target_table;
+        table.note_ended(now, &self.choice.identity());
     }
 
     /// Records that the target did not answer at all.
     pub(crate) fn silent(&self) {
         let now = self.gateway.now();
-        self.gateway.state().book.unanswered(now, &self.choice);
+        self.gateway
+            .state()
+            .target_table
+            .unanswered(now, &self.choice);
     }
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
         self.prefilled();
-        self.gateway.state().book.ended(&self.choice);
+        self.gateway.state().target_table.ended(&self.choice);
     }
 }
--- a/crates/damaskstile-gateway/src/send.rs
+++ b/crates/damaskstile-gateway/src/send.rs
@@ -22,7 +22,7 @@
     let now = gateway.now();
     let choice = gateway
         .state()
-        .book
+        .target_table
         .choose(now, service, &call.work, tried)?;
     tried.push(choice.target.clone());
     record.note_choice(&choice);
--- a/crates/damaskstile-gateway/src/state.rs
+++ b/crates/damaskstile-gateway/src/state.rs
@@ -23,13 +23,13 @@
 use crate::clock::BootTime;
 use crate::contact::Contact;
 use crate::content_changes::ContentChanges;
+use crate::delisted_targets::DelistedTargets;
 use crate::follow::Followed;
 use crate::ledger_fault::LedgerFault;
 use crate::member::Member;
 use crate::objects::StoredObject;
 use crate::options::GatewayOptions;
 use crate::pressure::Pressure;
-use crate::target_words::TargetWords;
 use crate::wanted::PullKind;
 
 use lenders::Lenders;
@@ -71,7 +71,7 @@
     /// Routes, services and client accounts.
     pub catalogue: CatalogueInForce,
     /// The target table.
-    pub book: TargetTable,
+    pub target_table: TargetTable,
     /// This instance's share of the budgets.
     pub holder: Holder,
     /// Loans of this instance's tokens to peers.
@@ -100,7 +100,7 @@
     /// Version of the list of targets.
     pub targets_version: Version,
     /// List versions at which targets were gone.
-    pub target_words: TargetWords,
+    pub delisted_targets: DelistedTargets,
     /// List versions at which entries changed.
     pub list_changes: ListChanges,
     /// Whether the next pull requests the whole list because this instance's list differs from a
@@ -151,7 +151,7 @@
         let address = options.peers_address.to_string();
         Self {
             catalogue: CatalogueInForce::default(),
-            book: TargetTable::new(&identity.data_centre, options.book.clone())
+            target_table: TargetTable::new(&identity.data_centre, options.target_table.clone())
                 .for_instance(&identity.instance, started_at),
             random: Random::new(identity.incarnation),
             instance: identity.instance.clone(),
@@ -176,7 +176,7 @@
             ledger_fault: None,
             store_history: None,
             targets_version: 0,
-            target_words: TargetWords::default(),
+            delisted_targets: DelistedTargets::default(),
             list_changes: ListChanges::default(),
             wants_whole_list: false,
             compared_at: None,
@@ -232,7 +232,7 @@
             catalogue: Arc::clone(&catalogue),
         };
         self.retry_budget(now, &terms.service).add_request();
-        self.book.set_instances(self.holder.instances());
+        self.target_table.set_instances(self.holder.instances());
         Ok(terms)
     }
 
@@ -265,9 +265,14 @@
     /// hold twice the tokens of a long call; asking only one peer refused calls although the peers
     /// together held enough.
     #[must_use]
-    pub fn givers(&self, now: Duration, account: &str, tokens: u64) -> Vec<(SocketAddr, u64)> {
+    pub fn token_senders(
+        &self,
+        now: Duration,
+        account: &str,
+        tokens: u64,
+    ) -> Vec<(SocketAddr, u64)> {
         let mut missing = tokens;
-        let mut givers = Vec::new();
+        let mut token_senders = Vec::new();
         for (free, address, _) in self
             .members_by_free_tokens(now, account)
             .iter()
@@ -275,14 +280,14 @@
         {
             let part = missing.min(free / 2);
             if part > 0 {
-                givers.push((*address, part));
+                token_senders.push((*address, part));
                 missing -= part;
             }
         }
         if missing > 0 {
-            givers.clear();
+            token_senders.clear();
         }
-        givers
+        token_senders
     }
 
     /// Returns the free tokens of an account that peers last reported, largest first.
@@ -318,7 +323,9 @@
         tried: &[TargetId],
     ) -> bool {
         self.retry_budget(now, service).can_retry(now)
-            && self.book.has_other_target(now, service, work, tried)
+            && self
+                .target_table
+                .has_other_target(now, service, work, tried)
     }
 
     fn retry_budget(&mut self, now: Duration, service: &str) -> &mut RetryBudget {
--- a/crates/damaskstile-gateway/src/state/targets.rs
+++ b/crates/damaskstile-gateway/src/state/targets.rs
@@ -19,7 +19,7 @@
     /// Applies the whole list of targets as of a version, unless a newer one is known: a list that
     /// was requested earlier may arrive late over a saturated link. Returns the newly refused
     /// entries.
-    pub fn take_list(
+    pub fn apply_list(
         &mut self,
         now: Duration,
         version: Version,
@@ -29,16 +29,16 @@
         if version < self.targets_version {
             return Vec::new();
         }
-        let all = self.target_words.take_list(version, all);
+        let all = self.delisted_targets.filter_list(version, all);
         self.targets_version = version;
-        let refused = self.book.list_all(now, all, is_around_outage);
-        self.book.take_touched();
+        let refused = self.target_table.list_all(now, all, is_around_outage);
+        self.target_table.take_touched();
         self.list_changes.restart(version);
         refused
     }
 
     /// Applies the changes in the list up to a version.
-    pub fn take_list_changes(
+    pub fn apply_list_changes(
         &mut self,
         now: Duration,
         version: Version,
@@ -51,13 +51,13 @@
         let touched: Vec<TargetId> = listed.chain(&changes.gone).cloned().collect();
         self.list_changes.note(version, touched);
         for target in changes.gone {
-            if self.book.is_listed(&target) {
-                self.book.unlist(now, &target, is_around_outage);
+            if self.target_table.is_listed(&target) {
+                self.target_table.unlist(now, &target, is_around_outage);
             }
         }
         for listed in changes.listed {
-            if self.target_words.take_entry(version, &listed.target) {
-                self.book.list(now, listed);
+            if self.delisted_targets.accept_entry(version, &listed.target) {
+                self.target_table.list(now, listed);
             }
         }
         self.note_changes(version);
@@ -65,7 +65,7 @@
 
     /// Records the targets touched by the latest updates as changes of a version of the list.
     pub fn note_changes(&mut self, version: Version) {
-        let touched = self.book.take_touched();
+        let touched = self.target_table.take_touched();
         self.list_changes.note(version, touched);
     }
 
@@ -78,28 +78,29 @@
         identity: &TargetIdentity,
         version: Version,
     ) -> bool {
-        if version <= self.targets_version && self.book.is_listed(&identity.target) {
+        if version <= self.targets_version && self.target_table.is_listed(&identity.target) {
             return false;
         }
-        self.target_words.note_gone(&identity.target, version);
-        self.book.delist(now, identity)
+        self.delisted_targets
+            .note_delisted(&identity.target, version);
+        self.target_table.delist(now, identity)
     }
 
     /// Returns the recently delisted targets, to report to peers, with the versions at which they
     /// were gone.
     #[must_use]
-    pub fn vanished(&self, now: Duration) -> Vec<(TargetIdentity, Version)> {
+    pub fn delisted(&self, now: Duration) -> Vec<(TargetIdentity, Version)> {
         let with_version = |identity: TargetIdentity| {
-            let reported = self.target_words.gone_at(&identity.target);
+            let reported = self.delisted_targets.delisted_at(&identity.target);
             // A target that this instance's list does not name is gone at the list's version.
-            let own = if self.book.is_listed(&identity.target) {
+            let own = if self.target_table.is_listed(&identity.target) {
                 0
             } else {
                 self.targets_version
             };
             (identity, reported.max(own))
         };
-        let vanished = self.book.delisted(now).into_iter();
-        vanished.map(with_version).collect()
+        let delisted = self.target_table.delisted(now).into_iter();
+        delisted.map(with_version).collect()
     }
 }
--- a/crates/damaskstile-gateway/src/stop.rs
+++ b/crates/damaskstile-gateway/src/stop.rs
@@ -75,7 +75,7 @@
             break;
         }
         if !is_handed_back {
-            rounds::look(gateway).await;
+            rounds::run_if_due(gateway).await;
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
--- a/crates/damaskstile-gateway/src/suspicion.rs
+++ b/crates/damaskstile-gateway/src/suspicion.rs
@@ -52,17 +52,17 @@
             let _ = self.outbox.try_send(Outgoing::Suspect(content));
         }
         if !changes.quarantined.is_empty() {
-            self.news.notify_one();
+            self.gossip_wanted.notify_one();
         }
     }
 
     /// Handles a peer's report. A quarantine is passed on at once: in a large fleet a digest
     /// reaches only a few peers, and the same content is likely to be sent to any instance next.
-    pub(crate) fn hear_suspect(&self, from: &str, word: SuspectReport) {
+    pub(crate) fn receive_suspect_report(&self, from: &str, report: SuspectReport) {
         let now = self.now();
-        let changes = self.state().suspects.merge_report(now, word);
+        let changes = self.state().suspects.merge_report(now, report);
         if !changes.quarantined.is_empty() {
-            self.news.notify_one();
+            self.gossip_wanted.notify_one();
         }
         self.log_changes(from, &changes);
     }
--- a/crates/damaskstile-gateway/src/target_list.rs
+++ b/crates/damaskstile-gateway/src/target_list.rs
@@ -24,7 +24,7 @@
     let now = gateway.now();
     let mut state = gateway.state();
     let is_around_outage = state.contact.is_around_outage(now);
-    let refused = state.take_list(now, listing.version, all, is_around_outage);
+    let refused = state.apply_list(now, listing.version, all, is_around_outage);
     drop(state);
     for entry in refused {
         note_refused(gateway, &entry, listing.version);
@@ -47,15 +47,19 @@
     // A lagging watch may deliver entries that are older than what peers reported. An unreadable
     // entry may also lack its version; it arrived last, so it is applied.
     let has_version = object.version > 0;
-    if has_version && !state.target_words.take_entry(object.version, &object.name) {
+    if has_version
+        && !state
+            .delisted_targets
+            .accept_entry(object.version, &object.name)
+    {
         return false;
     }
     let is_news = match entry {
-        Ok(listed) => state.book.list(now, listed),
-        Err(refused) => state.book.refuse(&refused),
+        Ok(listed) => state.target_table.list(now, listed),
+        Err(refused) => state.target_table.refuse(&refused),
     };
     // A valid entry may be refused too, because of other entries under its name.
-    let fault = state.book.fault(&object.name).map(str::to_owned);
+    let fault = state.target_table.fault(&object.name).map(str::to_owned);
     drop(state);
     if !is_news {
         return false;
@@ -91,13 +95,13 @@
     let now = gateway.now();
     let mut state = gateway.state();
     // A newer list names the target: it has come back since.
-    if version < state.targets_version && state.book.is_listed(name) {
+    if version < state.targets_version && state.target_table.is_listed(name) {
         return false;
     }
     let is_around_outage = state.contact.is_around_outage(now);
-    state.book.unlist(now, name, is_around_outage);
+    state.target_table.unlist(now, name, is_around_outage);
     drop(state);
-    gateway.news.notify_one();
+    gateway.gossip_wanted.notify_one();
     gateway.metrics.forget_target(name);
     let around = is_around_outage.to_string();
     gateway.log(
--- a/crates/damaskstile-gateway/tests/behind.rs
+++ b/crates/damaskstile-gateway/tests/behind.rs
@@ -106,13 +106,13 @@
     tokio::time::timeout(LIMIT, waiting).await.unwrap();
 }
 
-fn take_list(gateway: &Gateway, version: Version, names: &[&str], is_around_outage: bool) {
+fn apply_list(gateway: &Gateway, version: Version, names: &[&str], is_around_outage: bool) {
     let now = gateway.now();
     let all = names.iter().map(|name| Ok(listed(name, unused_address())));
     let all = all.collect();
     gateway
         .state()
-        .take_list(now, version, all, is_around_outage);
+        .apply_list(now, version, all, is_around_outage);
 }
 
 #[tokio::test]
@@ -127,7 +127,7 @@
     let gateway = gateway(unused_address(), known);
     tokio::spawn(follow(Arc::clone(&gateway), Followed::Targets));
     wait_for(|| store.watches() == 1).await;
-    take_list(&gateway, NEWER, &["t0", "t1"], false);
+    apply_list(&gateway, NEWER, &["t0", "t1"], false);
 
     // Act
     store.release.notify_one();
@@ -135,7 +135,7 @@
 
     // Assert
     let now = gateway.now();
-    assert!(gateway.state().vanished(now).is_empty());
+    assert!(gateway.state().delisted(now).is_empty());
     assert!(choose(&gateway, &["t1"]).is_some());
 }
 
@@ -163,17 +163,17 @@
     let listener = TcpListener::bind(unused_address()).await.unwrap();
     let watcher_address = listener.local_addr().unwrap();
     let watcher = gateway(watcher_address, Arc::clone(&store));
-    take_list(&watcher, LISTED, &["t0", "t1"], false);
+    apply_list(&watcher, LISTED, &["t0", "t1"], false);
     let now = watcher.now();
     watcher.state().contact.failed(now);
-    take_list(&watcher, NEWER, &["t1"], true);
+    apply_list(&watcher, NEWER, &["t1"], true);
     tokio::spawn(serve_pulls(Arc::clone(&watcher), listener));
     let own = UdpSocket::bind(unused_address()).await.unwrap();
     let own_address = own.local_addr().unwrap();
     drop(own);
     let follower = gateway(own_address, store);
-    take_list(&follower, LISTED, &["t0", "t1"], false);
-    tokio::spawn(Peers::try_new(&follower).await.unwrap().hear());
+    apply_list(&follower, LISTED, &["t0", "t1"], false);
+    tokio::spawn(Peers::try_new(&follower).await.unwrap().receive());
 
     // Act
     let socket = UdpSocket::bind(watcher_address).await.unwrap();
--- a/crates/damaskstile-gateway/tests/charges.rs
+++ b/crates/damaskstile-gateway/tests/charges.rs
@@ -6,14 +6,14 @@
 
 use damaskstile_gateway::reservation::Reservation;
 use damaskstile_targets::Work;
-use support::{Away, gateway, unused_address};
+use support::{UnreachableStore, gateway, unused_address};
 
 const PROMPT_TOKENS: u64 = 6_000;
 const OUTPUT_TOKENS: u64 = 400;
 const TOKENS_PER_EVENT: u64 = 5;
 
 fn reservation() -> Reservation {
-    let gateway = gateway(unused_address(), Arc::new(Away));
+    let gateway = gateway(unused_address(), Arc::new(UnreachableStore));
     let work = Work {
         prompt_tokens: PROMPT_TOKENS,
         output_tokens: OUTPUT_TOKENS,
@@ -124,7 +124,7 @@
     reservation.sending();
 
     // Act
-    reservation.delivering_whole();
+    reservation.delivering_complete();
 
     // Assert
     assert_eq!(reservation.used_tokens(), PROMPT_TOKENS + OUTPUT_TOKENS);
--- a/crates/damaskstile-gateway/tests/givers.rs
+++ b/crates/damaskstile-gateway/tests/givers.rs
@@ -8,7 +8,7 @@
 use damaskstile_gateway::gateway::Gateway;
 use damaskstile_gateway::member::Member;
 use damaskstile_gateway::peers::{AccountTokens, Digest};
-use support::{Away, gateway, unused_address};
+use support::{UnreachableStore, gateway, unused_address};
 
 const ACCOUNT: &str = "account";
 
@@ -18,7 +18,7 @@
 
 /// Makes an instance that knows peers with these numbers of free tokens, at ports from 1 on.
 fn with_peers(free_tokens: &[u64]) -> Arc<Gateway> {
-    let gateway = gateway(unused_address(), Arc::new(Away));
+    let gateway = gateway(unused_address(), Arc::new(UnreachableStore));
     let now = gateway.now();
     for (port, tokens) in (1..).zip(free_tokens) {
         let digest = Digest {
@@ -35,8 +35,10 @@
     gateway
 }
 
-fn givers(gateway: &Gateway, tokens: u64) -> Vec<(SocketAddr, u64)> {
-    gateway.state().givers(gateway.now(), ACCOUNT, tokens)
+fn token_senders(gateway: &Gateway, tokens: u64) -> Vec<(SocketAddr, u64)> {
+    gateway
+        .state()
+        .token_senders(gateway.now(), ACCOUNT, tokens)
 }
 
 #[test]
@@ -45,7 +47,7 @@
     let gateway = with_peers(&[3_000, 30_000, 9_000]);
 
     // Act
-    let asked = givers(&gateway, 12_000);
+    let asked = token_senders(&gateway, 12_000);
 
     // Assert
     assert_eq!(asked, [(address(2), 12_000)]);
@@ -62,7 +64,7 @@
     let gateway = with_peers(&[4_000, 10_000, 8_000, 6_000, 2_000]);
 
     // Act
-    let asked = givers(&gateway, 12_000);
+    let asked = token_senders(&gateway, 12_000);
 
     // Assert: each keeps half, the richest is asked first, and the last one sends the rest.
     let parts = [
@@ -79,7 +81,7 @@
     let gateway = with_peers(&[1_000; 2_000]);
 
     // Act
-    let asked = givers(&gateway, 12_000);
+    let asked = token_senders(&gateway, 12_000);
 
     // Assert: the call is refused at once.
     assert_eq!(asked, []);
--- a/crates/damaskstile-gateway/tests/list_changes.rs
+++ b/crates/damaskstile-gateway/tests/list_changes.rs
@@ -10,7 +10,7 @@
 use damaskstile_gateway::state::{ReportedChanges, State};
 use damaskstile_targets::Listed;
 use proptest::prelude::*;
-use support::{Away, gateway, listed, unused_address};
+use support::{UnreachableStore, gateway, listed, unused_address};
 
 /// Number of target names.
 const TARGETS: u64 = 6;
@@ -52,7 +52,7 @@
 }
 
 fn new_instance() -> Arc<Gateway> {
-    gateway(unused_address(), Arc::new(Away))
+    gateway(unused_address(), Arc::new(UnreachableStore))
 }
 
 /// Returns the answer to an instance that knows the list as of a version: the changes, or the whole
@@ -62,14 +62,14 @@
     let changes = names.map(|names| {
         let mut changes = ReportedChanges::default();
         for target in names {
-            match state.book.present_entry(target) {
+            match state.target_table.present_entry(target) {
                 Some(entry) => changes.listed.push(entry.clone()),
                 None => changes.gone.push(target.clone()),
             }
         }
         changes
     });
-    let all = state.book.present().cloned().collect();
+    let all = state.target_table.present().cloned().collect();
     (state.targets_version, changes, all)
 }
 
@@ -81,16 +81,16 @@
         return;
     }
     if let Some(changes) = changes {
-        state.take_list_changes(now, version, changes, false);
+        state.apply_list_changes(now, version, changes, false);
     } else {
         let all = all.into_iter().map(Ok).collect();
-        state.take_list(now, version, all, false);
+        state.apply_list(now, version, all, false);
     }
 }
 
 fn names(gateway: &Gateway) -> Vec<TargetIdentity> {
     let state = gateway.state();
-    state.book.present().map(Listed::identity).collect()
+    state.target_table.present().map(Listed::identity).collect()
 }
 
 #[test]
@@ -103,18 +103,18 @@
     let watcher = new_instance();
     let [early, middle, late] = [(); 3].map(|()| new_instance());
     let now = Duration::ZERO;
-    watcher.state().take_list(now, 10, Vec::new(), false);
+    watcher.state().apply_list(now, 10, Vec::new(), false);
     pull(&early, &watcher, now);
     {
         let mut state = watcher.state();
-        state.book.list(now, entry(5, 1, true));
+        state.target_table.list(now, entry(5, 1, true));
         state.targets_version = 12;
         state.note_changes(12);
     }
     pull(&middle, &watcher, now);
     {
         let mut state = watcher.state();
-        state.book.unlist(now, "t5", false);
+        state.target_table.unlist(now, "t5", false);
         state.targets_version = 16;
         state.note_changes(16);
     }
@@ -141,7 +141,7 @@
         all.push(Arc::clone(&watcher));
         let mut version = 10;
         let mut starts: BTreeMap<u64, u64> = BTreeMap::new();
-        watcher.state().take_list(Duration::ZERO, version, Vec::new(), false);
+        watcher.state().apply_list(Duration::ZERO, version, Vec::new(), false);
 
         // Act
         for (index, step) in steps.into_iter().enumerate() {
@@ -153,13 +153,13 @@
                     let start = starts.entry(target).or_default();
                     *start += later;
                     let listed = entry(target, *start, true);
-                    state.book.list(now, listed);
+                    state.target_table.list(now, listed);
                 }
                 Step::Drain(target) => {
                     let start = starts.get(&target).copied().unwrap_or(1);
-                    state.book.list(now, entry(target, start, false));
+                    state.target_table.list(now, entry(target, start, false));
                 }
-                Step::Gone(target) => state.book.unlist(now, &format!("t{target}"), false),
+                Step::Gone(target) => state.target_table.unlist(now, &format!("t{target}"), false),
                 Step::Pull(to, from) => {
                     drop(state);
                     if to != from {
@@ -184,8 +184,8 @@
         // Assert
         for follower in &all[..FOLLOWERS] {
             prop_assert_eq!(names(follower), names(&watcher));
-            let own = follower.state().book.content_hash(end * 2);
-            prop_assert_eq!(own, watcher.state().book.content_hash(end * 2));
+            let own = follower.state().target_table.content_hash(end * 2);
+            prop_assert_eq!(own, watcher.state().target_table.content_hash(end * 2));
         }
     }
 }
--- a/crates/damaskstile-gateway/tests/lists.rs
+++ b/crates/damaskstile-gateway/tests/lists.rs
@@ -93,16 +93,16 @@
     let store = Arc::new(SlowStore::default());
     let known: Arc<dyn ObjectStore> = Arc::<SlowStore>::clone(&store);
     let gateway = gateway(peers_address, known);
-    take_list(&gateway, version, &["t0", "t1"]);
+    apply_list(&gateway, version, &["t0", "t1"]);
     (gateway, store)
 }
 
 /// Sets the list of an instance as if it was read whole.
-fn take_list(gateway: &Gateway, version: Version, names: &[&str]) {
+fn apply_list(gateway: &Gateway, version: Version, names: &[&str]) {
     let now = gateway.now();
     let all = names.iter().map(|name| Ok(listed(name, unused_address())));
     let mut state = gateway.state();
-    state.book.list_all(now, all.collect(), false);
+    state.target_table.list_all(now, all.collect(), false);
     state.targets_version = version;
 }
 
@@ -114,7 +114,7 @@
     let now = gateway.now();
     gateway.state().contact.failed(now);
     let peers = Peers::try_new(&gateway).await.unwrap();
-    tokio::spawn(peers.hear());
+    tokio::spawn(peers.receive());
     (gateway, address)
 }
 
@@ -190,7 +190,7 @@
     tokio::spawn(follow(Arc::clone(&gateway), Followed::Targets));
 
     // Act
-    take_list(&gateway, 290, &["t1"]);
+    apply_list(&gateway, 290, &["t1"]);
     store.is_released.notify_one();
     tokio::time::timeout(WAIT_LIMIT, store.is_watched.notified())
         .await
@@ -249,7 +249,7 @@
         .collect();
     let names = names.iter().map(String::as_str).skip(2);
     let names: Vec<&str> = ["t0", "t1"].into_iter().chain(names).collect();
-    take_list(&peer, 290, &names);
+    apply_list(&peer, 290, &names);
     let socket = UdpSocket::bind(peer_address).await.unwrap();
 
     // Act
@@ -259,7 +259,10 @@
 
     // Assert
     let now = gateway.now();
-    assert_eq!(gateway.state().book.usable_targets(now, SERVICE), TARGETS);
+    assert_eq!(
+        gateway.state().target_table.usable_targets(now, SERVICE),
+        TARGETS
+    );
 }
 
 /// Makes an instance with peers, none of which is in touch with the store.
@@ -286,8 +289,8 @@
 /// Has an instance send its digest once, and returns the number of peers that receive it.
 async fn send_digests_once(gateway: &Arc<Gateway>, sockets: &[UdpSocket]) -> usize {
     let peers = Peers::try_new(gateway).await.unwrap();
-    let sending = tokio::spawn(peers.tell());
-    gateway.news.notify_one();
+    let sending = tokio::spawn(peers.send_digests());
+    gateway.gossip_wanted.notify_one();
     tokio::time::sleep(ROUND).await;
     sending.abort();
     let mut buffer = [0; 2048];
--- a/crates/damaskstile-gateway/tests/messages.rs
+++ b/crates/damaskstile-gateway/tests/messages.rs
@@ -2,7 +2,7 @@
 //! round-trip.
 
 use damaskstile_core::prelude::TargetIdentity;
-use damaskstile_gateway::peers::{AccountTokens, Datagram, DatagramBody, Digest, GiveTokens};
+use damaskstile_gateway::peers::{AccountTokens, Datagram, DatagramBody, Digest, TokenTransfer};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use prost::Message;
@@ -36,14 +36,17 @@
         }],
         ..Digest::default()
     };
-    let gift = GiveTokens {
+    let transfer = TokenTransfer {
         account: "a".to_owned(),
         tokens: 4,
-        gift: 1,
+        number: 1,
     };
 
     // Act and assert
-    for body in [DatagramBody::Digest(digest), DatagramBody::Give(gift)] {
+    for body in [
+        DatagramBody::Digest(digest),
+        DatagramBody::TokenTransfer(transfer),
+    ] {
         let datagram = Datagram {
             from: "one".to_owned(),
             incarnation: 3,
@@ -63,17 +66,17 @@
     // Arrange
     let identity = TargetIdentity::new;
     let leaving = [identity("old", None), identity("new", Some(7))];
-    let vanished = [
+    let delisted = [
         (identity("gone", None), 41),
         (identity("back", Some(9)), 40),
     ];
 
     // Act
-    let digest = Digest::default().with_departures(&leaving, &vanished);
+    let digest = Digest::default().with_departures(&leaving, &delisted);
     let read = Digest::decode(digest.encode_to_vec().as_slice()).unwrap();
 
     // Assert
     assert_eq!(read.leaving, ["old"]);
     assert_eq!(read.all_leaving(), leaving);
-    assert_eq!(read.vanished_with_versions(), vanished);
+    assert_eq!(read.delisted_with_versions(), delisted);
 }
--- a/crates/damaskstile-gateway/tests/pressure.rs
+++ b/crates/damaskstile-gateway/tests/pressure.rs
@@ -42,7 +42,7 @@
 
     // Assert: half of the calls go elsewhere, except for a quarter of a second's worth that is
     // queued.
-    assert!(pressure.is_high(span));
+    assert!(pressure.is_overloaded(span));
     assert!((250..=300).contains(&refused), "{refused}");
 }
 
@@ -57,7 +57,7 @@
     (0..20).for_each(|_| pressure.note_received(span, CALL_BYTES));
 
     // Assert
-    assert!(!pressure.is_high(span));
+    assert!(!pressure.is_overloaded(span));
 }
 
 #[test]
@@ -74,11 +74,11 @@
     let refused = load(&mut pressure, 60, ms(5_000), ms(6_000));
     assert_eq!(refused, 0);
     pressure.sample(ms(11_000), &LoadSample::default());
-    assert!(pressure.is_high(ms(11_000)));
+    assert!(pressure.is_overloaded(ms(11_000)));
 
     // Nearly idle: new connections are accepted after the cool-down.
-    assert!(pressure.is_high(ms(26_000)));
-    assert!(!pressure.is_high(ms(28_000)));
+    assert!(pressure.is_overloaded(ms(26_000)));
+    assert!(!pressure.is_overloaded(ms(28_000)));
 }
 
 #[test]
@@ -95,7 +95,7 @@
 
     // Assert: a quarter of a second of the usable link is admitted.
     assert!((20..=30).contains(&admitted), "{admitted}");
-    assert!(pressure.is_high(Duration::ZERO));
+    assert!(pressure.is_overloaded(Duration::ZERO));
     assert!(pressure.admit(Duration::from_secs(1), CALL_BYTES, WITHIN));
 }
 
@@ -129,7 +129,7 @@
     // the refusals.
     let last: u32 = admitted[12..].iter().sum();
     assert!((8 * 12..=8 * 20).contains(&last), "{admitted:?}");
-    assert!(pressure.is_high(span * 20));
+    assert!(pressure.is_overloaded(span * 20));
 }
 
 #[test]
@@ -228,10 +228,10 @@
             }
             let at = self.callers[index];
             let pressure = &mut self.instances[at];
-            let was_high = pressure.is_high(now);
+            let was_overloaded = pressure.is_overloaded(now);
             pressure.note_received(now, CALL_BYTES);
             let is_admitted = pressure.admit(now, CALL_BYTES, WITHIN);
-            self.overloads += usize::from(!was_high && pressure.is_high(now));
+            self.overloads += usize::from(!was_overloaded && pressure.is_overloaded(now));
             self.refused += usize::from(!is_admitted);
             if !is_admitted {
                 self.callers[index] = self.first_in_rotation();
@@ -249,7 +249,7 @@
                     ..LoadSample::default()
                 },
             );
-            *failed_checks = if pressure.is_high(now) {
+            *failed_checks = if pressure.is_overloaded(now) {
                 *failed_checks + 1
             } else {
                 0
--- a/crates/damaskstile-gateway/tests/sends.rs
+++ b/crates/damaskstile-gateway/tests/sends.rs
@@ -19,7 +19,7 @@
 use damaskstile_targets::Work;
 use futures_util::poll;
 use http::{HeaderMap, Method, Uri};
-use support::{Away, SERVICE, choose, gateway, listed, unused_address};
+use support::{SERVICE, UnreachableStore, choose, gateway, listed, unused_address};
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{Instant, timeout};
@@ -92,9 +92,12 @@
 async fn send_with(meanwhile: impl FnOnce(&Gateway)) -> (Option<SendFailure>, Vec<u8>) {
     let listener = TcpListener::bind(unused_address()).await.unwrap();
     let address = listener.local_addr().unwrap();
-    let gateway = gateway(unused_address(), Arc::new(Away));
+    let gateway = gateway(unused_address(), Arc::new(UnreachableStore));
     let now = gateway.now();
-    gateway.state().book.list(now, listed("t0", address));
+    gateway
+        .state()
+        .target_table
+        .list(now, listed("t0", address));
     let (call, terms) = (outbound_call(), terms());
     let choice = choose(&gateway, &[]).unwrap();
     let reading = tokio::spawn(read_all(listener));
@@ -127,7 +130,7 @@
     let (failure, read) = send_with(|gateway| {
         let now = gateway.now();
         let target = TargetIdentity::new("t0", None);
-        gateway.state().book.leave(now, &target);
+        gateway.state().target_table.leave(now, &target);
     })
     .await;
 
@@ -147,7 +150,7 @@
     // Arrange and act
     let (failure, read) = send_with(|gateway| {
         let now = gateway.now();
-        gateway.state().book.unlist(now, "t0", false);
+        gateway.state().target_table.unlist(now, "t0", false);
     })
     .await;
 
@@ -193,10 +196,13 @@
 
     // Arrange
     let (listener, _queued) = unresponsive_target().await;
-    let gateway = gateway(unused_address(), Arc::new(Away));
+    let gateway = gateway(unused_address(), Arc::new(UnreachableStore));
     let now = gateway.now();
     let address = listener.local_addr().unwrap();
-    gateway.state().book.list(now, listed("t0", address));
+    gateway
+        .state()
+        .target_table
+        .list(now, listed("t0", address));
     let (call, terms) = (outbound_call(), terms());
     let choice = choose(&gateway, &[]).unwrap();
     let (caller, _stream) = caller().await;
--- a/crates/damaskstile-gateway/tests/step_down.rs
+++ b/crates/damaskstile-gateway/tests/step_down.rs
@@ -14,7 +14,7 @@
 use damaskstile_gateway::member::Member;
 use damaskstile_gateway::objects::{Change, Listing, ObjectStore, StoreResult, StoredObject};
 use damaskstile_gateway::peers::Digest;
-use damaskstile_gateway::proof;
+use damaskstile_gateway::store_probe;
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
 use support::gateway;
@@ -129,7 +129,7 @@
     let failed_at = gateway.now();
     gateway.state().contact.failed(failed_at);
     hear_peers(&gateway);
-    tokio::spawn(proof::keep(Arc::clone(&gateway)));
+    tokio::spawn(store_probe::keep(Arc::clone(&gateway)));
 
     // Act
     let until = failed_at + 2 * LIMIT;
--- a/crates/damaskstile-gateway/tests/support/mod.rs
+++ b/crates/damaskstile-gateway/tests/support/mod.rs
@@ -37,15 +37,15 @@
         CallHead::default()
     }
 
-    fn dress_send(&self, _headers: &mut HeaderMap, _send: &SendHead<'_>) {}
+    fn set_send_headers(&self, _headers: &mut HeaderMap, _send: &SendHead<'_>) {}
 
     fn read_answer(&self, _head: &response::Parts) -> AnswerHead {
         AnswerHead::default()
     }
 
-    fn dress_answer(&self, _headers: &mut HeaderMap) {}
+    fn set_answer_headers(&self, _headers: &mut HeaderMap) {}
 
-    fn own_answer(&self, _id: Option<&str>) -> HeaderMap {
+    fn own_answer_headers(&self, _id: Option<&str>) -> HeaderMap {
         HeaderMap::new()
     }
 }
@@ -62,11 +62,11 @@
         "targets"
     }
 
-    fn emptied_kind(&self) -> &'static str {
+    fn evacuated_kind(&self) -> &'static str {
         "emptied"
     }
 
-    fn emptied(&self, name: &str) -> Result<DataCentreId, String> {
+    fn evacuated(&self, name: &str) -> Result<DataCentreId, String> {
         Ok(name.to_owned())
     }
 
@@ -81,9 +81,9 @@
 
 /// A store that is unreachable.
 #[derive(Debug)]
-pub struct Away;
+pub struct UnreachableStore;
 
-impl ObjectStore for Away {
+impl ObjectStore for UnreachableStore {
     fn list<'a>(&'a self, _kind: &'a str) -> BoxFuture<'a, StoreResult<Listing>> {
         no_answer()
     }
@@ -144,7 +144,7 @@
         retry_percent: 20,
         extra_retries_per_s: 5,
         escrow: EscrowOptions::default(),
-        book: TargetTableOptions::default(),
+        target_table: TargetTableOptions::default(),
         cold: ColdOptions::default(),
     };
     let log = Logger::root(Discard, o!());
@@ -175,6 +175,6 @@
 pub fn choose(gateway: &Gateway, tried: &[&str]) -> Option<Choice> {
     let now = gateway.now();
     let tried: Vec<TargetId> = tried.iter().map(|target| (*target).to_owned()).collect();
-    let book = &gateway.state().book;
-    book.choose(now, SERVICE, &Work::default(), &tried)
+    let table = &gateway.state().target_table;
+    table.choose(now, SERVICE, &Work::default(), &tried)
 }
--- a/crates/damaskstile-gateway/tests/suspects.rs
+++ b/crates/damaskstile-gateway/tests/suspects.rs
@@ -10,7 +10,7 @@
 use damaskstile_gateway::member::Member;
 use damaskstile_gateway::peers::Digest;
 use damaskstile_requests::{Content, Fingerprint};
-use support::{Away, gateway, unused_address};
+use support::{UnreachableStore, gateway, unused_address};
 
 fn address(index: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 10_000 + index))
@@ -18,7 +18,7 @@
 
 /// Creates an instance that knows this many peers.
 fn instance_among(peers: u16) -> Arc<Gateway> {
-    let gateway = gateway(unused_address(), Arc::new(Away));
+    let gateway = gateway(unused_address(), Arc::new(UnreachableStore));
     let now = gateway.now();
     for index in 0..peers {
         let digest = Digest {
--- a/crates/damaskstile-gateway/tests/told_targets.rs
+++ b/crates/damaskstile-gateway/tests/told_targets.rs
@@ -12,7 +12,7 @@
 use damaskstile_targets::Listed;
 use futures_util::{SinkExt, StreamExt};
 use prost::Message;
-use support::{Away, gateway};
+use support::{UnreachableStore, gateway};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
@@ -48,9 +48,9 @@
     let pid = std::process::id();
     let (high, low) = (100 + pid % 100, pid / 100 % 250);
     let address = format!("127.{high}.{low}.{test}:7200");
-    let gateway = gateway(address.parse().unwrap(), Arc::new(Away));
+    let gateway = gateway(address.parse().unwrap(), Arc::new(UnreachableStore));
     let peers = Peers::try_new(&gateway).await.unwrap();
-    tokio::spawn(peers.hear());
+    tokio::spawn(peers.receive());
     (gateway, address)
 }
 
@@ -109,7 +109,10 @@
     let (gateway, address) = instance(1).await;
     for (name, incarnation) in [("t0", 5), ("t1", 6)] {
         let now = gateway.now();
-        gateway.state().book.list(now, listed(name, incarnation));
+        gateway
+            .state()
+            .target_table
+            .list(now, listed(name, incarnation));
     }
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let peer_address = listener.local_addr().unwrap();
@@ -142,8 +145,8 @@
     // Assert: one target is gone and one is kept with its incarnation. A new one without
     // incarnation is not used while others have one, until the instance lists the targets itself.
     let state = gateway.state();
-    let incarnations: Vec<_> = state.book.present().map(Listed::identity).collect();
-    assert_eq!(state.book.usable_targets(gateway.now(), SERVICE), 1);
+    let incarnations: Vec<_> = state.target_table.present().map(Listed::identity).collect();
+    assert_eq!(state.target_table.usable_targets(gateway.now(), SERVICE), 1);
     assert_eq!(incarnations, [TargetIdentity::new("t1", Some(6))]);
 }
 
@@ -159,7 +162,7 @@
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let delisted_at = |version| [(TargetIdentity::new("t0", Some(5)), version)];
     let now = gateway.now();
-    gateway.state().book.list(now, listed("t0", 5));
+    gateway.state().target_table.list(now, listed("t0", 5));
     gateway.state().targets_version = 9;
     for from in WATCHERS {
         send_digest(&socket, &address, from, digest(9)).await;
@@ -169,14 +172,14 @@
     let older = digest(8).with_departures(&[], &delisted_at(8));
     send_digest(&socket, &address, "late", older).await;
     wait_for_digest(&gateway, "late").await;
-    let after_older = gateway.state().book.usable_targets(now, SERVICE);
+    let after_older = gateway.state().target_table.usable_targets(now, SERVICE);
     let newer = digest(10).with_departures(&[], &delisted_at(10));
     send_digest(&socket, &address, "timely", newer).await;
     wait_for_digest(&gateway, "timely").await;
 
     // Assert
     assert_eq!(after_older, 1);
-    assert_eq!(gateway.state().book.usable_targets(now, SERVICE), 0);
+    assert_eq!(gateway.state().target_table.usable_targets(now, SERVICE), 0);
 }
 
 async fn wait_for_digest(gateway: &Gateway, peer: &str) {
--- a/crates/damaskstile-gateway/tests/writers.rs
+++ b/crates/damaskstile-gateway/tests/writers.rs
@@ -50,7 +50,7 @@
         retry_percent: 20,
         extra_retries_per_s: 5,
         escrow: EscrowOptions::default(),
-        book: TargetTableOptions::default(),
+        target_table: TargetTableOptions::default(),
         cold: ColdOptions::default(),
     };
     let mut state = State::new(&options, Duration::ZERO);
