--- a/crates/damaskstile-budgets/src/effect.rs
+++ b/crates/damaskstile-budgets/src/effect.rs
@@ -56,14 +56,14 @@
         code: RefusalCode,
     },
     /// Have a transfer to a peer recorded by the grant's witnesses, then send it.
-    Give {
+    Transfer {
         /// The transfer.
         transfer: RunId,
         /// Tokens transferred, with the witnesses of their grant.
         plan: DrawPlan,
     },
     /// Announce a new grant to its witnesses.
-    Watch {
+    AnnounceGrant {
         /// The grant.
         grant: GrantId,
         /// Witnesses of the grant.
--- a/crates/damaskstile-budgets/src/holder.rs
+++ b/crates/damaskstile-budgets/src/holder.rs
@@ -131,7 +131,7 @@
 
     /// Updates the peers. Grants with outdated witnesses are replaced after a delay.
     pub fn set_peers(&mut self, now: Duration, peers: &Peers) {
-        self.peers.clone_from(&peers.askable);
+        self.peers.clone_from(&peers.token_sources);
         self.has_silent_peers = peers.has_silent;
         self.witnesses.clone_from(&peers.witnesses);
         if self.holdings.values().any(|holding| self.is_stale(holding)) {
@@ -192,7 +192,7 @@
     ///
     /// `origins` are the transfers through which the holder got the tokens. They are entered as
     /// well, since the holder may not have entered them.
-    pub fn settle_for_other(
+    pub fn settle_from_record(
         &mut self,
         now: Duration,
         entry: Entry,
--- a/crates/damaskstile-budgets/src/holder/flush.rs
+++ b/crates/damaskstile-budgets/src/holder/flush.rs
@@ -344,7 +344,7 @@
             },
         );
         if !grant.witnesses.is_empty() {
-            fx.push(HolderEffect::Watch {
+            fx.push(HolderEffect::AnnounceGrant {
                 grant: id.clone(),
                 witnesses: grant.witnesses.keys().cloned().collect(),
             });
--- a/crates/damaskstile-budgets/src/holder/peers.rs
+++ b/crates/damaskstile-budgets/src/holder/peers.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Peers {
     /// Peers from which tokens can be requested.
-    pub askable: BTreeSet<InstanceId>,
+    pub token_sources: BTreeSet<InstanceId>,
     /// Peers to name as witnesses of new grants, with their incarnations.
     pub witnesses: BTreeMap<InstanceId, Incarnation>,
     /// Whether some peers are unresponsive.
--- a/crates/damaskstile-budgets/src/holder/refill.rs
+++ b/crates/damaskstile-budgets/src/holder/refill.rs
@@ -127,7 +127,7 @@
     }
 
     /// Requests a share of the budget before the first run, if the policy spreads tokens.
-    pub fn take_share(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
+    pub fn request_share(&mut self, now: Duration, fx: &mut Vec<HolderEffect>) {
         let is_wanted = self.options.policy.policy().is_spreading() && self.free_tokens() == 0;
         if is_wanted && !self.is_stopping && !self.is_grant_pending() {
             self.request_grant(now, 0, fx);
--- a/crates/damaskstile-budgets/src/holder/transfer.rs
+++ b/crates/damaskstile-budgets/src/holder/transfer.rs
@@ -110,7 +110,7 @@
     }
 
     /// Handles a peer's request for tokens: transfers free tokens, or answers that there are none.
-    pub fn on_ask(
+    pub fn on_token_request(
         &mut self,
         now: Duration,
         from: &InstanceId,
@@ -200,11 +200,11 @@
                 until: now + RESEND_TIMEOUT,
             },
         );
-        fx.push(HolderEffect::Give { transfer, plan });
+        fx.push(HolderEffect::Transfer { transfer, plan });
     }
 
     /// Sends a transfer. To be called once its record is kept, or at once if its grant is open.
-    pub fn send_give(&mut self, now: Duration, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
+    pub fn send_transfer(&mut self, now: Duration, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
         if let Some(outgoing) = self.outgoing_transfers.get_mut(transfer) {
             outgoing.resend_at = Some(now + RESEND_INTERVAL);
             fx.push(transfer_message(&self.budget, transfer, outgoing));
@@ -214,7 +214,7 @@
     }
 
     /// Cancels a transfer that was never sent and answers the peer that there are no tokens.
-    pub fn cancel_give(&mut self, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
+    pub fn cancel_transfer(&mut self, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
         let Some(outgoing) = self.outgoing_transfers.remove(transfer) else {
             return;
         };
@@ -234,13 +234,13 @@
     }
 
     /// Handles a recipient's confirmation that a transfer has arrived.
-    pub fn on_take(&mut self, transfer: &GrantId) {
+    pub fn on_transfer_confirmed(&mut self, transfer: &GrantId) {
         self.outgoing_transfers.remove(transfer);
         self.drop_empty_holdings();
     }
 
     /// Handles a peer's answer to a request for tokens and accepts the transferred tokens, if any.
-    pub fn on_give(
+    pub fn on_transfer(
         &mut self,
         now: Duration,
         from: &InstanceId,
--- a/crates/damaskstile-budgets/src/records.rs
+++ b/crates/damaskstile-budgets/src/records.rs
@@ -123,7 +123,7 @@
     /// Handles that the seal of a budget is in the ledger.
     ///
     /// Returns the runs on record whose result has to be determined. Transfers are not among them.
-    pub fn sealed(
+    pub fn on_sealed(
         &mut self,
         holder: &HolderIncarnation,
         budget: &BudgetId,
@@ -168,14 +168,14 @@
     }
 
     /// Removes a run whose result no longer has to be determined.
-    pub fn unfollow(&mut self, run: &RunId) {
+    pub fn forget_unresolved(&mut self, run: &RunId) {
         for kept in self.by_holder.values_mut() {
             kept.unresolved.remove(run);
         }
     }
 
     /// Returns the incarnations with budgets whose seal is not in the ledger yet.
-    pub fn lives(&self) -> impl Iterator<Item = &HolderIncarnation> {
+    pub fn unsealed_holders(&self) -> impl Iterator<Item = &HolderIncarnation> {
         self.by_holder
             .iter()
             .filter(|(_, kept)| !kept.budgets.is_empty())
--- a/crates/damaskstile/src/instance/budgets.rs
+++ b/crates/damaskstile/src/instance/budgets.rs
@@ -109,10 +109,10 @@
                 }
             }
             HolderEffect::Refused { run, code } => self.refuse_for_budget(&run, code, effects),
-            HolderEffect::Give { transfer, plan } => {
+            HolderEffect::Transfer { transfer, plan } => {
                 self.on_transfer_planned(budget, transfer, &plan, effects);
             }
-            HolderEffect::Watch { grant, witnesses } => {
+            HolderEffect::AnnounceGrant { grant, witnesses } => {
                 Self::announce_grant(budget, grant, &witnesses, effects);
             }
             HolderEffect::Flushed { runs } => self.on_flushed(&runs, effects),
@@ -187,7 +187,7 @@
     fn on_flushed(&mut self, runs: &[RunId], effects: &mut Effects) {
         for run in runs {
             self.mark_settled(run);
-            self.keeper.unfollow(run);
+            self.keeper.forget_unresolved(run);
         }
         let witnesses = self.witnesses_in_use();
         for witness in witnesses {
--- a/crates/damaskstile/src/instance/fleet.rs
+++ b/crates/damaskstile/src/instance/fleet.rs
@@ -40,7 +40,7 @@
             PeerMessage::Give(give) => self.on_transfer_received(from, &give, effects),
             PeerMessage::Take(take) => {
                 if let Some(holder) = self.holders.get_mut(&take.budget) {
-                    holder.on_take(&take.transfer);
+                    holder.on_transfer_confirmed(&take.transfer);
                 }
             }
             PeerMessage::Gossip(gossip) => self.on_gossip(from, &gossip, effects),
@@ -107,7 +107,11 @@
     /// pass on does not count.
     fn send_heartbeats(&self, already_sent: &BTreeSet<InstanceId>, effects: &mut Effects) {
         let mut partners = self.witnesses_in_use();
-        partners.extend(self.keeper.lives().map(|(instance, _)| instance.clone()));
+        partners.extend(
+            self.keeper
+                .unsealed_holders()
+                .map(|(instance, _)| instance.clone()),
+        );
         let heartbeat = Gossip {
             members: vec![self.membership.own().clone()],
             targets: Vec::new(),
@@ -168,7 +172,7 @@
     }
 
     pub(super) fn peers_for_budgets(&self) -> Peers {
-        let askable = self
+        let token_sources = self
             .membership
             .live()
             .filter(|state| !state.is_stopping)
@@ -179,7 +183,7 @@
             .all()
             .any(|(state, is_silent)| is_silent && !state.is_stopping);
         Peers {
-            askable,
+            token_sources,
             witnesses: self.membership.witnesses(),
             has_silent,
         }
@@ -190,7 +194,7 @@
         let seal_after = Duration::from_millis(self.settings.settings().system.seal_after_ms);
         let silent: Vec<_> = self
             .keeper
-            .lives()
+            .unsealed_holders()
             .filter(|(instance, incarnation)| {
                 self.membership
                     .direct_silence(self.now, instance, *incarnation)
@@ -296,7 +300,7 @@
             }
             if is_spreading {
                 self.with_holder(&budget, effects, |holder, now, fx| {
-                    holder.take_share(now, fx);
+                    holder.request_share(now, fx);
                 });
             }
         }
--- a/crates/damaskstile/src/instance/orphan.rs
+++ b/crates/damaskstile/src/instance/orphan.rs
@@ -71,7 +71,7 @@
         grants: &BTreeSet<GrantId>,
         effects: &mut Effects,
     ) {
-        for record in self.keeper.sealed(peer, budget, grants) {
+        for record in self.keeper.on_sealed(peer, budget, grants) {
             let run = record.run.clone();
             let is_open = !record.draws.iter().any(|draw| grants.contains(&draw.grant));
             let end = record.ended.clone();
@@ -121,7 +121,7 @@
             if orphan.is_open {
                 // Its tokens stay in the grant of the lost holder, where they count as spent.
                 self.orphans.remove(run);
-                self.keeper.unfollow(run);
+                self.keeper.forget_unresolved(run);
                 return;
             }
             // The usage stays unknown. The reserved tokens count as spent, but the caller is not
@@ -183,7 +183,7 @@
         entry.at_unix_ms = unix_ms(self.now);
         self.with_holder(&orphan.budget, effects, |holder, now, fx| {
             match orphan.draws {
-                Some(draws) => holder.settle_for_other(now, entry, draws, orphan.origins),
+                Some(draws) => holder.settle_from_record(now, entry, draws, orphan.origins),
                 None => holder.settle(now, entry),
             }
             holder.tick(now, fx);
--- a/crates/damaskstile/src/instance/transfers.rs
+++ b/crates/damaskstile/src/instance/transfers.rs
@@ -24,7 +24,7 @@
     ) {
         if plan.witnesses.is_empty() {
             self.with_holder(budget, effects, |holder, now, fx| {
-                holder.send_give(now, &transfer, fx);
+                holder.send_transfer(now, &transfer, fx);
             });
             return;
         }
@@ -76,7 +76,7 @@
         if let Some(pending) = self.pending_transfers.remove(&ack.run) {
             let transfer = ack.run.clone();
             self.with_holder(&pending.budget, effects, |holder, now, fx| {
-                holder.send_give(now, &transfer, fx);
+                holder.send_transfer(now, &transfer, fx);
             });
         }
     }
@@ -86,7 +86,7 @@
             return;
         };
         self.with_holder(&pending.budget, effects, |holder, now, fx| {
-            holder.cancel_give(transfer, fx);
+            holder.cancel_transfer(transfer, fx);
             holder.tick(now, fx);
         });
         for witness in pending.witnesses.into_keys() {
@@ -107,7 +107,7 @@
     ) {
         if self.holders.contains_key(&ask.budget) {
             self.with_holder(&ask.budget, effects, |holder, now, fx| {
-                holder.on_ask(now, from, ask, fx);
+                holder.on_token_request(now, from, ask, fx);
             });
             return;
         }
@@ -131,7 +131,7 @@
         let budget = give.budget.clone();
         if self.holders.contains_key(&budget) {
             self.with_holder(&budget, effects, |holder, now, fx| {
-                holder.on_give(now, from, give, fx);
+                holder.on_transfer(now, from, give, fx);
             });
         }
     }
