--- a/crates/damaskstile-fakes/src/check.rs
+++ b/crates/damaskstile-fakes/src/check.rs
@@ -3,8 +3,8 @@
 use damaskstile::budgets::Entry;
 use damaskstile::core::prelude::*;
 
+use crate::simulation::Simulation;
 use crate::targets::chunk_data;
-use crate::world::World;
 
 /// Checks the invariants that hold at every moment: stored ledgers are valid and no more tokens
 /// are spent than were topped up.
@@ -12,14 +12,14 @@
 /// # Errors
 ///
 /// Returns the promise that is broken.
-pub fn always(world: &World) -> Result<(), String> {
-    if let Some(broken) = world.store.broken.first() {
+pub fn always(simulation: &Simulation) -> Result<(), String> {
+    if let Some(broken) = simulation.store.broken.first() {
         return Err(broken.clone());
     }
     // Stricter than the invariant: the tokens that ran must be settled or held under a grant, so
     // that they cannot be granted again.
-    let committed = world.store.ledger("office").committed_tokens();
-    let ran = world.targets.ran("office");
+    let committed = simulation.store.ledger("office").committed_tokens();
+    let ran = simulation.targets.ran("office");
     if ran > committed {
         return Err(format!(
             "overspend: targets processed {ran} tokens, {committed} are committed"
@@ -33,24 +33,24 @@
 /// # Errors
 ///
 /// Returns the promise that is broken.
-pub fn at_the_end(world: &World) -> Result<(), String> {
-    always(world)?;
-    answers_are_complete(world)?;
-    refused_requests_did_not_run(world)?;
-    non_idempotent_requests_run_once(world)?;
-    calls_are_answered(world)?;
-    bills_are_unique(world)
+pub fn at_end(simulation: &Simulation) -> Result<(), String> {
+    always(simulation)?;
+    answers_are_complete(simulation)?;
+    refused_requests_did_not_run(simulation)?;
+    non_idempotent_requests_run_once(simulation)?;
+    calls_are_answered(simulation)?;
+    bills_are_unique(simulation)
 }
 
 /// Returns all ledger entries of a budget: those in stored bill pages, then pending ones.
 #[must_use]
-pub fn entries(world: &World, budget: &str) -> Vec<Entry> {
+pub fn entries(simulation: &Simulation, budget: &str) -> Vec<Entry> {
     let prefix = format!("bills/{budget}/");
-    let pages = world
+    let pages = simulation
         .store
         .list(&prefix)
         .filter_map(|(_, object)| serde_json::from_str::<Vec<Entry>>(&object.value).ok());
-    let ledger = world.store.ledger(budget);
+    let ledger = simulation.store.ledger(budget);
     let stored = usize::try_from(ledger.next_page).unwrap_or(usize::MAX);
     let mut entries: Vec<Entry> = pages.take(stored).flatten().collect();
     entries.extend(ledger.entries);
@@ -58,14 +58,14 @@
 }
 
 /// An answered caller received all chunks of a run of its own request and no other chunk.
-fn answers_are_complete(world: &World) -> Result<(), String> {
-    for (handle, answered) in &world.answers {
+fn answers_are_complete(simulation: &Simulation) -> Result<(), String> {
+    for (handle, answered) in &simulation.calls {
         let Some(Outcome::Answered(receipt)) = &answered.outcome else {
             continue;
         };
         let key = &receipt.key;
         let is_own = |run: &RunId| {
-            world
+            simulation
                 .targets
                 .runs
                 .get(run)
@@ -82,7 +82,7 @@
                 "call {handle}: answered without a chunk of its own request"
             ));
         };
-        let chunks = world.targets.runs[&run].chunks.len();
+        let chunks = simulation.targets.runs[&run].chunks.len();
         let expected: Vec<String> = (0..chunks).map(|index| chunk_data(&run, index)).collect();
         if answered.chunks != expected {
             return Err(format!(
@@ -95,12 +95,12 @@
 }
 
 /// A request refused as not run was never started at a target.
-fn refused_requests_did_not_run(world: &World) -> Result<(), String> {
-    for (handle, answered) in &world.answers {
+fn refused_requests_did_not_run(simulation: &Simulation) -> Result<(), String> {
+    for (handle, answered) in &simulation.calls {
         let is_refused = answered.outcome.as_ref().is_some_and(Outcome::is_not_run);
         // A key shared by several calls may have run for another of them.
-        let is_only_call = world.call_count(&answered.key) == 1;
-        if is_refused && is_only_call && world.targets.start_count(&answered.key) > 0 {
+        let is_only_call = simulation.call_count(&answered.key) == 1;
+        if is_refused && is_only_call && simulation.targets.start_count(&answered.key) > 0 {
             return Err(format!(
                 "call {handle}: refused as not run, but a run was started"
             ));
@@ -110,9 +110,9 @@
 }
 
 /// A non-idempotent request runs at most once.
-fn non_idempotent_requests_run_once(world: &World) -> Result<(), String> {
-    for key in &world.non_idempotent {
-        let starts = world.targets.start_count(key);
+fn non_idempotent_requests_run_once(simulation: &Simulation) -> Result<(), String> {
+    for key in &simulation.non_idempotent {
+        let starts = simulation.targets.start_count(key);
         if starts > 1 {
             return Err(format!("request {key}: non-idempotent, ran {starts} times"));
         }
@@ -121,10 +121,10 @@
 }
 
 /// Every call has an outcome if the incarnation that was called is still running.
-fn calls_are_answered(world: &World) -> Result<(), String> {
-    for (handle, answered) in &world.answers {
+fn calls_are_answered(simulation: &Simulation) -> Result<(), String> {
+    for (handle, answered) in &simulation.calls {
         let lives_on = answered.incarnation != 0
-            && world.incarnation(&answered.instance) == answered.incarnation;
+            && simulation.incarnation(&answered.instance) == answered.incarnation;
         if lives_on && answered.outcome.is_none() {
             return Err(format!("call {handle}: no outcome from a running instance"));
         }
@@ -133,10 +133,10 @@
 }
 
 /// No run is entered twice and no request is billed twice.
-fn bills_are_unique(world: &World) -> Result<(), String> {
+fn bills_are_unique(simulation: &Simulation) -> Result<(), String> {
     let mut runs = BTreeSet::new();
     let mut bills = BTreeSet::new();
-    for entry in entries(world, "office") {
+    for entry in entries(simulation, "office") {
         if !runs.insert(entry.run.clone()) {
             return Err(format!("run {} is entered twice", entry.run));
         }
@@ -152,13 +152,13 @@
 /// # Errors
 ///
 /// Returns the request without a bill.
-pub fn answered_is_billed(world: &World) -> Result<(), String> {
-    let billed: BTreeSet<RequestKey> = entries(world, "office")
+pub fn answered_is_billed(simulation: &Simulation) -> Result<(), String> {
+    let billed: BTreeSet<RequestKey> = entries(simulation, "office")
         .into_iter()
         .filter(|entry| entry.is_billed)
         .map(|entry| entry.key)
         .collect();
-    for answered in world.answers.values() {
+    for answered in simulation.calls.values() {
         if let Some(Outcome::Answered(receipt)) = &answered.outcome
             && !billed.contains(&receipt.key)
         {
--- a/crates/damaskstile-fakes/src/network.rs
+++ b/crates/damaskstile-fakes/src/network.rs
@@ -17,7 +17,7 @@
     /// Share of messages that are lost, in percent.
     pub loss_percent: u64,
     /// Share of messages of which an extra copy is delivered, in percent.
-    pub twice_percent: u64,
+    pub duplicate_percent: u64,
     /// Maximum random delay added to a message, so that messages can arrive out of order.
     pub jitter: Duration,
 }
@@ -43,7 +43,7 @@
         if random.below(100) >= self.loss_percent {
             copies.push(delay + self.random_jitter(random));
         }
-        if random.below(100) < self.twice_percent {
+        if random.below(100) < self.duplicate_percent {
             copies.push(delay + self.random_jitter(random));
         }
         copies
--- a/crates/damaskstile-fakes/src/options.rs
+++ b/crates/damaskstile-fakes/src/options.rs
@@ -7,7 +7,7 @@
 
 /// Options of a simulated fleet, its targets, network and store.
 #[derive(Debug, Clone)]
-pub struct WorldOptions {
+pub struct SimulationOptions {
     /// Seed of all random choices.
     pub seed: u64,
     /// Number of data centres; instances are assigned to them round-robin.
@@ -36,7 +36,7 @@
     pub registry: RegistryOptions,
 }
 
-impl Default for WorldOptions {
+impl Default for SimulationOptions {
     fn default() -> Self {
         Self {
             seed: 1,
--- a/crates/damaskstile-fakes/src/oracle.rs
+++ b/crates/damaskstile-fakes/src/oracle.rs
@@ -2,7 +2,7 @@
 
 use damaskstile::core::prelude::*;
 
-use crate::world::World;
+use crate::simulation::Simulation;
 
 /// Judgement of a refusal for lack of budget.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -20,24 +20,30 @@
 /// far as the refusing instance is connected to them. `worst` is the worst-case cost of the
 /// request in tokens.
 #[must_use]
-pub fn judge(world: &World, instance: &str, budget: &str, account: &str, worst: u64) -> Verdict {
-    let ledger = world.store.ledger(budget);
-    let reserved: u64 = world
+pub fn judge(
+    simulation: &Simulation,
+    instance: &str,
+    budget: &str,
+    account: &str,
+    worst: u64,
+) -> Verdict {
+    let ledger = simulation.store.ledger(budget);
+    let reserved: u64 = simulation
         .live_instances()
         .map(|(_, instance)| instance.reserved_tokens(budget))
         .sum();
     let unspent = ledger
         .topped_up_tokens
-        .saturating_sub(world.targets.ran(account))
+        .saturating_sub(simulation.targets.ran(account))
         .saturating_sub(reserved);
-    let in_store = if world.network.has_store(instance) && !world.store.is_out {
+    let in_store = if simulation.network.has_store(instance) && !simulation.store.is_out {
         ledger.free_tokens()
     } else {
         0
     };
-    let at_peers: u64 = world
+    let at_peers: u64 = simulation
         .live_instances()
-        .filter(|(name, _)| world.network.is_connected(name, instance))
+        .filter(|(name, _)| simulation.network.is_connected(name, instance))
         .map(|(_, peer)| peer.free_tokens(budget))
         .sum();
     Verdict {
--- a/crates/damaskstile-fakes/src/work.rs
+++ b/crates/damaskstile-fakes/src/request_spec.rs
@@ -6,7 +6,7 @@
 
 /// A request that a simulated caller makes.
 #[derive(Debug, Clone)]
-pub struct Work {
+pub struct RequestSpec {
     /// Service that is called.
     pub service: ServiceId,
     /// Request key; generated if empty.
@@ -27,7 +27,7 @@
     pub token_sha256: String,
 }
 
-impl Work {
+impl RequestSpec {
     /// Creates a request of the account `office` to the model service `chat`.
     #[must_use]
     pub fn chat(prompt_tokens: u64, cap_tokens: u64, output_tokens: u64) -> Self {
--- a/crates/damaskstile-fakes/src/world.rs
+++ b/crates/damaskstile-fakes/src/simulation.rs
@@ -13,11 +13,11 @@
 
 use crate::call_record::CallRecord;
 use crate::network::Network;
-use crate::options::WorldOptions;
+use crate::options::SimulationOptions;
 use crate::oracle::{self, Verdict};
+pub use crate::request_spec::RequestSpec;
 use crate::store::FakeStore;
 use crate::targets::FakeTargets;
-pub use crate::work::Work;
 use scheduled::Scheduled;
 
 /// Time since the Unix epoch at which every scenario starts.
@@ -46,7 +46,7 @@
 
 /// A simulated fleet over fake targets, store and network.
 #[derive(Debug)]
-pub struct World {
+pub struct Simulation {
     /// Current virtual time, since the Unix epoch.
     pub now: Duration,
     /// The platform's object store.
@@ -56,7 +56,7 @@
     /// The network between instances and to the store.
     pub network: Network,
     /// Calls made so far and what their callers have received.
-    pub answers: BTreeMap<RequestHandle, CallRecord>,
+    pub calls: BTreeMap<RequestHandle, CallRecord>,
     /// Keys of requests that must not run twice.
     pub non_idempotent: BTreeSet<RequestKey>,
     /// Number of log events by code.
@@ -70,10 +70,10 @@
     /// Instances that currently watch the settings in the store.
     pub watchers: BTreeSet<InstanceId>,
     /// Whether hosts check the expiry of a dispatch just before they send it.
-    pub has_careful_hosts: bool,
+    pub hosts_check_expiry: bool,
     /// Instances that reported that they have stopped and were not started again.
     pub stopped: BTreeSet<InstanceId>,
-    pub(crate) options: WorldOptions,
+    pub(crate) options: SimulationOptions,
     pub(crate) nodes: BTreeMap<InstanceId, Node>,
     pub(crate) random: Random,
     queue: BinaryHeap<Reverse<Scheduled>>,
@@ -82,23 +82,23 @@
     steps_without_progress: u64,
 }
 
-impl World {
+impl Simulation {
     /// Starts a fleet with `budget_tokens` prepaid tokens in the budget `office`.
     #[must_use]
-    pub fn new(options: WorldOptions, budget_tokens: u64) -> Self {
-        let mut world = Self {
+    pub fn new(options: SimulationOptions, budget_tokens: u64) -> Self {
+        let mut simulation = Self {
             now: STARTED_AT,
             store: FakeStore::default(),
             targets: FakeTargets::default(),
             network: Network::default(),
-            answers: BTreeMap::new(),
+            calls: BTreeMap::new(),
             non_idempotent: BTreeSet::new(),
             logged: BTreeMap::new(),
             messages: 0,
             bytes: 0,
             counts_bytes: false,
             watchers: BTreeSet::new(),
-            has_careful_hosts: true,
+            hosts_check_expiry: true,
             stopped: BTreeSet::new(),
             random: Random::new(options.seed),
             nodes: BTreeMap::new(),
@@ -108,17 +108,17 @@
             steps_without_progress: 0,
             options,
         };
-        world.store.top_up("office", "first", budget_tokens);
-        world.put_settings(&world.options.settings.clone());
-        world.add_targets();
-        for number in 0..world.options.instances {
-            world.add_node(number);
+        simulation.store.top_up("office", "first", budget_tokens);
+        simulation.put_settings(&simulation.options.settings.clone());
+        simulation.add_targets();
+        for number in 0..simulation.options.instances {
+            simulation.add_node(number);
         }
-        let names: Vec<InstanceId> = world.nodes.keys().cloned().collect();
+        let names: Vec<InstanceId> = simulation.nodes.keys().cloned().collect();
         for name in names {
-            world.start(&name);
+            simulation.start(&name);
         }
-        world
+        simulation
     }
 
     fn add_targets(&mut self) {
@@ -205,7 +205,7 @@
             .values()
             .map(|target| target.info.clone())
             .collect();
-        self.give(name, Event::Targets { targets });
+        self.deliver(name, Event::Targets { targets });
     }
 
     /// Kills an instance. Messages that it has sent are still delivered; all other state is lost.
@@ -232,7 +232,7 @@
 
     /// Asks an instance to stop gracefully.
     pub fn stop(&mut self, name: &str) {
-        self.give(name, Event::Stop);
+        self.deliver(name, Event::Stop);
     }
 
     /// Delivers the platform's current list of targets to all instances at once.
@@ -245,7 +245,7 @@
             .collect();
         for name in self.names() {
             let targets = targets.clone();
-            self.give(&name, Event::Targets { targets });
+            self.deliver(&name, Event::Targets { targets });
         }
     }
 
@@ -278,49 +278,49 @@
     /// Returns the number of calls made with a request key.
     #[must_use]
     pub fn call_count(&self, key: &str) -> usize {
-        self.answers
+        self.calls
             .values()
             .filter(|answered| answered.key == key)
             .count()
     }
 
     /// Makes a call to an instance and returns its handle.
-    pub fn request(&mut self, name: &str, work: &Work) -> RequestHandle {
+    pub fn request(&mut self, name: &str, spec: &RequestSpec) -> RequestHandle {
         let handle = self.next_handle;
         self.next_handle += 1;
-        let key = if work.key.is_empty() {
+        let key = if spec.key.is_empty() {
             let random = self.random.next_u64();
             damaskstile::keys::new_request_key(self.now, handle, random)
         } else {
-            work.key.clone()
+            spec.key.clone()
         };
-        if work.non_idempotent || work.service == "publish" {
+        if spec.non_idempotent || spec.service == "publish" {
             self.non_idempotent.insert(key.clone());
         }
         let answered = CallRecord {
             instance: name.to_owned(),
             incarnation: self.incarnation(name),
             key: key.clone(),
-            worst_tokens: work.prompt_tokens + work.cap_tokens,
-            output_tokens: work.output_tokens,
+            worst_tokens: spec.prompt_tokens + spec.cap_tokens,
+            output_tokens: spec.output_tokens,
             called_at: self.now,
             ..CallRecord::default()
         };
-        self.answers.insert(handle, answered);
+        self.calls.insert(handle, answered);
         let request = NewRequest {
             request: handle,
-            token_sha256: work.token_sha256.clone(),
+            token_sha256: spec.token_sha256.clone(),
             key: Some(key),
-            service: work.service.clone(),
+            service: spec.service.clone(),
             body_hash: 1,
-            prompt_bytes: work.prompt_tokens,
-            max_output_tokens: (work.cap_tokens > 0).then_some(work.cap_tokens),
-            non_idempotent: work.non_idempotent,
-            is_streamed: work.is_streamed,
-            priority: work.priority,
+            prompt_bytes: spec.prompt_tokens,
+            max_output_tokens: (spec.cap_tokens > 0).then_some(spec.cap_tokens),
+            non_idempotent: spec.non_idempotent,
+            is_streamed: spec.is_streamed,
+            priority: spec.priority,
             time_limit: None,
         };
-        self.give(name, Event::Request(request));
+        self.deliver(name, Event::Request(request));
         handle
     }
 
@@ -370,7 +370,7 @@
     }
 
     /// Delivers an event to an instance at once if it is running, or after its pause.
-    pub fn give(&mut self, name: &str, event: Event) {
+    pub fn deliver(&mut self, name: &str, event: Event) {
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
@@ -398,7 +398,7 @@
     }
 
     pub(crate) fn judge(&self, name: &str, handle: RequestHandle) -> Verdict {
-        let worst = self.answers[&handle].worst_tokens;
+        let worst = self.calls[&handle].worst_tokens;
         oracle::judge(self, name, "office", "office", worst)
     }
 }
--- a/crates/damaskstile-fakes/src/world/deliver.rs
+++ b/crates/damaskstile-fakes/src/simulation/deliver.rs
@@ -3,7 +3,7 @@
 use damaskstile::core::peer::encode_frame;
 use damaskstile::core::prelude::*;
 
-use super::{Action, World};
+use super::{Action, Simulation};
 use crate::oracle;
 use crate::targets::Start;
 
@@ -12,12 +12,12 @@
 /// One-way delay of a message between an instance and a target.
 const TARGET_DELAY: Duration = Duration::from_micros(300);
 
-impl World {
+impl Simulation {
     pub(super) fn execute(&mut self, name: &str, action: Action) {
         match action {
             Action::Event(incarnation, event) => {
                 if self.is_current(name, incarnation) {
-                    self.give(name, event);
+                    self.deliver(name, event);
                 }
             }
             Action::Wake(incarnation) => self.wake(name, incarnation),
@@ -42,7 +42,7 @@
         if let Some(node) = self.nodes.get_mut(name) {
             node.wake_at = Duration::MAX;
         }
-        self.give(name, Event::Tick);
+        self.deliver(name, Event::Tick);
     }
 
     pub(super) fn apply_effect(&mut self, name: &str, incarnation: Incarnation, effect: Effect) {
@@ -149,18 +149,18 @@
             return;
         }
         let run = dispatch.run.clone();
-        if self.has_careful_hosts && self.now > dispatch.expires_at {
+        if self.hosts_check_expiry && self.now > dispatch.expires_at {
             self.schedule_report(name, &run, RunReport::Unreachable, Duration::ZERO);
             return;
         }
         let (prompt_tokens, output_tokens) =
-            self.answers
+            self.calls
                 .get(&dispatch.request)
                 .map_or((1, 1), |answered| {
                     let cap = dispatch.cap_tokens;
                     (answered.worst_tokens - cap, answered.output_tokens)
                 });
-        if let Some(answered) = self.answers.get_mut(&dispatch.request) {
+        if let Some(answered) = self.calls.get_mut(&dispatch.request) {
             answered.sent_at.get_or_insert(self.now);
         }
         let start = self
@@ -249,7 +249,7 @@
 
     fn record_chunk(&mut self, request: RequestHandle, data: String) {
         let now = self.now;
-        if let Some(answered) = self.answers.get_mut(&request) {
+        if let Some(answered) = self.calls.get_mut(&request) {
             answered.first_chunk_at.get_or_insert(now);
             answered.chunks.push(data);
         }
@@ -262,7 +262,7 @@
             oracle::Verdict::default()
         };
         let now = self.now;
-        if let Some(answered) = self.answers.get_mut(&request) {
+        if let Some(answered) = self.calls.get_mut(&request) {
             answered.outcome = Some(outcome);
             answered.answered_at = Some(now);
             answered.verdict = verdict;
--- a/crates/damaskstile-measure/src/budgets.rs
+++ b/crates/damaskstile-measure/src/budgets.rs
@@ -6,8 +6,8 @@
 use clap::Args;
 use damaskstile::budgets::PolicyKind;
 use damaskstile::core::prelude::*;
-use damaskstile_fakes::world::Work;
-use damaskstile_fakes::{World, WorldOptions, options};
+use damaskstile_fakes::simulation::RequestSpec;
+use damaskstile_fakes::{Simulation, SimulationOptions, options};
 
 /// Time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
@@ -147,30 +147,30 @@
         .map(|request| deployment.prompt_tokens + request.output_tokens)
         .sum();
     let budget = cost * args.budget_percent / 100;
-    let mut world = world(args, deployment, policy, budget);
-    world.run_for(WARM_UP);
-    let started_at = world.now;
-    let writes_before = world.store.writes;
+    let mut simulation = simulation(args, deployment, policy, budget);
+    simulation.run_for(WARM_UP);
+    let started_at = simulation.now;
+    let writes_before = simulation.store.writes;
     let injector = FaultInjector::new(fault, workload.len());
     for (number, request) in workload.iter().enumerate() {
-        injector.step(&mut world, number);
-        let instance = FaultInjector::choose_instance(&world, request.instance);
-        let chat = Work {
+        injector.step(&mut simulation, number);
+        let instance = FaultInjector::choose_instance(&simulation, request.instance);
+        let chat = RequestSpec {
             is_streamed: false,
-            ..Work::chat(
+            ..RequestSpec::chat(
                 deployment.prompt_tokens,
                 deployment.cap_tokens,
                 request.output_tokens,
             )
         };
-        world.request(&instance, &chat);
-        world.run_for(REQUEST_INTERVAL);
+        simulation.request(&instance, &chat);
+        simulation.run_for(REQUEST_INTERVAL);
     }
-    let elapsed = world.now.saturating_sub(started_at);
-    let writes = world.store.writes - writes_before;
-    FaultInjector::end_faults(&mut world);
-    world.run_for(COOL_DOWN);
-    let measurements = Measurements::of(&world, writes, elapsed);
+    let elapsed = simulation.now.saturating_sub(started_at);
+    let writes = simulation.store.writes - writes_before;
+    FaultInjector::end_faults(&mut simulation);
+    simulation.run_for(COOL_DOWN);
+    let measurements = Measurements::of(&simulation, writes, elapsed);
     format!(
         "{}\t{}\t{}\t{}",
         deployment.name,
@@ -180,10 +180,15 @@
     )
 }
 
-fn world(args: &BudgetsArgs, deployment: Deployment, policy: PolicyKind, budget: u64) -> World {
+fn simulation(
+    args: &BudgetsArgs,
+    deployment: Deployment,
+    policy: PolicyKind,
+    budget: u64,
+) -> Simulation {
     let values = format!("[fleet]\nbudget_policy = \"{}\"\n", policy.as_str());
     let settings = values + &options::settings(&format!("instances = {INSTANCES}"));
-    let options = WorldOptions {
+    let options = SimulationOptions {
         seed: args.seed,
         data_centres: deployment.data_centres,
         instances: INSTANCES,
@@ -191,9 +196,9 @@
         far_delay: deployment.far_delay,
         chunk_interval: Duration::from_millis(50),
         settings,
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    World::new(options, budget)
+    Simulation::new(options, budget)
 }
 
 fn name(number: usize) -> String {
@@ -213,34 +218,34 @@
     }
 
     /// Injects or ends the faults that are due before the request with this number.
-    fn step(&self, world: &mut World, number: usize) {
+    fn step(&self, simulation: &mut Simulation, number: usize) {
         let is_at = |percent: usize| number == self.requests * percent / 100;
         match self.fault {
             Fault::Partition if is_at(30) => {
                 // Half of the instances, the busiest among them, are cut off from the others and from
                 // the store.
-                world.network.island = (0..INSTANCES / 2).map(name).collect();
+                simulation.network.island = (0..INSTANCES / 2).map(name).collect();
             }
-            Fault::Outage if is_at(30) => world.store.is_out = true,
-            Fault::Outage if is_at(80) => world.store.is_out = false,
+            Fault::Outage if is_at(30) => simulation.store.is_out = true,
+            Fault::Outage if is_at(80) => simulation.store.is_out = false,
             Fault::Crashes => {
                 for (percent, index) in [(20, 0), (40, 3), (60, 5)] {
                     if is_at(percent) {
-                        world.kill(&name(index));
+                        simulation.kill(&name(index));
                     }
                     if is_at(percent + 10) {
-                        world.start(&name(index));
+                        simulation.start(&name(index));
                     }
                 }
             }
             Fault::Restarts => {
                 for index in 0..INSTANCES {
                     if is_at(5 + index * 10) {
-                        world.stop(&name(index));
+                        simulation.stop(&name(index));
                     }
-                    let has_stopped = world.instance(&name(index)).is_none();
+                    let has_stopped = simulation.instance(&name(index)).is_none();
                     if has_stopped {
-                        world.start(&name(index));
+                        simulation.start(&name(index));
                     }
                 }
             }
@@ -250,9 +255,9 @@
 
     /// Returns the instance that a load balancer would choose: the usual one, or the next one
     /// that is ready.
-    fn choose_instance(world: &World, usual: usize) -> String {
+    fn choose_instance(simulation: &Simulation, usual: usize) -> String {
         let is_ready = |index: &usize| {
-            world
+            simulation
                 .instance(&name(*index))
                 .is_some_and(damaskstile::Instance::is_ready)
         };
@@ -262,9 +267,9 @@
         name(chosen.unwrap_or(usual))
     }
 
-    fn end_faults(world: &mut World) {
-        world.network = damaskstile_fakes::Network::default();
-        world.store.is_out = false;
+    fn end_faults(simulation: &mut Simulation) {
+        simulation.network = damaskstile_fakes::Network::default();
+        simulation.store.is_out = false;
     }
 }
 
@@ -282,11 +287,11 @@
 
 impl Measurements {
     #[allow(clippy::cast_precision_loss, reason = "a rate for a person to read")]
-    fn of(world: &World, writes: u64, elapsed: Duration) -> Self {
-        let answers = world.answers.values();
+    fn of(simulation: &Simulation, writes: u64, elapsed: Duration) -> Self {
+        let calls = simulation.calls.values();
         let is_answered =
             |outcome: &Option<Outcome>| outcome.as_ref().is_some_and(Outcome::is_answered);
-        let waits: Vec<u128> = answers
+        let waits: Vec<u128> = calls
             .clone()
             .filter(|answered| is_answered(&answered.outcome))
             .filter_map(|answered| {
@@ -294,21 +299,21 @@
                 Some(sent_at.saturating_sub(answered.called_at).as_micros())
             })
             .collect();
-        let ledger = world.store.ledger("office");
+        let ledger = simulation.store.ledger("office");
         Self {
             answered: waits.len(),
-            overspend_tokens: world
+            overspend_tokens: simulation
                 .targets
                 .ran("office")
                 .saturating_sub(ledger.topped_up_tokens),
-            false_refusals: answers
+            false_refusals: calls
                 .clone()
                 .filter(|answered| answered.verdict.is_false)
                 .count(),
-            reachable_false_refusals: answers
+            reachable_false_refusals: calls
                 .filter(|answered| answered.verdict.is_reachable_false)
                 .count(),
-            stranded_tokens: stranded(world),
+            stranded_tokens: stranded(simulation),
             store_writes_per_s: writes as f64 / elapsed.as_secs_f64(),
             added_latency_us: waits.iter().sum::<u128>() / (waits.len().max(1) as u128),
         }
@@ -329,12 +334,12 @@
 }
 
 /// Returns the tokens that are outstanding in the ledger but that no live instance can use.
-fn stranded(world: &World) -> u64 {
-    let usable: u64 = world
+fn stranded(simulation: &Simulation) -> u64 {
+    let usable: u64 = simulation
         .live_instances()
         .map(|(_, instance)| instance.free_tokens("office") + instance.reserved_tokens("office"))
         .sum();
-    world
+    simulation
         .store
         .ledger("office")
         .outstanding_tokens()
--- a/crates/damaskstile-measure/src/claims.rs
+++ b/crates/damaskstile-measure/src/claims.rs
@@ -4,8 +4,8 @@
 
 use clap::Args;
 use damaskstile::core::prelude::*;
-use damaskstile_fakes::world::Work;
-use damaskstile_fakes::{World, WorldOptions, options};
+use damaskstile_fakes::simulation::RequestSpec;
+use damaskstile_fakes::{Simulation, SimulationOptions, options};
 
 /// Time before the first request.
 const WARM_UP: Duration = Duration::from_secs(3);
@@ -35,30 +35,30 @@
 
 #[allow(clippy::cast_precision_loss, reason = "rates for a person to read")]
 fn row(rate: u64) -> String {
-    let options = WorldOptions {
+    let options = SimulationOptions {
         instances: usize::try_from(INSTANCES).unwrap_or(1),
         slots_requests: 100_000,
         settings: options::settings(&format!("instances = {INSTANCES}")),
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    let mut world = World::new(options, 1_000_000);
-    world.run_for(WARM_UP);
-    let (writes, conflicts) = (world.store.writes, world.store.conflicts);
+    let mut simulation = Simulation::new(options, 1_000_000);
+    simulation.run_for(WARM_UP);
+    let (writes, conflicts) = (simulation.store.writes, simulation.store.conflicts);
     let interval = Duration::from_secs(1) / u32::try_from(rate).unwrap_or(1);
     let requests = rate * MEASURED.as_secs();
     for number in 0..requests {
         let name = format!("i{:03}", number % INSTANCES);
-        world.request(&name, &Work::publish(""));
-        world.run_for(interval);
+        simulation.request(&name, &RequestSpec::publish(""));
+        simulation.run_for(interval);
     }
-    let writes = world.store.writes - writes;
-    let conflicts = world.store.conflicts - conflicts;
-    world.run_for(Duration::from_secs(20));
+    let writes = simulation.store.writes - writes;
+    let conflicts = simulation.store.conflicts - conflicts;
+    simulation.run_for(Duration::from_secs(20));
 
     let is_answered =
         |outcome: &Option<Outcome>| outcome.as_ref().is_some_and(Outcome::is_answered);
-    let waits: Vec<u128> = world
-        .answers
+    let waits: Vec<u128> = simulation
+        .calls
         .values()
         .filter(|answered| is_answered(&answered.outcome))
         .filter_map(|answered| {
@@ -67,7 +67,7 @@
         })
         .collect();
     let mut keys = BTreeSet::new();
-    let ran_twice = world
+    let ran_twice = simulation
         .targets
         .runs
         .values()
--- a/crates/damaskstile-measure/src/members.rs
+++ b/crates/damaskstile-measure/src/members.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Args;
-use damaskstile_fakes::{World, WorldOptions, options};
+use damaskstile_fakes::{Simulation, SimulationOptions, options};
 
 /// Time for instances to discover each other.
 const WARM_UP: Duration = Duration::from_secs(30);
@@ -38,28 +38,28 @@
 
 #[allow(clippy::cast_precision_loss, reason = "rates for a person to read")]
 fn row(args: &MembersArgs, members: usize) -> String {
-    let options = WorldOptions {
+    let options = SimulationOptions {
         seed: args.seed,
         instances: members,
         data_centres: 6,
         settings: options::settings(&format!("instances = {members}")),
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    let mut world = World::new(options, 1_000_000);
-    world.counts_bytes = true;
-    world.run_for(WARM_UP);
-    let (messages, bytes) = (world.messages, world.bytes);
-    let calls = world.store.reads + world.store.writes;
+    let mut simulation = Simulation::new(options, 1_000_000);
+    simulation.counts_bytes = true;
+    simulation.run_for(WARM_UP);
+    let (messages, bytes) = (simulation.messages, simulation.bytes);
+    let calls = simulation.store.reads + simulation.store.writes;
     let started = Instant::now();
-    world.run_for(MEASURED);
+    simulation.run_for(MEASURED);
     let cpu = started.elapsed();
     let per_member = |count: u64| count as f64 / members as f64 / MEASURED.as_secs_f64();
-    let calls = world.store.reads + world.store.writes - calls;
-    let (p95, slowest) = measure_settings_spread(&mut world);
+    let calls = simulation.store.reads + simulation.store.writes - calls;
+    let (p95, slowest) = measure_settings_spread(&mut simulation);
     format!(
         "{members}\t{:.1}\t{:.0}\t{:.0}\t{:.1}\t{}\t{}",
-        per_member(world.messages - messages),
-        per_member(world.bytes - bytes),
+        per_member(simulation.messages - messages),
+        per_member(simulation.bytes - bytes),
         per_member(u64::try_from(cpu.as_micros()).unwrap_or(u64::MAX)),
         calls as f64 / MEASURED.as_secs_f64(),
         p95.as_millis(),
@@ -70,23 +70,23 @@
 /// Stores new settings, notifies the watching instances, and waits until all instances apply
 /// them. Returns the 95th percentile over the instances that did and the maximum, which is
 /// [`SPREAD_LIMIT`] if an instance did not apply them in time.
-fn measure_settings_spread(world: &mut World) -> (Duration, Duration) {
+fn measure_settings_spread(simulation: &mut Simulation) -> (Duration, Duration) {
     let text = format!(
         "[fleet]\nmax_output_tokens = 77\n{}",
         options::settings("instances = 9")
     );
-    let version = world.put_settings(&text);
-    world.show_settings();
-    let started_at = world.now;
+    let version = simulation.put_settings(&text);
+    simulation.show_settings();
+    let started_at = simulation.now;
     let mut times = Vec::new();
-    let all = world.names().len();
-    while times.len() < all && world.now.saturating_sub(started_at) < SPREAD_LIMIT {
-        world.run_for(Duration::from_millis(5));
-        let applied = world
+    let all = simulation.names().len();
+    while times.len() < all && simulation.now.saturating_sub(started_at) < SPREAD_LIMIT {
+        simulation.run_for(Duration::from_millis(5));
+        let applied = simulation
             .live_instances()
             .filter(|(_, instance)| instance.settings().version() >= version)
             .count();
-        let now = world.now.saturating_sub(started_at);
+        let now = simulation.now.saturating_sub(started_at);
         while times.len() < applied {
             times.push(now);
         }
--- a/crates/damaskstile-measure/src/targets.rs
+++ b/crates/damaskstile-measure/src/targets.rs
@@ -5,8 +5,8 @@
 use clap::Args;
 use damaskstile::core::prelude::*;
 use damaskstile::targets::{RegistryOptions, SelectorKind};
-use damaskstile_fakes::world::Work;
-use damaskstile_fakes::{World, WorldOptions, options};
+use damaskstile_fakes::simulation::RequestSpec;
+use damaskstile_fakes::{Simulation, SimulationOptions, options};
 
 /// Time before the first request.
 const WARM_UP: Duration = Duration::from_secs(3);
@@ -83,11 +83,11 @@
     lag_s: u64,
     has_slow: bool,
 ) -> String {
-    let mut world = world(args, deployment, selector, lag_s);
-    if has_slow && let Some(target) = world.targets.targets.get_mut("chat-0") {
+    let mut simulation = simulation(args, deployment, selector, lag_s);
+    if has_slow && let Some(target) = simulation.targets.targets.get_mut("chat-0") {
         target.chunk_interval = CHUNK_INTERVAL * 10;
     }
-    world.run_for(WARM_UP);
+    simulation.run_for(WARM_UP);
     // 70% of the nominal capacity of the targets, 20 requests per second each.
     let targets = u32::try_from(deployment.targets).unwrap_or(1);
     let interval = Duration::from_secs(1) / (20 * targets * 7 / 10);
@@ -95,21 +95,29 @@
     for _ in 0..args.requests {
         let name = format!("i{:03}", random.index(INSTANCES));
         let output_tokens = 4 + random.below(CAP_TOKENS - 4);
-        world.request(&name, &Work::chat(PROMPT_TOKENS, CAP_TOKENS, output_tokens));
-        world.run_for(interval / 2 + interval * u32::from(random.below(2) == 1));
+        simulation.request(
+            &name,
+            &RequestSpec::chat(PROMPT_TOKENS, CAP_TOKENS, output_tokens),
+        );
+        simulation.run_for(interval / 2 + interval * u32::from(random.below(2) == 1));
     }
-    world.run_for(COOL_DOWN);
+    simulation.run_for(COOL_DOWN);
     let slow = if has_slow { "one_tenth" } else { "none" };
     format!(
         "{}\t{}\t{lag_s}\t{slow}\t{}",
         deployment.name,
         selector.as_str(),
-        latency_columns(&world)
+        latency_columns(&simulation)
     )
 }
 
-fn world(args: &TargetsArgs, deployment: Deployment, selector: SelectorKind, lag_s: u64) -> World {
-    let options = WorldOptions {
+fn simulation(
+    args: &TargetsArgs,
+    deployment: Deployment,
+    selector: SelectorKind,
+    lag_s: u64,
+) -> Simulation {
+    let options = SimulationOptions {
         seed: args.seed,
         data_centres: deployment.data_centres,
         instances: INSTANCES,
@@ -123,14 +131,14 @@
             selector,
             ..RegistryOptions::default()
         },
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    World::new(options, 1_000_000_000)
+    Simulation::new(options, 1_000_000_000)
 }
 
-fn latency_columns(world: &World) -> String {
-    let mut first: Vec<u128> = world
-        .answers
+fn latency_columns(simulation: &Simulation) -> String {
+    let mut first: Vec<u128> = simulation
+        .calls
         .values()
         .filter_map(|answered| {
             let first_at = answered.first_chunk_at?;
@@ -142,9 +150,9 @@
         let index = (first.len() * percent / 100).min(first.len().saturating_sub(1));
         first.get(index).copied().unwrap_or(0)
     };
-    let requests = world.answers.len();
-    let refused = world
-        .answers
+    let requests = simulation.calls.len();
+    let refused = simulation
+        .calls
         .values()
         .filter(|answered| answered.outcome.as_ref().is_some_and(Outcome::is_not_run))
         .count();
--- a/crates/damaskstile/tests/chaos.rs
+++ b/crates/damaskstile/tests/chaos.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use damaskstile_fakes::world::Work;
-use damaskstile_fakes::{World, WorldOptions, check};
+use damaskstile_fakes::simulation::RequestSpec;
+use damaskstile_fakes::{Simulation, SimulationOptions, check};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
@@ -91,10 +91,14 @@
 /// Returns a request key out of a small set, so that callers repeat keys, some of them while the
 /// first call is still open.
 fn repeated_key(number: u64) -> String {
-    damaskstile::keys::new_request_key(damaskstile_fakes::world::STARTED_AT, number << 48, number)
+    damaskstile::keys::new_request_key(
+        damaskstile_fakes::simulation::STARTED_AT,
+        number << 48,
+        number,
+    )
 }
 
-fn apply(simulation: &mut World, action: &Action) {
+fn apply(simulation: &mut Simulation, action: &Action) {
     match action {
         Action::Chat {
             instance,
@@ -103,22 +107,22 @@
             output,
             is_streamed,
         } => {
-            let work = Work {
+            let spec = RequestSpec {
                 is_streamed: *is_streamed,
-                ..Work::chat(*prompt, *cap, *output)
+                ..RequestSpec::chat(*prompt, *cap, *output)
             };
-            simulation.request(&name(*instance), &work);
+            simulation.request(&name(*instance), &spec);
         }
         Action::Publish { instance, key } => {
-            let work = Work::publish(&repeated_key(*key));
-            simulation.request(&name(*instance), &work);
+            let spec = RequestSpec::publish(&repeated_key(*key));
+            simulation.request(&name(*instance), &spec);
         }
         Action::RepeatChat { instance, key } => {
-            let work = Work {
+            let spec = RequestSpec {
                 key: repeated_key(100 + *key),
-                ..Work::chat(20, 50, 40)
+                ..RequestSpec::chat(20, 50, 40)
             };
-            simulation.request(&name(*instance), &work);
+            simulation.request(&name(*instance), &spec);
         }
         Action::Kill(one) => simulation.kill(&name(*one)),
         Action::Start(one) => {
@@ -144,7 +148,7 @@
             jitter_ms,
         } => {
             simulation.network.loss_percent = *loss_percent;
-            simulation.network.twice_percent = *duplicate_percent;
+            simulation.network.duplicate_percent = *duplicate_percent;
             simulation.network.jitter = Duration::from_millis(*jitter_ms);
         }
         Action::TopUp(tokens) => {
@@ -155,7 +159,7 @@
     }
 }
 
-fn apply_to_target(simulation: &mut World, action: &Action) {
+fn apply_to_target(simulation: &mut Simulation, action: &Action) {
     let now = simulation.now;
     let number = match action {
         Action::CutRuns(one, _)
@@ -183,7 +187,7 @@
     }
 }
 
-fn repair_all(simulation: &mut World) {
+fn repair_all(simulation: &mut Simulation) {
     simulation.network = damaskstile_fakes::Network::default();
     simulation.store.is_out = false;
     simulation.store.lose_answers = 0;
@@ -197,19 +201,19 @@
 
 /// Starts a fleet whose seed also selects the budget policy and the share of open tokens, which are
 /// spent without records.
-fn fleet(seed: u64) -> World {
+fn fleet(seed: u64) -> Simulation {
     let open_percent = [0, 5, 50][usize::try_from(seed % 3).unwrap_or(0)];
     let policy =
         ["transfers", "adaptive", "spread_transfers"][usize::try_from(seed / 3 % 3).unwrap_or(0)];
     let values = format!("[fleet]\nopen_percent = {open_percent}\nbudget_policy = \"{policy}\"\n");
-    let options = WorldOptions {
+    let options = SimulationOptions {
         seed,
         settings: values + &damaskstile_fakes::options::settings("instances = 4"),
         instances: 4,
         data_centres: 2,
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    let mut simulation = World::new(options, 5_000);
+    let mut simulation = Simulation::new(options, 5_000);
     simulation.run_for(Duration::from_secs(2));
     simulation
 }
@@ -282,7 +286,7 @@
         }
         repair_all(&mut simulation);
         simulation.run_for(Duration::from_secs(150));
-        prop_assert_eq!(check::at_the_end(&simulation), Ok(()));
+        prop_assert_eq!(check::at_end(&simulation), Ok(()));
     }
 
     #[test]
@@ -302,7 +306,7 @@
         simulation.run_for(Duration::from_secs(150));
 
         // Assert
-        prop_assert_eq!(check::at_the_end(&simulation), Ok(()));
+        prop_assert_eq!(check::at_end(&simulation), Ok(()));
         prop_assert_eq!(check::answered_is_billed(&simulation), Ok(()));
     }
 }
--- a/crates/damaskstile/tests/together.rs
+++ b/crates/damaskstile/tests/together.rs
@@ -4,32 +4,32 @@
 
 use damaskstile::core::prelude::*;
 use damaskstile_fakes::options::settings;
-use damaskstile_fakes::world::Work;
-use damaskstile_fakes::{World, WorldOptions, check};
+use damaskstile_fakes::simulation::RequestSpec;
+use damaskstile_fakes::{Simulation, SimulationOptions, check};
 
 /// Time after which a leaving target must not get new runs.
 const LEAVING_LIMIT: Duration = Duration::from_secs(4);
 
-fn fleet(instances: usize) -> World {
+fn fleet(instances: usize) -> Simulation {
     fleet_with(instances, "")
 }
 
 /// Starts a fleet with additional values in the `[fleet]` table of the settings.
-fn fleet_with(instances: usize, values: &str) -> World {
-    let options = WorldOptions {
+fn fleet_with(instances: usize, values: &str) -> Simulation {
+    let options = SimulationOptions {
         instances,
         settings: format!("[fleet]\n{values}\n") + &settings(&format!("instances = {instances}")),
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    let mut simulation = World::new(options, 1_000_000);
+    let mut simulation = Simulation::new(options, 1_000_000);
     simulation.run_for(Duration::from_secs(3));
     simulation
 }
 
-fn call_all(simulation: &mut World, rounds: u64) {
+fn call_all(simulation: &mut Simulation, rounds: u64) {
     for _ in 0..rounds {
         for name in simulation.names() {
-            simulation.request(&name, &Work::chat(10, 50, 40));
+            simulation.request(&name, &RequestSpec::chat(10, 50, 40));
         }
         simulation.run_for(Duration::from_millis(50));
     }
@@ -37,9 +37,9 @@
     simulation.run_for(Duration::from_secs(1));
 }
 
-fn answered(simulation: &World) -> usize {
-    let answers = simulation.answers.values();
-    answers
+fn answered(simulation: &Simulation) -> usize {
+    let calls = simulation.calls.values();
+    calls
         .filter(|answered| answered.outcome.as_ref().is_some_and(Outcome::is_answered))
         .count()
 }
@@ -61,7 +61,7 @@
 
     // Assert
     assert!(simulation.targets.latest_start_after_leaving < LEAVING_LIMIT);
-    assert_eq!(answered(&simulation), simulation.answers.len());
+    assert_eq!(answered(&simulation), simulation.calls.len());
 }
 
 #[test]
@@ -112,7 +112,7 @@
     simulation.run_for(Duration::from_secs(2));
 
     // Assert
-    assert_eq!(answered(&simulation), simulation.answers.len());
+    assert_eq!(answered(&simulation), simulation.calls.len());
 }
 
 #[test]
@@ -133,7 +133,7 @@
     simulation.run_for(Duration::from_secs(5));
 
     // Assert
-    assert_eq!(answered(&simulation), simulation.answers.len());
+    assert_eq!(answered(&simulation), simulation.calls.len());
     assert_eq!(check::answered_is_billed(&simulation), Ok(()));
     let ledger = simulation.store.ledger("office");
     assert_eq!(ledger.settled_tokens, simulation.targets.ran("office"));
@@ -177,7 +177,7 @@
     for name in simulation.names() {
         let key = "settings/tree".to_owned();
         let object = older.clone();
-        simulation.give(&name, Event::Changed { key, object });
+        simulation.deliver(&name, Event::Changed { key, object });
         assert_eq!(
             simulation.instance(&name).unwrap().settings().version(),
             version
@@ -221,11 +221,11 @@
     // Act
     simulation.start("i002");
     simulation.run_for(Duration::from_millis(500));
-    let call = simulation.request("i002", &Work::chat(10, 50, 40));
+    let call = simulation.request("i002", &RequestSpec::chat(10, 50, 40));
     simulation.run_for(Duration::from_secs(1));
 
     // Assert: settings and tokens came from peers within one second.
-    let answered = &simulation.answers[&call];
+    let answered = &simulation.calls[&call];
     assert!(
         answered.outcome.as_ref().unwrap().is_answered(),
         "{answered:?}"
@@ -242,15 +242,15 @@
 
     // Act
     for _ in 0..200 {
-        simulation.request("i000", &Work::chat(1_000, 1_000, 900));
+        simulation.request("i000", &RequestSpec::chat(1_000, 1_000, 900));
         simulation.run_for(Duration::from_mins(1));
         assert_eq!(check::always(&simulation), Ok(()));
     }
 
     // Assert: it answered from open tokens and refused requests when these were spent.
-    let refused = simulation.answers.len() - answered(&simulation);
+    let refused = simulation.calls.len() - answered(&simulation);
     assert!(refused > 0 && answered(&simulation) > 0);
-    assert_eq!(check::at_the_end(&simulation), Ok(()));
+    assert_eq!(check::at_end(&simulation), Ok(()));
 }
 
 #[test]
@@ -280,30 +280,30 @@
     // small one.
     let token = "b".repeat(64);
     let small = format!("[account.small]\nbudget = \"office\"\ntoken_sha256 = [\"{token}\"]\n");
-    let options = WorldOptions {
+    let options = SimulationOptions {
         instances: 1,
         targets: 1,
         slots_requests: 1,
         settings: settings("instances = 1\nqueue_requests = 16\nqueue_wait_ms = 60000") + &small,
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    let mut simulation = World::new(options, 1_000_000);
+    let mut simulation = Simulation::new(options, 1_000_000);
     simulation.run_for(Duration::from_secs(3));
 
     // Act
     for _ in 0..40 {
-        simulation.request("i000", &Work::chat(10, 50, 40));
+        simulation.request("i000", &RequestSpec::chat(10, 50, 40));
     }
-    let work = Work {
+    let spec = RequestSpec {
         token_sha256: token,
-        ..Work::chat(10, 50, 40)
+        ..RequestSpec::chat(10, 50, 40)
     };
-    let calls: Vec<RequestHandle> = (0..4).map(|_| simulation.request("i000", &work)).collect();
+    let calls: Vec<RequestHandle> = (0..4).map(|_| simulation.request("i000", &spec)).collect();
     simulation.run_for(Duration::from_secs(30));
 
     // Assert
     for call in calls {
-        let outcome = simulation.answers[&call].outcome.as_ref().unwrap();
+        let outcome = simulation.calls[&call].outcome.as_ref().unwrap();
         assert!(outcome.is_answered(), "{outcome:?}");
     }
 }
@@ -316,18 +316,18 @@
     // Arrange
     let mut simulation = fleet(3);
     let before = simulation.targets.dispatches;
-    let call = simulation.request("i000", &Work::publish(""));
+    let call = simulation.request("i000", &RequestSpec::publish(""));
     simulation.run_for(Duration::from_millis(15));
     let run = simulation.targets.runs.keys().next().unwrap().clone();
 
     // Act
     let report = RunReport::Broken;
-    simulation.give("i000", Event::Run { run, report });
+    simulation.deliver("i000", Event::Run { run, report });
     simulation.run_for(Duration::from_secs(5));
 
     // Assert
     assert_eq!(simulation.targets.dispatches - before, 1);
-    let outcome = simulation.answers[&call].outcome.as_ref().unwrap();
+    let outcome = simulation.calls[&call].outcome.as_ref().unwrap();
     assert!(matches!(outcome, Outcome::Unknown { .. }), "{outcome:?}");
 }
 
@@ -338,26 +338,26 @@
     // that it is refused on every attempt.
 
     // Arrange
-    let options = WorldOptions {
+    let options = SimulationOptions {
         instances: 1,
         slots_requests: 100_000,
         settings: settings("instances = 1"),
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    let mut simulation = World::new(options, 10_000_000);
+    let mut simulation = Simulation::new(options, 10_000_000);
     simulation.run_for(Duration::from_secs(3));
     simulation.store.is_out = true;
 
     // Act
     for _ in 0..6_000 {
-        simulation.request("i000", &Work::chat(1, 2, 2));
+        simulation.request("i000", &RequestSpec::chat(1, 2, 2));
         simulation.run_for(Duration::from_millis(5));
     }
     simulation.store.is_out = false;
     simulation.run_for(Duration::from_mins(1));
 
     // Assert
-    assert_eq!(check::at_the_end(&simulation), Ok(()));
+    assert_eq!(check::at_end(&simulation), Ok(()));
     assert_eq!(answered(&simulation), 6_000);
     assert_eq!(check::answered_is_billed(&simulation), Ok(()));
 }
--- a/crates/damaskstile/tests/witness.rs
+++ b/crates/damaskstile/tests/witness.rs
@@ -6,18 +6,18 @@
 use damaskstile::core::prelude::*;
 use damaskstile::{Instance, InstanceOptions};
 use damaskstile_fakes::options::{OFFICE_TOKEN, settings};
-use damaskstile_fakes::world::{STARTED_AT, Work};
-use damaskstile_fakes::{World, WorldOptions, check};
+use damaskstile_fakes::simulation::{RequestSpec, STARTED_AT};
+use damaskstile_fakes::{Simulation, SimulationOptions, check};
 
 /// Starts a fleet without open tokens, so that all spending needs records at witnesses.
-fn recorded_fleet(instances: usize) -> World {
+fn recorded_fleet(instances: usize) -> Simulation {
     let values = "[fleet]\nopen_percent = 0\n";
-    let options = WorldOptions {
+    let options = SimulationOptions {
         instances,
         settings: values.to_owned() + &settings(&format!("instances = {instances}")),
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    let mut simulation = World::new(options, 10_000);
+    let mut simulation = Simulation::new(options, 10_000);
     simulation.run_for(Duration::from_secs(5));
     simulation
 }
@@ -26,7 +26,7 @@
 fn unspent_tokens_of_a_killed_holder_return_to_the_budget() {
     // Arrange
     let mut simulation = recorded_fleet(3);
-    simulation.request("i000", &Work::chat(10, 50, 40));
+    simulation.request("i000", &RequestSpec::chat(10, 50, 40));
     simulation.run_for(Duration::from_secs(2));
 
     // Act
@@ -46,25 +46,25 @@
 
     // Arrange
     let mut simulation = recorded_fleet(3);
-    simulation.has_careful_hosts = false;
+    simulation.hosts_check_expiry = false;
     for _ in 0..5 {
-        simulation.request("i000", &Work::chat(10, 50, 40));
+        simulation.request("i000", &RequestSpec::chat(10, 50, 40));
     }
     simulation.pause("i000", Duration::from_mins(2));
 
     // Act
     simulation.run_for(Duration::from_secs(30));
     for _ in 0..400 {
-        simulation.request("i001", &Work::chat(10, 50, 40));
+        simulation.request("i001", &RequestSpec::chat(10, 50, 40));
         simulation.run_for(Duration::from_millis(20));
     }
     for _ in 0..50 {
-        simulation.request("i000", &Work::chat(10, 50, 40));
+        simulation.request("i000", &RequestSpec::chat(10, 50, 40));
     }
     simulation.run_for(Duration::from_mins(3));
 
     // Assert
-    assert_eq!(check::at_the_end(&simulation), Ok(()));
+    assert_eq!(check::at_end(&simulation), Ok(()));
 }
 
 #[test]
@@ -99,18 +99,21 @@
 fn a_transfer_that_is_delivered_twice_counts_once() {
     // Arrange
     let mut simulation = recorded_fleet(3);
-    simulation.network.twice_percent = 100;
+    simulation.network.duplicate_percent = 100;
 
     // Act
     for number in 0..200 {
-        simulation.request(&format!("i00{}", number % 3), &Work::chat(50, 50, 50));
+        simulation.request(
+            &format!("i00{}", number % 3),
+            &RequestSpec::chat(50, 50, 50),
+        );
         simulation.run_for(Duration::from_millis(5));
     }
     simulation.run_for(Duration::from_secs(5));
 
     // Assert
     assert!(simulation.logged.contains_key(&EventCode::TokensTaken));
-    assert_eq!(check::at_the_end(&simulation), Ok(()));
+    assert_eq!(check::at_end(&simulation), Ok(()));
 }
 
 #[test]
