--- a/crates/damaskctl/src/context.rs
+++ b/crates/damaskctl/src/context.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use damaskstile_http::{Call, Platform, send_whole};
+use damaskstile_http::{Call, Platform, send_and_collect};
 use serde::Serialize;
 use serde_json::Value;
 
@@ -66,7 +66,7 @@
     for (name, value) in headers {
         call = call.header(name, value);
     }
-    let reply = send_whole(call, CALL_TIMEOUT).await?;
+    let reply = send_and_collect(call, CALL_TIMEOUT).await?;
     if reply.status == http::StatusCode::NOT_FOUND {
         return Err(Failure::NotFound(reply.text()));
     }
@@ -90,7 +90,7 @@
     let call = Call::new(address, http::Method::PUT, path)
         .header("content-type", "application/json")
         .body(value.to_string());
-    let reply = send_whole(call, CALL_TIMEOUT).await?;
+    let reply = send_and_collect(call, CALL_TIMEOUT).await?;
     match reply.status.as_u16() {
         200..=299 => Ok(()),
         409 => Err(Failure::Conflict(reply.text())),
--- a/crates/damaskstile-http/src/client.rs
+++ b/crates/damaskstile-http/src/client.rs
@@ -112,7 +112,7 @@
 ///
 /// `Invalid` if the call cannot be built, `NotConnected` if no byte was sent, `Broken` if some may
 /// have been, and `TimedOut` if the time limit passed.
-pub async fn send_whole(call: Call, limit: Duration) -> Result<Reply> {
+pub async fn send_and_collect(call: Call, limit: Duration) -> Result<Reply> {
     let exchange = async {
         let (head, body) = send(call).await?.into_parts();
         collect_body(head, body, limit).await
--- a/crates/damaskstile-http/src/lib.rs
+++ b/crates/damaskstile-http/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod sse;
 
 pub use answers::AnswerReader;
-pub use client::{Call, Reply, send, send_whole};
+pub use client::{Call, Reply, send, send_and_collect};
 pub use errors::{Error, Result};
 pub use platform::Platform;
-pub use pooled::KeptClient;
+pub use pooled::PooledClient;
 pub use sse::SseDecoder;
--- a/crates/damaskstile-http/src/platform.rs
+++ b/crates/damaskstile-http/src/platform.rs
@@ -6,7 +6,7 @@
 use http::{Method, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use crate::client::{Call, Reply, send_whole};
+use crate::client::{Call, Reply, send_and_collect};
 use crate::errors::{Error, Result};
 
 /// Time limit of a call, beyond the time that a watch may wait.
@@ -77,7 +77,7 @@
     pub async fn write(&self, key: &str, expected: Version, value: String) -> Result<StoreAnswer> {
         let path = format!("/objects/{key}?expected_version={expected}");
         let call = Call::new(&self.address, Method::PUT, &path).body(value);
-        let reply = send_whole(call, CALL_LIMIT).await?;
+        let reply = send_and_collect(call, CALL_LIMIT).await?;
         match reply.status {
             StatusCode::OK => {
                 let written: ObjectKey = parse(&reply)?;
@@ -136,7 +136,7 @@
     }
 
     async fn get(&self, path: &str, limit: Duration) -> Result<Reply> {
-        send_whole(Call::new(&self.address, Method::GET, path), limit).await
+        send_and_collect(Call::new(&self.address, Method::GET, path), limit).await
     }
 }
 
--- a/crates/damaskstile-http/src/pooled.rs
+++ b/crates/damaskstile-http/src/pooled.rs
@@ -32,16 +32,16 @@
 /// may still have taken effect. So use it only for calls that can be repeated safely or whose
 /// effect can be looked up.
 #[derive(Debug)]
-pub struct KeptClient {
+pub struct PooledClient {
     address: String,
     idle: Mutex<Vec<Sender>>,
 }
 
-impl KeptClient {
+impl PooledClient {
     /// Creates a client; connections are opened on demand.
     ///
     /// ```
-    /// let client = damaskstile_http::KeptClient::new("127.0.0.1:80");
+    /// let client = damaskstile_http::PooledClient::new("127.0.0.1:80");
     /// assert_eq!(client.address(), "127.0.0.1:80");
     /// ```
     #[must_use]
--- a/crates/damaskstile-http/tests/kept.rs
+++ b/crates/damaskstile-http/tests/kept.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use damaskstile_http::{Call, KeptClient};
+use damaskstile_http::{Call, PooledClient};
 use http::Method;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -52,7 +52,7 @@
 
     // Arrange
     let address = server().await;
-    let client = KeptClient::new(&address.to_string());
+    let client = PooledClient::new(&address.to_string());
     let call = Call::new("store", Method::GET, "/a");
     let first = (0..DEAD_CONNECTIONS).map(|_| client.call(&call, LIMIT));
     for reply in futures_util::future::join_all(first).await {
@@ -99,7 +99,7 @@
 
     // Arrange
     let address = slow_server(12, LIMIT / 8).await;
-    let client = KeptClient::new(&address.to_string());
+    let client = PooledClient::new(&address.to_string());
 
     // Act
     let call = Call::new("store", Method::GET, "/a");
@@ -113,7 +113,7 @@
 async fn a_response_that_stalls_times_out() {
     // Arrange
     let address = slow_server(2, Duration::from_secs(30)).await;
-    let client = KeptClient::new(&address.to_string());
+    let client = PooledClient::new(&address.to_string());
     let began_at = std::time::Instant::now();
 
     // Act
--- a/crates/damaskstile-measure/src/load.rs
+++ b/crates/damaskstile-measure/src/load.rs
@@ -8,7 +8,7 @@
 use clap::Args;
 use damaskstile::budgets::Ledger;
 use damaskstile::keys::ledger_key;
-use damaskstile_http::{Call, Platform, Reply, send_whole};
+use damaskstile_http::{Call, Platform, Reply, send_and_collect};
 use serde_json::{Value, json};
 use tokio::sync::{Mutex, Semaphore};
 
@@ -117,14 +117,14 @@
     };
     let call = call.header("authorization", &format!("Bearer {}", args.token));
     let started = Instant::now();
-    let reply = send_whole(call, REQUEST_LIMIT).await;
+    let reply = send_and_collect(call, REQUEST_LIMIT).await;
     let via_fleet = started.elapsed();
     let outcome = outcome(reply);
     let mut direct_time = None;
     if plain.is_none() && !args.no_direct {
         let started = Instant::now();
         let call = completion(args, direct, number.is_multiple_of(2));
-        if send_whole(call, REQUEST_LIMIT).await.is_ok() {
+        if send_and_collect(call, REQUEST_LIMIT).await.is_ok() {
             direct_time = Some(started.elapsed());
         }
     }
@@ -268,7 +268,7 @@
     let mut tokens = 0;
     for info in platform.targets().await? {
         let call = Call::new(&info.address, http::Method::GET, "/ledger");
-        let reply = send_whole(call, REQUEST_LIMIT).await?;
+        let reply = send_and_collect(call, REQUEST_LIMIT).await?;
         let list: Vec<Value> = serde_json::from_slice(&reply.body)?;
         for run in list.iter().filter(|run| run["account"] != "") {
             runs += 1;
--- a/crates/damaskstile-standins/src/bin/standin-target.rs
+++ b/crates/damaskstile-standins/src/bin/standin-target.rs
@@ -4,7 +4,7 @@
 
 use clap::Parser;
 use damaskstile_core::prelude::TargetInfo;
-use damaskstile_http::{Call, send_whole};
+use damaskstile_http::{Call, send_and_collect};
 use damaskstile_standins::{serve, target};
 
 #[derive(Debug, Parser)]
@@ -55,7 +55,7 @@
     let path = format!("/targets/{}", args.name);
     let call =
         Call::new(&args.platform, http::Method::PUT, &path).body(serde_json::to_string(&info)?);
-    send_whole(call, Duration::from_secs(2)).await?;
+    send_and_collect(call, Duration::from_secs(2)).await?;
     println!("listening on {}", server.local_addr());
     server.await.map_err(|error| anyhow::anyhow!(error))
 }
--- a/crates/damaskstiled/src/targets.rs
+++ b/crates/damaskstiled/src/targets.rs
@@ -6,7 +6,7 @@
 
 use damaskstile::core::hex::to_hex;
 use damaskstile::core::prelude::*;
-use damaskstile_http::{AnswerReader, Call, Error, send, send_whole};
+use damaskstile_http::{AnswerReader, Call, Error, send, send_and_collect};
 use http::{Method, StatusCode};
 use http_body_util::BodyExt;
 use tokio::sync::mpsc::{self, Receiver, Sender};
@@ -210,7 +210,7 @@
     let call = Call::new(&dispatch.address, raw.method.clone(), &path)
         .header("content-type", &raw.content_type)
         .body(raw.body.clone());
-    let reply = send_whole(with_run_headers(call, dispatch), IDLE_TIMEOUT).await?;
+    let reply = send_and_collect(with_run_headers(call, dispatch), IDLE_TIMEOUT).await?;
     let content_type = reply
         .headers
         .get(http::header::CONTENT_TYPE)
@@ -239,12 +239,12 @@
 
 async fn cancel(run: RunId, address: String) {
     let call = Call::new(&address, Method::DELETE, &format!("/v1/runs/{run}"));
-    let _ = send_whole(call, QUERY_TIMEOUT).await;
+    let _ = send_and_collect(call, QUERY_TIMEOUT).await;
 }
 
 async fn inquire(shared: Arc<SharedState>, run: RunId, address: String) {
     let call = Call::new(&address, Method::GET, &format!("/v1/runs/{run}"));
-    let state = match send_whole(call, QUERY_TIMEOUT).await {
+    let state = match send_and_collect(call, QUERY_TIMEOUT).await {
         Ok(reply) if reply.status == StatusCode::OK => {
             serde_json::from_slice(&reply.body).unwrap_or(RunState::Unreachable)
         }
@@ -255,7 +255,7 @@
 
 async fn probe(shared: Arc<SharedState>, target: TargetId, address: String) {
     let call = Call::new(&address, Method::GET, "/status");
-    let status = match send_whole(call, QUERY_TIMEOUT).await {
+    let status = match send_and_collect(call, QUERY_TIMEOUT).await {
         Ok(reply) if reply.status == StatusCode::OK => serde_json::from_slice(&reply.body).ok(),
         _ => None,
     };
--- a/crates/damaskstiled/tests/support/mod.rs
+++ b/crates/damaskstiled/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use damaskstile::budgets::{Entry, Ledger};
 use damaskstile::core::hex::to_hex;
 use damaskstile::core::prelude::*;
-use damaskstile_http::{Call, Platform, send_whole};
+use damaskstile_http::{Call, Platform, send_and_collect};
 use damaskstile_standins::target::{Engine, Faults};
 use damaskstile_standins::{platform, serve, target};
 use serde_json::{Value, json};
@@ -162,7 +162,7 @@
         let call = Call::new(&self.platform_address, method, path)
             .header("content-type", "application/json")
             .body(body.to_string());
-        send_whole(call, Duration::from_secs(2))
+        send_and_collect(call, Duration::from_secs(2))
             .await
             .expect("platform");
     }
@@ -218,7 +218,7 @@
                 http::Method::GET,
                 "/healthz",
             );
-            let reply = send_whole(call, Duration::from_secs(1)).await;
+            let reply = send_and_collect(call, Duration::from_secs(1)).await;
             if reply.is_ok_and(|reply| reply.status.is_success()) {
                 return;
             }
@@ -234,7 +234,7 @@
             http::Method::GET,
             "/v1/status",
         );
-        match send_whole(call, Duration::from_secs(1)).await {
+        match send_and_collect(call, Duration::from_secs(1)).await {
             Ok(reply) => serde_json::from_slice(&reply.body).unwrap_or_default(),
             Err(_) => Value::Null,
         }
@@ -299,7 +299,7 @@
             .header("idempotency-key", key)
             .body(body.to_string());
         async move {
-            match send_whole(call, Duration::from_secs(20)).await {
+            match send_and_collect(call, Duration::from_secs(20)).await {
                 Ok(reply) => Answer {
                     status: reply.status.as_u16(),
                     body: serde_json::from_slice(&reply.body).unwrap_or_default(),
