--- a/crates/damaskstile-budgets/src/holder/transfer.rs
+++ b/crates/damaskstile-budgets/src/holder/transfer.rs
@@ -1,6 +1,6 @@
 //! Transfers of tokens between holders of the same budget.
 
-use damaskstile_core::peer::{Adoption, AskTokens, GiveTokens, TakeTokens};
+use damaskstile_core::peer::{Adoption, TokenRequest, TokenTransfer, TransferConfirmation};
 use damaskstile_core::prelude::*;
 
 use super::Holder;
@@ -82,7 +82,7 @@
         for peer in &peers {
             fx.push(HolderEffect::Send {
                 to: peer.clone(),
-                message: PeerMessage::Ask(AskTokens {
+                message: PeerMessage::Ask(TokenRequest {
                     budget: self.budget.clone(),
                     tokens,
                     ask: request_id,
@@ -110,11 +110,11 @@
     }
 
     /// Handles a peer's request for tokens: transfers free tokens, or answers that there are none.
-    pub fn on_ask(
+    pub fn on_token_request(
         &mut self,
         now: Duration,
         from: &InstanceId,
-        ask: &AskTokens,
+        ask: &TokenRequest,
         fx: &mut Vec<HolderEffect>,
     ) {
         // Of two instances that both lack tokens, each would keep what the other needs, and neither
@@ -161,10 +161,10 @@
     fn send_no_tokens(&self, to: &InstanceId, request_id: u64, fx: &mut Vec<HolderEffect>) {
         fx.push(HolderEffect::Send {
             to: to.clone(),
-            message: PeerMessage::Give(GiveTokens {
+            message: PeerMessage::Give(TokenTransfer {
                 ask: request_id,
                 budget: self.budget.clone(),
-                ..GiveTokens::default()
+                ..TokenTransfer::default()
             }),
         });
     }
@@ -200,11 +200,11 @@
                 until: now + RESEND_TIMEOUT,
             },
         );
-        fx.push(HolderEffect::Give { transfer, plan });
+        fx.push(HolderEffect::Transfer { transfer, plan });
     }
 
     /// Sends a transfer. To be called once its record is kept, or at once if its grant is open.
-    pub fn send_give(&mut self, now: Duration, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
+    pub fn send_transfer(&mut self, now: Duration, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
         if let Some(outgoing) = self.outgoing_transfers.get_mut(transfer) {
             outgoing.resend_at = Some(now + RESEND_INTERVAL);
             fx.push(transfer_message(&self.budget, transfer, outgoing));
@@ -214,7 +214,7 @@
     }
 
     /// Cancels a transfer that was never sent and answers the peer that there are no tokens.
-    pub fn cancel_give(&mut self, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
+    pub fn cancel_transfer(&mut self, transfer: &GrantId, fx: &mut Vec<HolderEffect>) {
         let Some(outgoing) = self.outgoing_transfers.remove(transfer) else {
             return;
         };
@@ -234,17 +234,17 @@
     }
 
     /// Handles a recipient's confirmation that a transfer has arrived.
-    pub fn on_take(&mut self, transfer: &GrantId) {
+    pub fn on_transfer_confirmed(&mut self, transfer: &GrantId) {
         self.outgoing_transfers.remove(transfer);
         self.drop_empty_holdings();
     }
 
     /// Handles a peer's answer to a request for tokens and accepts the transferred tokens, if any.
-    pub fn on_give(
+    pub fn on_transfer(
         &mut self,
         now: Duration,
         from: &InstanceId,
-        give: &GiveTokens,
+        give: &TokenTransfer,
         fx: &mut Vec<HolderEffect>,
     ) {
         let is_requested = self.is_own_request(give.ask);
@@ -295,10 +295,15 @@
         }
     }
 
-    fn confirm_transfer(&self, from: &InstanceId, give: &GiveTokens, fx: &mut Vec<HolderEffect>) {
+    fn confirm_transfer(
+        &self,
+        from: &InstanceId,
+        give: &TokenTransfer,
+        fx: &mut Vec<HolderEffect>,
+    ) {
         fx.push(HolderEffect::Send {
             to: from.clone(),
-            message: PeerMessage::Take(TakeTokens {
+            message: PeerMessage::Take(TransferConfirmation {
                 transfer: give.transfer.clone(),
                 budget: self.budget.clone(),
             }),
@@ -308,7 +313,7 @@
     fn accept_transfer(
         &mut self,
         from: &InstanceId,
-        give: &GiveTokens,
+        give: &TokenTransfer,
         fx: &mut Vec<HolderEffect>,
     ) {
         // The sender may have received the tokens from another peer and may not have entered that
@@ -411,7 +416,7 @@
 ) -> HolderEffect {
     HolderEffect::Send {
         to: outgoing.to.clone(),
-        message: PeerMessage::Give(GiveTokens {
+        message: PeerMessage::Give(TokenTransfer {
             ask: outgoing.request_id,
             budget: budget.clone(),
             transfer: transfer.clone(),
--- a/crates/damaskstile-fakes/src/world.rs
+++ b/crates/damaskstile-fakes/src/simulation.rs
@@ -1,7 +1,8 @@
-//! `world` hosts the instances: it delivers messages, store answers, timers and target events.
+//! Event loop of the simulation: delivers messages, store answers, timers and target events to
+//! the instances.
 
 mod deliver;
-mod due;
+mod scheduled;
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,20 +11,20 @@
 use damaskstile::core::prelude::*;
 use damaskstile::{Instance, InstanceOptions};
 
-use crate::answered::Answered;
+use crate::call_record::CallRecord;
 use crate::network::Network;
-use crate::options::WorldOptions;
+use crate::options::SimulationOptions;
 use crate::oracle::{self, Verdict};
+pub use crate::request_spec::RequestSpec;
 use crate::store::FakeStore;
 use crate::targets::FakeTargets;
-pub use crate::work::Work;
-use due::Due;
+use scheduled::Scheduled;
 
-/// Time at which every scenario starts, since the Unix epoch.
+/// Time since the Unix epoch at which every scenario starts.
 pub const STARTED_AT: Duration = Duration::from_hours(500_000);
 
-/// Events at one moment past which time is taken to stand still.
-const STEPS_AT_ONCE_MAX: u64 = 20_000;
+/// Consecutive actions without progress of time after which a scenario is aborted.
+const MAX_STEPS_WITHOUT_PROGRESS: u64 = 20_000;
 
 #[derive(Debug)]
 pub(crate) struct Node {
@@ -35,7 +36,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub(crate) enum What {
+pub(crate) enum Action {
     Event(Incarnation, Event),
     Store(Incarnation, CallId, StoreCall),
     Wake(Incarnation),
@@ -43,92 +44,95 @@
     Generate(RunId),
 }
 
-/// `World` hosts a fleet over fakes.
+/// A simulated fleet over fake targets, store and network.
 #[derive(Debug)]
-pub struct World {
-    /// Time now.
+pub struct Simulation {
+    /// Current virtual time, since the Unix epoch.
     pub now: Duration,
-    /// The platform's store.
+    /// The platform's object store.
     pub store: FakeStore,
     /// The targets.
     pub targets: FakeTargets,
-    /// The links.
+    /// The network between instances and to the store.
     pub network: Network,
-    /// What callers have got.
-    pub answers: BTreeMap<RequestHandle, Answered>,
+    /// Calls made so far and what their callers have received.
+    pub calls: BTreeMap<RequestHandle, CallRecord>,
     /// Keys of requests that must not run twice.
     pub non_idempotent: BTreeSet<RequestKey>,
-    /// Log events by code.
+    /// Number of log events by code.
     pub logged: BTreeMap<EventCode, u64>,
-    /// Messages between instances.
+    /// Number of messages sent between instances.
     pub messages: u64,
-    /// Bytes of those messages; counted only where `counts_bytes` is set.
+    /// Encoded size of those messages in bytes; counted only if `counts_bytes` is set.
     pub bytes: u64,
     /// Whether messages are encoded to count their bytes.
     pub counts_bytes: bool,
-    /// Instances that watch the settings.
+    /// Instances that currently watch the settings in the store.
     pub watchers: BTreeSet<InstanceId>,
-    /// Whether hosts check the time limit of a dispatch just before they send it.
-    pub has_careful_hosts: bool,
-    /// Instances that said that they have stopped.
+    /// Whether hosts check the expiry of a dispatch just before they send it.
+    pub hosts_check_expiry: bool,
+    /// Instances that reported that they have stopped and were not started again.
     pub stopped: BTreeSet<InstanceId>,
-    pub(crate) options: WorldOptions,
+    pub(crate) options: SimulationOptions,
     pub(crate) nodes: BTreeMap<InstanceId, Node>,
     pub(crate) random: Random,
-    queue: BinaryHeap<Reverse<Due>>,
-    order: u64,
+    queue: BinaryHeap<Reverse<Scheduled>>,
+    last_sequence: u64,
     next_handle: RequestHandle,
-    steps_at_once: u64,
+    steps_without_progress: u64,
 }
 
-impl World {
-    /// Starts a fleet with a budget of so many tokens for the account `office`.
+impl Simulation {
+    /// Starts a fleet with `budget_tokens` prepaid tokens in the budget `office`.
     #[must_use]
-    pub fn new(options: WorldOptions, budget_tokens: u64) -> Self {
-        let mut world = Self {
+    pub fn new(options: SimulationOptions, budget_tokens: u64) -> Self {
+        let mut simulation = Self {
             now: STARTED_AT,
             store: FakeStore::default(),
             targets: FakeTargets::default(),
             network: Network::default(),
-            answers: BTreeMap::new(),
+            calls: BTreeMap::new(),
             non_idempotent: BTreeSet::new(),
             logged: BTreeMap::new(),
             messages: 0,
             bytes: 0,
             counts_bytes: false,
             watchers: BTreeSet::new(),
-            has_careful_hosts: true,
+            hosts_check_expiry: true,
             stopped: BTreeSet::new(),
             random: Random::new(options.seed),
             nodes: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            order: 0,
+            last_sequence: 0,
             next_handle: 1,
-            steps_at_once: 0,
+            steps_without_progress: 0,
             options,
         };
-        world.store.top_up("office", "first", budget_tokens);
-        world.put_settings(&world.options.settings.clone());
-        world.add_targets();
-        for number in 0..world.options.instances {
-            world.add_node(number);
+        simulation.store.top_up("office", "first", budget_tokens);
+        simulation.put_settings(&simulation.options.settings.clone());
+        simulation.add_targets();
+        for number in 0..simulation.options.instances {
+            simulation.add_node(number);
         }
-        let names: Vec<InstanceId> = world.nodes.keys().cloned().collect();
+        let names: Vec<InstanceId> = simulation.nodes.keys().cloned().collect();
         for name in names {
-            world.start(&name);
+            simulation.start(&name);
         }
-        world
+        simulation
     }
 
     fn add_targets(&mut self) {
-        let (pace, slots) = (self.options.pace, self.options.slots_requests);
+        let (chunk_interval, slots) = (self.options.chunk_interval, self.options.slots_requests);
         for number in 0..self.options.targets {
             self.targets
-                .add(&format!("chat-{number}"), "chat", pace, slots);
+                .add(&format!("chat-{number}"), "chat", chunk_interval, slots);
         }
-        self.targets.add("status-0", "status", pace, slots);
-        self.targets.add("publish-0", "publish", pace, slots);
-        self.targets.add("publish-1", "publish", pace, slots);
+        self.targets
+            .add("status-0", "status", chunk_interval, slots);
+        self.targets
+            .add("publish-0", "publish", chunk_interval, slots);
+        self.targets
+            .add("publish-1", "publish", chunk_interval, slots);
     }
 
     fn add_node(&mut self, number: usize) {
@@ -143,7 +147,9 @@
         self.nodes.insert(format!("i{number:03}"), node);
     }
 
-    /// Stores a tree of settings and shows it to the instances that watch.
+    /// Stores a settings tree and returns its version.
+    ///
+    /// Watching instances are notified only by [`show_settings`](Self::show_settings).
     pub fn put_settings(&mut self, text: &str) -> Version {
         let stored = serde_json::json!({
             "author": "test", "note": "", "at_unix_ms": 0, "text": text,
@@ -151,7 +157,7 @@
         self.store.put("settings/tree", stored.to_string())
     }
 
-    /// Shows the stored settings to the instances that watch, as their watches would.
+    /// Notifies the watching instances of the stored settings after the store's delay.
     pub fn show_settings(&mut self) {
         let Some(object) = self.store.get("settings/tree").cloned() else {
             return;
@@ -163,11 +169,11 @@
             };
             let incarnation = self.incarnation(&name);
             let delay = self.options.store_delay;
-            self.later(delay, &name, What::Event(incarnation, event));
+            self.schedule(delay, &name, Action::Event(incarnation, event));
         }
     }
 
-    /// Starts an instance that does not run, as a new incarnation.
+    /// Starts a stopped instance as a new incarnation.
     pub fn start(&mut self, name: &str) {
         let seeds: Vec<MemberState> = self
             .nodes
@@ -199,10 +205,10 @@
             .values()
             .map(|target| target.info.clone())
             .collect();
-        self.give(name, Event::Targets { targets });
+        self.deliver(name, Event::Targets { targets });
     }
 
-    /// Kills an instance. What it has sent is on its way; all else is gone.
+    /// Kills an instance. Messages that it has sent are still delivered; all other state is lost.
     pub fn kill(&mut self, name: &str) {
         if let Some(node) = self.nodes.get_mut(name) {
             node.instance = None;
@@ -216,19 +222,20 @@
         }
     }
 
-    /// Pauses an instance: it takes nothing in and sends nothing out until then.
+    /// Pauses an instance for a duration: events to it and dispatches by it are delayed until the
+    /// end of the pause.
     pub fn pause(&mut self, name: &str, pause: Duration) {
         if let Some(node) = self.nodes.get_mut(name) {
             node.paused_until = self.now + pause;
         }
     }
 
-    /// Tells an instance to stop.
+    /// Asks an instance to stop gracefully.
     pub fn stop(&mut self, name: &str) {
-        self.give(name, Event::Stop);
+        self.deliver(name, Event::Stop);
     }
 
-    /// Shows the platform's list of targets to all instances.
+    /// Delivers the platform's current list of targets to all instances at once.
     pub fn show_targets(&mut self) {
         let targets: Vec<TargetInfo> = self
             .targets
@@ -238,7 +245,7 @@
             .collect();
         for name in self.names() {
             let targets = targets.clone();
-            self.give(&name, Event::Targets { targets });
+            self.deliver(&name, Event::Targets { targets });
         }
     }
 
@@ -248,7 +255,7 @@
         self.nodes.keys().cloned().collect()
     }
 
-    /// Returns the instances that run and are not paused.
+    /// Returns the instances that are running and not paused.
     pub fn live_instances(&self) -> impl Iterator<Item = (&InstanceId, &Instance)> {
         self.nodes
             .iter()
@@ -256,120 +263,121 @@
             .filter_map(|(name, node)| node.instance.as_ref().map(|instance| (name, instance)))
     }
 
-    /// Returns an instance that runs.
+    /// Returns an instance, if it is running.
     #[must_use]
     pub fn instance(&self, name: &str) -> Option<&Instance> {
         self.nodes.get(name)?.instance.as_ref()
     }
 
-    /// Returns the incarnation of an instance; 0 where it does not run.
+    /// Returns the incarnation of an instance; 0 if it is not running.
     #[must_use]
     pub fn incarnation(&self, name: &str) -> Incarnation {
         self.nodes.get(name).map_or(0, |node| node.incarnation)
     }
 
-    /// Returns how many calls were made with a key.
+    /// Returns the number of calls made with a request key.
     #[must_use]
-    pub fn calls_of(&self, key: &str) -> usize {
-        self.answers
+    pub fn call_count(&self, key: &str) -> usize {
+        self.calls
             .values()
             .filter(|answered| answered.key == key)
             .count()
     }
 
-    /// Calls an instance. Returns the handle of the call.
-    pub fn request(&mut self, name: &str, work: &Work) -> RequestHandle {
+    /// Makes a call to an instance and returns its handle.
+    pub fn request(&mut self, name: &str, spec: &RequestSpec) -> RequestHandle {
         let handle = self.next_handle;
         self.next_handle += 1;
-        let key = if work.key.is_empty() {
+        let key = if spec.key.is_empty() {
             let random = self.random.next_u64();
             damaskstile::keys::new_request_key(self.now, handle, random)
         } else {
-            work.key.clone()
+            spec.key.clone()
         };
-        if work.non_idempotent || work.service == "publish" {
+        if spec.non_idempotent || spec.service == "publish" {
             self.non_idempotent.insert(key.clone());
         }
-        let answered = Answered {
+        let answered = CallRecord {
             instance: name.to_owned(),
             incarnation: self.incarnation(name),
             key: key.clone(),
-            worst_tokens: work.prompt_tokens + work.cap_tokens,
-            output_tokens: work.output_tokens,
+            worst_tokens: spec.prompt_tokens + spec.cap_tokens,
+            output_tokens: spec.output_tokens,
             called_at: self.now,
-            ..Answered::default()
+            ..CallRecord::default()
         };
-        self.answers.insert(handle, answered);
+        self.calls.insert(handle, answered);
         let request = NewRequest {
             request: handle,
-            token_sha256: work.token_sha256.clone(),
+            token_sha256: spec.token_sha256.clone(),
             key: Some(key),
-            service: work.service.clone(),
+            service: spec.service.clone(),
             body_hash: 1,
-            prompt_bytes: work.prompt_tokens,
-            max_output_tokens: (work.cap_tokens > 0).then_some(work.cap_tokens),
-            non_idempotent: work.non_idempotent,
-            is_streamed: work.is_streamed,
-            priority: work.priority,
+            prompt_bytes: spec.prompt_tokens,
+            max_output_tokens: (spec.cap_tokens > 0).then_some(spec.cap_tokens),
+            non_idempotent: spec.non_idempotent,
+            is_streamed: spec.is_streamed,
+            priority: spec.priority,
             time_limit: None,
         };
-        self.give(name, Event::Request(request));
+        self.deliver(name, Event::Request(request));
         handle
     }
 
-    /// Goes on for a while.
+    /// Advances the simulation by a duration.
     pub fn run_for(&mut self, span: Duration) {
         self.run_until(self.now + span);
     }
 
-    /// Goes on until a time.
+    /// Advances the simulation to a time, executing all actions due by then.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(Reverse(due)) = self.queue.peek() {
             if due.at > until {
                 break;
             }
             if let Some(Reverse(due)) = self.queue.pop() {
-                self.count_step(&due);
+                self.check_progress(&due);
                 self.now = self.now.max(due.at);
-                self.carry_out(&due.node, due.what);
+                self.execute(&due.node, due.action);
             }
         }
         self.now = self.now.max(until);
     }
 
-    /// Stops a scenario in which time stands still: an instance that wakes itself without end.
-    fn count_step(&mut self, due: &Due) {
-        self.steps_at_once = if due.at > self.now {
+    /// Aborts a scenario in which time makes no progress, as when an instance keeps setting its
+    /// wake-up to the current time.
+    fn check_progress(&mut self, due: &Scheduled) {
+        self.steps_without_progress = if due.at > self.now {
             0
         } else {
-            self.steps_at_once + 1
+            self.steps_without_progress + 1
         };
         assert!(
-            self.steps_at_once < STEPS_AT_ONCE_MAX,
-            "time stands still at {:?}: {due:?}",
+            self.steps_without_progress < MAX_STEPS_WITHOUT_PROGRESS,
+            "no progress of time at {:?}: {due:?}",
             self.now
         );
     }
 
-    pub(crate) fn later(&mut self, after: Duration, node: &str, what: What) {
-        self.order += 1;
-        self.queue.push(Reverse(Due {
+    pub(crate) fn schedule(&mut self, after: Duration, node: &str, action: Action) {
+        self.last_sequence += 1;
+        self.queue.push(Reverse(Scheduled {
             at: self.now + after,
-            order: self.order,
+            sequence: self.last_sequence,
             node: node.to_owned(),
-            what,
+            action,
         }));
     }
 
-    /// Hands an event to an instance at once, if it runs.
-    pub fn give(&mut self, name: &str, event: Event) {
+    /// Delivers an event to an instance at once if it is running, or after its pause.
+    pub fn deliver(&mut self, name: &str, event: Event) {
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
         if node.paused_until > self.now {
             let (wait, incarnation) =
                 (node.paused_until.saturating_sub(self.now), node.incarnation);
-            self.later(wait, name, What::Event(incarnation, event));
+            self.schedule(wait, name, Action::Event(incarnation, event));
             return;
         }
         let Some(instance) = node.instance.as_mut() else {
@@ -382,15 +390,15 @@
         if wake_at < node.wake_at || node.wake_at <= self.now {
             node.wake_at = wake_at;
             let after = wake_at.saturating_sub(self.now);
-            self.later(after, name, What::Wake(incarnation));
+            self.schedule(after, name, Action::Wake(incarnation));
         }
         for effect in effects {
-            self.on_effect(name, incarnation, effect);
+            self.apply_effect(name, incarnation, effect);
         }
     }
 
     pub(crate) fn judge(&self, name: &str, handle: RequestHandle) -> Verdict {
-        let worst = self.answers[&handle].worst_tokens;
+        let worst = self.calls[&handle].worst_tokens;
         oracle::judge(self, name, "office", "office", worst)
     }
 }
--- a/crates/damaskstile-gateway/src/exchange/answering.rs
+++ b/crates/damaskstile-gateway/src/exchange/answering.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use damaskstile_core::prelude::*;
-use damaskstile_requests::SendEnd;
+use damaskstile_requests::SendFailureKind;
 use http::{Response, StatusCode, header};
 use http_body_util::{BodyExt, Limited};
 
@@ -47,7 +47,10 @@
         let may_repeat = self.terms.route.kind.is_repeatable() && !is_last;
         if run.parts.status.is_server_error() && may_repeat {
             run.running.note(false);
-            return Err((SendFailure::new(SendEnd::Failed, "failed"), reservation));
+            return Err((
+                SendFailure::new(SendFailureKind::Failed, "failed"),
+                reservation,
+            ));
         }
         if guarantees_not_run(run.parts.status) && !self.terms.route.kind.is_repeatable() {
             run.running.note(false);
@@ -80,11 +83,16 @@
             Ok(Err(_)) => {
                 running.note(false);
                 return Err((
-                    SendFailure::new(SendEnd::Broken, "body_broken"),
+                    SendFailure::new(SendFailureKind::Broken, "body_broken"),
+                    reservation,
+                ));
+            }
+            Err(_) => {
+                return Err((
+                    SendFailure::new(SendFailureKind::Failed, "body_late"),
                     reservation,
                 ));
             }
-            Err(_) => return Err((SendFailure::new(SendEnd::Failed, "body_late"), reservation)),
         };
         self.gateway.note_forwarded(body.len());
         lease.give_back(head.reuse_for).await;
@@ -92,7 +100,7 @@
         if parts.status.is_success() {
             let account = self.terms.account.as_deref();
             self.gateway.note_success(&self.call, account);
-            reservation.delivering_whole();
+            reservation.delivering_complete();
         } else {
             reservation.failed();
         }
@@ -105,7 +113,7 @@
             (EventCode::CallFailed, "target_failed")
         };
         self.record.end(code, outcome);
-        self.gateway.dialect.dress_answer(&mut parts.headers);
+        self.gateway.dialect.set_answer_headers(&mut parts.headers);
         Ok(Response::from_parts(parts, full_body(body)))
     }
 
@@ -113,7 +121,7 @@
     /// until then, so it can still get a proper refusal if no target delivers an event.
     async fn relay(&mut self, run: Run, reservation: Reservation) -> Response<ReplyBody> {
         let mut parts = run.parts.clone();
-        self.gateway.dialect.dress_answer(&mut parts.headers);
+        self.gateway.dialect.set_answer_headers(&mut parts.headers);
         parts.headers.remove(header::CONTENT_LENGTH);
         let mut relay = Relay {
             gateway: Arc::clone(&self.gateway),
--- a/crates/damaskstile-gateway/src/exchange/refusing.rs
+++ b/crates/damaskstile-gateway/src/exchange/refusing.rs
@@ -18,7 +18,7 @@
         let refusal = self.gateway.quarantine_refusal(&self.call, account)?;
         let content = Fingerprint::of(&self.call.content(account));
         self.record.add("content", content);
-        Some(if self.attempts.has_run() {
+        Some(if self.attempts.may_have_run() {
             Refusal::unknown(refusal.code)
         } else {
             refusal
@@ -52,7 +52,7 @@
 
     pub(super) fn deadline_exceeded(&mut self) -> Response<ReplyBody> {
         let code = RefusalCode::DeadlineExceeded;
-        let refusal = if self.is_sending || self.attempts.has_run() {
+        let refusal = if self.is_sending || self.attempts.may_have_run() {
             self.note_time();
             Refusal::unknown(code)
         } else {
@@ -67,13 +67,17 @@
         let now = self.gateway.now();
         let state = self.gateway.state();
         let found = state
-            .book
+            .target_table
             .has_target(now, &self.terms.service, &self.call.work);
         let code = found.err()?;
-        if state.book.paused_for(now, &self.terms.service).is_some() {
+        if state
+            .target_table
+            .backoff_left(now, &self.terms.service)
+            .is_some()
+        {
             return None;
         }
-        let wait = state.book.place_in(now, &self.terms.service);
+        let wait = state.target_table.time_until_room(now, &self.terms.service);
         drop(state);
         let wait = wait.map_or(RETRY_LATER, |wait| self.add_jitter(wait));
         Some(Refusal::not_run(code, Some(wait)))
@@ -91,14 +95,14 @@
         let now = self.gateway.now();
         let left = {
             let state = self.gateway.state();
-            state.book.paused_for(now, &self.terms.service)?
+            state.target_table.backoff_left(now, &self.terms.service)?
         };
         Some(self.add_jitter(left))
     }
 
     pub(super) fn give_up(&mut self, code: RefusalCode, wait: Duration) -> Response<ReplyBody> {
         let wait = self.targets_backoff().unwrap_or(wait);
-        let refusal = if self.attempts.has_run() {
+        let refusal = if self.attempts.may_have_run() {
             Refusal::unknown(RefusalCode::TargetLost)
         } else {
             Refusal::not_run(code, Some(wait))
--- a/crates/damaskstile-gateway/src/peers/datagram.rs
+++ b/crates/damaskstile-gateway/src/peers/datagram.rs
@@ -2,9 +2,9 @@
 
 use bytes::Bytes;
 use damaskstile_escrow::{Receipt, Report};
-use damaskstile_loans::{LoanAnswer, LoanAsk, LoanEnds, LoanEndsTaken};
+use damaskstile_loans::{LoanAnswer, LoanEnds, LoanEndsAck, LoanRequest};
 
-use super::{AskTokens, Digest, GiveTokens, Reading, SuspectReport};
+use super::{Digest, Reading, SuspectReport, TokenRequest, TokenTransfer};
 
 /// `DatagramBody` is the payload of a datagram.
 #[derive(prost::Oneof, Clone, PartialEq)]
@@ -14,10 +14,10 @@
     Digest(Digest),
     /// A request for tokens.
     #[prost(message, tag = "4")]
-    Ask(AskTokens),
+    TokenRequest(TokenRequest),
     /// A transfer of tokens.
     #[prost(message, tag = "5")]
-    Give(GiveTokens),
+    TokenTransfer(TokenTransfer),
     /// A ledger change, as JSON.
     #[prost(bytes = "bytes", tag = "6")]
     Change(Bytes),
@@ -32,7 +32,7 @@
     Reading(Reading),
     /// Request for a loan of the tokens of one call.
     #[prost(message, tag = "10")]
-    Borrow(LoanAsk),
+    Borrow(LoanRequest),
     /// Answer to a loan request.
     #[prost(message, tag = "11")]
     Lend(LoanAnswer),
@@ -41,7 +41,7 @@
     LoanEnds(LoanEnds),
     /// Acknowledgement of ended loans.
     #[prost(message, tag = "13")]
-    LoanEndsTaken(LoanEndsTaken),
+    LoanEndsAck(LoanEndsAck),
     /// What the sender knows of a suspect content.
     #[prost(message, tag = "14")]
     Suspect(SuspectReport),
@@ -53,11 +53,11 @@
     pub const fn duty(&self) -> &'static str {
         match self {
             Self::Digest(_) => "digest",
-            Self::Ask(_) | Self::Give(_) => "gift",
+            Self::TokenRequest(_) | Self::TokenTransfer(_) => "gift",
             Self::Change(_) => "ledger",
             Self::Report(_) | Self::Receipt(_) => "report",
             Self::Reading(_) => "reading",
-            Self::Borrow(_) | Self::Lend(_) | Self::LoanEnds(_) | Self::LoanEndsTaken(_) => "loan",
+            Self::Borrow(_) | Self::Lend(_) | Self::LoanEnds(_) | Self::LoanEndsAck(_) => "loan",
             Self::Suspect(_) => "suspect",
         }
     }
--- a/crates/damaskstile-gateway/src/peers/suspects.rs
+++ b/crates/damaskstile-gateway/src/peers/suspects.rs
@@ -10,7 +10,7 @@
         let now = self.gateway.now();
         let (suspect, collectors) = {
             let state = self.gateway.state();
-            let suspect = state.suspects.word(now, content);
+            let suspect = state.suspects.report(now, content);
             (suspect, state.collectors(content))
         };
         let Some(report) = suspect.map(SuspectReport::of) else {
@@ -25,7 +25,7 @@
     /// Processes a peer's reports of suspect contents.
     pub(super) fn handle_suspects(&self, from: &str, reports: &[SuspectReport]) {
         for suspect in reports.iter().filter_map(SuspectReport::to_suspect) {
-            self.gateway.hear_suspect(from, suspect);
+            self.gateway.receive_suspect_report(from, suspect);
         }
     }
 }
--- a/crates/damaskstile-gateway/src/state.rs
+++ b/crates/damaskstile-gateway/src/state.rs
@@ -16,20 +16,20 @@
 use damaskstile_loans::{Borrower, Candidate, Lender};
 use damaskstile_requests::{RetryBudget, Suspects};
 use damaskstile_routes::{Account, Catalogue, CatalogueInForce, Route};
-use damaskstile_targets::{Book, ListChanges, Work};
+use damaskstile_targets::{ListChanges, TargetTable, Work};
 
 use crate::call::CallHead;
 use crate::call_times::CallTimes;
 use crate::clock::BootTime;
 use crate::contact::Contact;
 use crate::content_changes::ContentChanges;
+use crate::delisted_targets::DelistedTargets;
 use crate::follow::Followed;
 use crate::ledger_fault::LedgerFault;
 use crate::member::Member;
 use crate::objects::StoredObject;
 use crate::options::GatewayOptions;
 use crate::pressure::Pressure;
-use crate::target_words::TargetWords;
 use crate::wanted::PullKind;
 
 use lenders::Lenders;
@@ -60,7 +60,7 @@
     /// Client account; `None` on routes that require none.
     pub account: Option<AccountId>,
     /// Regions that may run the call; `None` for all.
-    pub homes: Option<Arc<BTreeSet<RegionId>>>,
+    pub home_regions: Option<Arc<BTreeSet<RegionId>>>,
     /// Priority rank of the call.
     pub priority: u8,
 }
@@ -71,7 +71,7 @@
     /// Routes, services and client accounts.
     pub catalogue: CatalogueInForce,
     /// The target table.
-    pub book: Book,
+    pub target_table: TargetTable,
     /// This instance's share of the budgets.
     pub holder: Holder,
     /// Loans of this instance's tokens to peers.
@@ -100,7 +100,7 @@
     /// Version of the list of targets.
     pub targets_version: Version,
     /// List versions at which targets were gone.
-    pub target_words: TargetWords,
+    pub delisted_targets: DelistedTargets,
     /// List versions at which entries changed.
     pub list_changes: ListChanges,
     /// Whether the next pull requests the whole list because this instance's list differs from a
@@ -151,8 +151,8 @@
         let address = options.peers_address.to_string();
         Self {
             catalogue: CatalogueInForce::default(),
-            book: Book::new(&identity.data_centre, options.book.clone())
-                .of_instance(&identity.instance, started_at),
+            target_table: TargetTable::new(&identity.data_centre, options.target_table.clone())
+                .for_instance(&identity.instance, started_at),
             random: Random::new(identity.incarnation),
             instance: identity.instance.clone(),
             own_candidate: Candidate::new(
@@ -176,7 +176,7 @@
             ledger_fault: None,
             store_history: None,
             targets_version: 0,
-            target_words: TargetWords::default(),
+            delisted_targets: DelistedTargets::default(),
             list_changes: ListChanges::default(),
             wants_whole_list: false,
             compared_at: None,
@@ -226,13 +226,13 @@
             catalogue_age: self.catalogue.age(now),
             service: service.to_owned(),
             account: account.map(|account| account.name.clone()),
-            homes: homes(&route, account).map(Arc::new),
+            home_regions: home_regions(&route, account).map(Arc::new),
             priority,
             route: Arc::clone(&route),
             catalogue: Arc::clone(&catalogue),
         };
         self.retry_budget(now, &terms.service).add_request();
-        self.book.set_instances(self.holder.instances());
+        self.target_table.set_instances(self.holder.instances());
         Ok(terms)
     }
 
@@ -240,13 +240,13 @@
     #[must_use]
     pub fn stamp(&self, now: Duration, boot: BootTime, own_unix_ms: u64) -> Stamp {
         let instances = usize::try_from(self.holder.instances()).unwrap_or(usize::MAX);
-        let middle = self.fleet_clock.middle(now, own_unix_ms, instances);
+        let median = self.fleet_clock.median(now, own_unix_ms, instances);
         Stamp {
             boot_name: boot.name,
             boot_ms: boot.ms,
             unix_ms: own_unix_ms,
-            fleet_early_ms: middle.map(|(early, _)| early),
-            fleet_late_ms: middle.map(|(_, late)| late),
+            fleet_early_ms: median.map(|(early, _)| early),
+            fleet_late_ms: median.map(|(_, late)| late),
         }
     }
 
@@ -265,9 +265,14 @@
     /// hold twice the tokens of a long call; asking only one peer refused calls although the peers
     /// together held enough.
     #[must_use]
-    pub fn givers(&self, now: Duration, account: &str, tokens: u64) -> Vec<(SocketAddr, u64)> {
+    pub fn token_senders(
+        &self,
+        now: Duration,
+        account: &str,
+        tokens: u64,
+    ) -> Vec<(SocketAddr, u64)> {
         let mut missing = tokens;
-        let mut givers = Vec::new();
+        let mut token_senders = Vec::new();
         for (free, address, _) in self
             .members_by_free_tokens(now, account)
             .iter()
@@ -275,14 +280,14 @@
         {
             let part = missing.min(free / 2);
             if part > 0 {
-                givers.push((*address, part));
+                token_senders.push((*address, part));
                 missing -= part;
             }
         }
         if missing > 0 {
-            givers.clear();
+            token_senders.clear();
         }
-        givers
+        token_senders
     }
 
     /// Returns the free tokens of an account that peers last reported, largest first.
@@ -318,7 +323,9 @@
         tried: &[TargetId],
     ) -> bool {
         self.retry_budget(now, service).can_retry(now)
-            && self.book.has_other_target(now, service, work, tried)
+            && self
+                .target_table
+                .has_other_target(now, service, work, tried)
     }
 
     fn retry_budget(&mut self, now: Duration, service: &str) -> &mut RetryBudget {
@@ -331,15 +338,15 @@
 }
 
 /// Returns the regions that may run a call: the intersection if both route and account name some.
-fn homes(route: &Route, account: Option<&Account>) -> Option<BTreeSet<RegionId>> {
-    let of_account = account.map(|account| &account.homes);
-    let mut named = [Some(&route.homes), of_account]
+fn home_regions(route: &Route, account: Option<&Account>) -> Option<BTreeSet<RegionId>> {
+    let of_account = account.map(|account| &account.home_regions);
+    let mut named = [Some(&route.home_regions), of_account]
         .into_iter()
         .flatten()
-        .filter(|homes| !homes.is_empty());
+        .filter(|home_regions| !home_regions.is_empty());
     let first = named.next()?.clone();
-    Some(named.fold(first, |both, homes| {
-        both.intersection(homes).cloned().collect()
+    Some(named.fold(first, |both, home_regions| {
+        both.intersection(home_regions).cloned().collect()
     }))
 }
 
--- a/crates/damaskstile-gateway/tests/sends.rs
+++ b/crates/damaskstile-gateway/tests/sends.rs
@@ -14,12 +14,12 @@
 use damaskstile_gateway::run::{self, SendFailure};
 use damaskstile_gateway::state::Terms;
 use damaskstile_gateway::wait_limit::WaitLimit;
-use damaskstile_requests::{Attempts, Next, SendEnd};
+use damaskstile_requests::{Attempts, NextStep, SendFailureKind};
 use damaskstile_routes::{Catalogue, Route, RouteKind};
 use damaskstile_targets::Work;
 use futures_util::poll;
 use http::{HeaderMap, Method, Uri};
-use support::{Away, SERVICE, choose, gateway, listed, unused_address};
+use support::{SERVICE, UnreachableStore, choose, gateway, listed, unused_address};
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{Instant, timeout};
@@ -54,7 +54,7 @@
         priority: 0,
         attempts_max: 1,
         is_anonymous: true,
-        homes: BTreeSet::new(),
+        home_regions: BTreeSet::new(),
     };
     Terms {
         catalogue: Arc::new(Catalogue::default()),
@@ -62,7 +62,7 @@
         route: Arc::new(route),
         service: SERVICE.to_owned(),
         account: None,
-        homes: None,
+        home_regions: None,
         priority: 0,
     }
 }
@@ -92,9 +92,12 @@
 async fn send_with(meanwhile: impl FnOnce(&Gateway)) -> (Option<SendFailure>, Vec<u8>) {
     let listener = TcpListener::bind(unused_address()).await.unwrap();
     let address = listener.local_addr().unwrap();
-    let gateway = gateway(unused_address(), Arc::new(Away));
+    let gateway = gateway(unused_address(), Arc::new(UnreachableStore));
     let now = gateway.now();
-    gateway.state().book.list(now, listed("t0", address));
+    gateway
+        .state()
+        .target_table
+        .list(now, listed("t0", address));
     let (call, terms) = (outbound_call(), terms());
     let choice = choose(&gateway, &[]).unwrap();
     let reading = tokio::spawn(read_all(listener));
@@ -127,16 +130,19 @@
     let (failure, read) = send_with(|gateway| {
         let now = gateway.now();
         let target = TargetIdentity::new("t0", None);
-        gateway.state().book.leave(now, &target);
+        gateway.state().target_table.leave(now, &target);
     })
     .await;
 
     // Assert: nothing was sent, so even a non-idempotent call may go to another target.
     assert_eq!(String::from_utf8_lossy(&read), "");
-    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::NotSent));
+    assert_eq!(
+        failure.map(|failure| failure.end),
+        Some(SendFailureKind::NotSent)
+    );
     let mut attempts = Attempts::default();
-    attempts.note(SendEnd::NotSent);
-    assert_eq!(attempts.next(false, 1, || false), Next::Again);
+    attempts.note(SendFailureKind::NotSent);
+    assert_eq!(attempts.next(false, 1, || false), NextStep::Retry);
 }
 
 #[tokio::test]
@@ -144,13 +150,16 @@
     // Arrange and act
     let (failure, read) = send_with(|gateway| {
         let now = gateway.now();
-        gateway.state().book.unlist(now, "t0", false);
+        gateway.state().target_table.unlist(now, "t0", false);
     })
     .await;
 
     // Assert
     assert_eq!(String::from_utf8_lossy(&read), "");
-    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::NotSent));
+    assert_eq!(
+        failure.map(|failure| failure.end),
+        Some(SendFailureKind::NotSent)
+    );
 }
 
 #[tokio::test]
@@ -160,7 +169,10 @@
 
     // Assert
     assert!(read.starts_with(b"POST /a/"));
-    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::Unknown));
+    assert_eq!(
+        failure.map(|failure| failure.end),
+        Some(SendFailureKind::Unknown)
+    );
 }
 
 /// Opens a listener whose accept queue is full, with the connections that fill it.
@@ -184,10 +196,13 @@
 
     // Arrange
     let (listener, _queued) = unresponsive_target().await;
-    let gateway = gateway(unused_address(), Arc::new(Away));
+    let gateway = gateway(unused_address(), Arc::new(UnreachableStore));
     let now = gateway.now();
     let address = listener.local_addr().unwrap();
-    gateway.state().book.list(now, listed("t0", address));
+    gateway
+        .state()
+        .target_table
+        .list(now, listed("t0", address));
     let (call, terms) = (outbound_call(), terms());
     let choice = choose(&gateway, &[]).unwrap();
     let (caller, _stream) = caller().await;
@@ -211,5 +226,8 @@
 
     // Assert
     assert!(began_at.elapsed() <= left + TIMER_STEP);
-    assert_eq!(failure.map(|failure| failure.end), Some(SendEnd::NotSent));
+    assert_eq!(
+        failure.map(|failure| failure.end),
+        Some(SendFailureKind::NotSent)
+    );
 }
--- a/crates/damaskstile-measure/src/budgets.rs
+++ b/crates/damaskstile-measure/src/budgets.rs
@@ -1,4 +1,4 @@
-//! `budgets` compares policies for the last tokens of a budget, with and without faults.
+//! Comparison of policies for a nearly exhausted budget, with and without faults.
 
 use std::time::Duration;
 
@@ -6,31 +6,31 @@
 use clap::Args;
 use damaskstile::budgets::PolicyKind;
 use damaskstile::core::prelude::*;
-use damaskstile_fakes::world::Work;
-use damaskstile_fakes::{World, WorldOptions, options};
+use damaskstile_fakes::simulation::RequestSpec;
+use damaskstile_fakes::{Simulation, SimulationOptions, options};
 
 /// Time between two requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
-/// Time before the first request, in which instances find one another.
+/// Time before the first request, for instances to discover each other.
 const WARM_UP: Duration = Duration::from_secs(3);
-/// Time after the last request, in which everything is accounted for.
+/// Time after the last request, for all runs to be settled.
 const COOL_DOWN: Duration = Duration::from_mins(1);
 
-/// What to compare.
+/// Arguments of the comparison.
 #[derive(Debug, Clone, Args)]
 pub struct BudgetsArgs {
     /// Seed of the workloads.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Requests of each row.
+    /// Requests per row of the table.
     #[arg(long, default_value_t = 2000)]
     requests: u64,
-    /// Budget, in percent of what all requests together will cost.
+    /// Budget, in percent of the total cost of all requests.
     #[arg(long, default_value_t = 110)]
     budget_percent: u64,
 }
 
-/// `Deployment` is the shape of a fleet and its work.
+/// Size of a simulated fleet and the shape of its requests.
 #[derive(Debug, Clone, Copy)]
 struct Deployment {
     name: &'static str,
@@ -38,7 +38,7 @@
     far_delay: Duration,
     prompt_tokens: u64,
     cap_tokens: u64,
-    /// Share of the requests that go to the busiest instance, in percent.
+    /// Share of the requests that are sent to the busiest instance, in percent.
     skew_percent: u64,
 }
 
@@ -61,13 +61,13 @@
     },
 ];
 
-/// `Fault` is what goes wrong while requests come.
+/// Fault that is injected while requests are made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
     Partition,
     Outage,
-    Deaths,
+    Crashes,
     Restarts,
 }
 
@@ -76,7 +76,7 @@
         Self::None,
         Self::Partition,
         Self::Outage,
-        Self::Deaths,
+        Self::Crashes,
         Self::Restarts,
     ];
 
@@ -85,13 +85,13 @@
             Self::None => "none",
             Self::Partition => "partition",
             Self::Outage => "store_outage",
-            Self::Deaths => "deaths",
+            Self::Crashes => "deaths",
             Self::Restarts => "restarts",
         }
     }
 }
 
-/// `Request` is one request of a workload, the same for every policy.
+/// A request of a workload; all policies and faults are measured with the same workload.
 #[derive(Debug, Clone)]
 struct Request {
     instance: usize,
@@ -108,10 +108,10 @@
          reachable_false_refusals\tstranded_tokens\tstore_writes_per_s\tadded_latency_us"
     );
     for deployment in DEPLOYMENTS {
-        let work = workload(args, deployment);
+        let workload = workload(args, deployment);
         for policy in PolicyKind::ALL {
             for fault in Fault::ALL {
-                println!("{}", row(args, deployment, policy, fault, &work));
+                println!("{}", row(args, deployment, policy, fault, &workload));
             }
         }
     }
@@ -132,7 +132,7 @@
         .collect()
 }
 
-/// Instances of either deployment.
+/// Number of instances of each deployment.
 const INSTANCES: usize = 9;
 
 fn row(
@@ -140,106 +140,112 @@
     deployment: Deployment,
     policy: PolicyKind,
     fault: Fault,
-    work: &[Request],
+    workload: &[Request],
 ) -> String {
-    let cost: u64 = work
+    let cost: u64 = workload
         .iter()
         .map(|request| deployment.prompt_tokens + request.output_tokens)
         .sum();
     let budget = cost * args.budget_percent / 100;
-    let mut world = world(args, deployment, policy, budget);
-    world.run_for(WARM_UP);
-    let started_at = world.now;
-    let writes_before = world.store.writes;
-    let clock = FaultClock::new(fault, work.len());
-    for (number, request) in work.iter().enumerate() {
-        clock.step(&mut world, number);
-        let instance = FaultClock::entry(&world, request.instance);
-        let chat = Work {
+    let mut simulation = simulation(args, deployment, policy, budget);
+    simulation.run_for(WARM_UP);
+    let started_at = simulation.now;
+    let writes_before = simulation.store.writes;
+    let injector = FaultInjector::new(fault, workload.len());
+    for (number, request) in workload.iter().enumerate() {
+        injector.step(&mut simulation, number);
+        let instance = FaultInjector::choose_instance(&simulation, request.instance);
+        let chat = RequestSpec {
             is_streamed: false,
-            ..Work::chat(
+            ..RequestSpec::chat(
                 deployment.prompt_tokens,
                 deployment.cap_tokens,
                 request.output_tokens,
             )
         };
-        world.request(&instance, &chat);
-        world.run_for(REQUEST_INTERVAL);
+        simulation.request(&instance, &chat);
+        simulation.run_for(REQUEST_INTERVAL);
     }
-    let took = world.now.saturating_sub(started_at);
-    let writes = world.store.writes - writes_before;
-    FaultClock::end(&mut world);
-    world.run_for(COOL_DOWN);
-    let figures = Figures::of(&world, writes, took);
+    let elapsed = simulation.now.saturating_sub(started_at);
+    let writes = simulation.store.writes - writes_before;
+    FaultInjector::end_faults(&mut simulation);
+    simulation.run_for(COOL_DOWN);
+    let measurements = Measurements::of(&simulation, writes, elapsed);
     format!(
         "{}\t{}\t{}\t{}",
         deployment.name,
         policy.as_str(),
         fault.as_str(),
-        figures.columns(work.len())
+        measurements.columns(workload.len())
     )
 }
 
-fn world(args: &BudgetsArgs, deployment: Deployment, policy: PolicyKind, budget: u64) -> World {
+fn simulation(
+    args: &BudgetsArgs,
+    deployment: Deployment,
+    policy: PolicyKind,
+    budget: u64,
+) -> Simulation {
     let values = format!("[fleet]\nbudget_policy = \"{}\"\n", policy.as_str());
     let settings = values + &options::settings(&format!("instances = {INSTANCES}"));
-    let options = WorldOptions {
+    let options = SimulationOptions {
         seed: args.seed,
         data_centres: deployment.data_centres,
         instances: INSTANCES,
         targets: 10,
         far_delay: deployment.far_delay,
-        pace: Duration::from_millis(50),
+        chunk_interval: Duration::from_millis(50),
         settings,
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     };
-    World::new(options, budget)
+    Simulation::new(options, budget)
 }
 
 fn name(number: usize) -> String {
     format!("i{number:03}")
 }
 
-/// `FaultClock` brings faults about at set points of the workload.
+/// Injects faults at fixed points of the workload.
 #[derive(Debug)]
-struct FaultClock {
+struct FaultInjector {
     fault: Fault,
     requests: usize,
 }
 
-impl FaultClock {
+impl FaultInjector {
     fn new(fault: Fault, requests: usize) -> Self {
         Self { fault, requests }
     }
 
-    /// Does what is due before a request.
-    fn step(&self, world: &mut World, number: usize) {
+    /// Injects or ends the faults that are due before the request with this number.
+    fn step(&self, simulation: &mut Simulation, number: usize) {
         let is_at = |percent: usize| number == self.requests * percent / 100;
         match self.fault {
             Fault::Partition if is_at(30) => {
-                // Half of the instances, the busiest among them, lose the others and the store.
-                world.network.island = (0..INSTANCES / 2).map(name).collect();
+                // Half of the instances, the busiest among them, are cut off from the others and from
+                // the store.
+                simulation.network.island = (0..INSTANCES / 2).map(name).collect();
             }
-            Fault::Outage if is_at(30) => world.store.is_out = true,
-            Fault::Outage if is_at(80) => world.store.is_out = false,
-            Fault::Deaths => {
-                for (percent, one) in [(20, 0), (40, 3), (60, 5)] {
+            Fault::Outage if is_at(30) => simulation.store.is_out = true,
+            Fault::Outage if is_at(80) => simulation.store.is_out = false,
+            Fault::Crashes => {
+                for (percent, index) in [(20, 0), (40, 3), (60, 5)] {
                     if is_at(percent) {
-                        world.kill(&name(one));
+                        simulation.kill(&name(index));
                     }
                     if is_at(percent + 10) {
-                        world.start(&name(one));
+                        simulation.start(&name(index));
                     }
                 }
             }
             Fault::Restarts => {
-                for one in 0..INSTANCES {
-                    if is_at(5 + one * 10) {
-                        world.stop(&name(one));
+                for index in 0..INSTANCES {
+                    if is_at(5 + index * 10) {
+                        simulation.stop(&name(index));
                     }
-                    let has_stopped = world.instance(&name(one)).is_none();
+                    let has_stopped = simulation.instance(&name(index)).is_none();
                     if has_stopped {
-                        world.start(&name(one));
+                        simulation.start(&name(index));
                     }
                 }
             }
@@ -247,11 +253,12 @@
         }
     }
 
-    /// Returns the instance that the balancer sends to: the usual one, or the next that is ready.
-    fn entry(world: &World, usual: usize) -> String {
-        let is_ready = |one: &usize| {
-            world
-                .instance(&name(*one))
+    /// Returns the instance that a load balancer would choose: the usual one, or the next one
+    /// that is ready.
+    fn choose_instance(simulation: &Simulation, usual: usize) -> String {
+        let is_ready = |index: &usize| {
+            simulation
+                .instance(&name(*index))
                 .is_some_and(damaskstile::Instance::is_ready)
         };
         let chosen = (0..INSTANCES)
@@ -260,15 +267,15 @@
         name(chosen.unwrap_or(usual))
     }
 
-    fn end(world: &mut World) {
-        world.network = damaskstile_fakes::Network::default();
-        world.store.is_out = false;
+    fn end_faults(simulation: &mut Simulation) {
+        simulation.network = damaskstile_fakes::Network::default();
+        simulation.store.is_out = false;
     }
 }
 
-/// `Figures` are the columns of a row.
+/// Measured columns of a row.
 #[derive(Debug)]
-struct Figures {
+struct Measurements {
     answered: usize,
     overspend_tokens: u64,
     false_refusals: usize,
@@ -278,13 +285,13 @@
     added_latency_us: u128,
 }
 
-impl Figures {
+impl Measurements {
     #[allow(clippy::cast_precision_loss, reason = "a rate for a person to read")]
-    fn of(world: &World, writes: u64, took: Duration) -> Self {
-        let answers = world.answers.values();
+    fn of(simulation: &Simulation, writes: u64, elapsed: Duration) -> Self {
+        let calls = simulation.calls.values();
         let is_answered =
             |outcome: &Option<Outcome>| outcome.as_ref().is_some_and(Outcome::is_answered);
-        let waits: Vec<u128> = answers
+        let waits: Vec<u128> = calls
             .clone()
             .filter(|answered| is_answered(&answered.outcome))
             .filter_map(|answered| {
@@ -292,22 +299,22 @@
                 Some(sent_at.saturating_sub(answered.called_at).as_micros())
             })
             .collect();
-        let ledger = world.store.ledger("office");
+        let ledger = simulation.store.ledger("office");
         Self {
             answered: waits.len(),
-            overspend_tokens: world
+            overspend_tokens: simulation
                 .targets
                 .ran("office")
                 .saturating_sub(ledger.topped_up_tokens),
-            false_refusals: answers
+            false_refusals: calls
                 .clone()
                 .filter(|answered| answered.verdict.is_false)
                 .count(),
-            reachable_false_refusals: answers
+            reachable_false_refusals: calls
                 .filter(|answered| answered.verdict.is_reachable_false)
                 .count(),
-            stranded_tokens: stranded(world),
-            store_writes_per_s: writes as f64 / took.as_secs_f64(),
+            stranded_tokens: stranded(simulation),
+            store_writes_per_s: writes as f64 / elapsed.as_secs_f64(),
             added_latency_us: waits.iter().sum::<u128>() / (waits.len().max(1) as u128),
         }
     }
@@ -326,13 +333,13 @@
     }
 }
 
-/// Returns the tokens that stand out in the ledger and that no live instance can use.
-fn stranded(world: &World) -> u64 {
-    let usable: u64 = world
+/// Returns the tokens that are outstanding in the ledger but that no live instance can use.
+fn stranded(simulation: &Simulation) -> u64 {
+    let usable: u64 = simulation
         .live_instances()
         .map(|(_, instance)| instance.free_tokens("office") + instance.reserved_tokens("office"))
         .sum();
-    world
+    simulation
         .store
         .ledger("office")
         .outstanding_tokens()
--- a/crates/damaskstile-standins/src/bin/standin-target.rs
+++ b/crates/damaskstile-standins/src/bin/standin-target.rs
@@ -1,10 +1,10 @@
-//! `standin-target` runs the stand-in of a target and puts it on the platform's list.
+//! Runs a stand-in target and adds it to the platform's target list.
 
 use std::time::Duration;
 
 use clap::Parser;
 use damaskstile_core::prelude::TargetInfo;
-use damaskstile_http::{Call, send_whole};
+use damaskstile_http::{Call, send_and_collect};
 use damaskstile_standins::{serve, target};
 
 #[derive(Debug, Parser)]
@@ -18,19 +18,19 @@
     /// Name of the target.
     #[arg(long)]
     name: String,
-    /// Service that it serves.
+    /// Service that the target provides.
     #[arg(long)]
     service: String,
-    /// Data centre that it stands in.
+    /// Data centre of the target.
     #[arg(long, default_value = "")]
     data_centre: String,
     /// Time between two tokens, in milliseconds.
     #[arg(long, default_value_t = 2)]
     pace_ms: u64,
-    /// Tokens that a call of a plain service counts as.
+    /// Price of a call of a plain service, in tokens.
     #[arg(long, default_value_t = 0)]
     price_tokens: u64,
-    /// Requests that run at a time.
+    /// Reported number of slots; model requests beyond twice this number are refused.
     #[arg(long, default_value_t = 64)]
     slots: u64,
 }
@@ -55,7 +55,7 @@
     let path = format!("/targets/{}", args.name);
     let call =
         Call::new(&args.platform, http::Method::PUT, &path).body(serde_json::to_string(&info)?);
-    send_whole(call, Duration::from_secs(2)).await?;
+    send_and_collect(call, Duration::from_secs(2)).await?;
     println!("listening on {}", server.local_addr());
     server.await.map_err(|error| anyhow::anyhow!(error))
 }
--- a/crates/damaskstile-standins/src/platform.rs
+++ b/crates/damaskstile-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! `platform` stands in for the platform: objects with versions, watches, a lagging target list.
+//! Stand-in for the platform: versioned objects, watches and a target list that can lag.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,37 +13,37 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use crate::{Answer, json};
+use crate::{HandlerResult, json};
 
-/// `Faults` are set while the platform runs.
+/// Faults of the platform, which can be changed while it runs.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Delay of each call, in milliseconds.
+    /// Delay of each call of the object API and the target list, in milliseconds.
     pub delay_ms: u64,
-    /// Whether every call fails.
+    /// Whether these calls fail as unavailable.
     pub is_out: bool,
-    /// Writes from now on that take effect and whose answers are lost.
+    /// Number of upcoming writes that take effect but are answered as unavailable.
     pub lose_answers: u64,
     /// Age of the target list, in milliseconds.
     pub list_lag_ms: u64,
-    /// Delay of watches, in milliseconds.
+    /// Delay between a change and the answers of watches, in milliseconds.
     pub watch_lag_ms: u64,
-    /// Watches from now on that get no answer.
+    /// Number of upcoming watches that are never answered.
     pub lose_watches: u64,
 }
 
-/// `Counts` counts calls since the start.
+/// Number of calls since the start, by kind.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Counts {
-    /// Reads and lists.
+    /// Reads of objects, lists of objects and lists of targets.
     pub reads: u64,
-    /// Writes, whether they took effect or not.
+    /// Writes, conflicts included.
     pub writes: u64,
-    /// Watches, one for each wait.
+    /// Watch calls.
     pub watches: u64,
-    /// Writes that met another version.
+    /// Writes rejected because the expected version was not the current one.
     pub conflicts: u64,
 }
 
@@ -52,13 +52,13 @@
     objects: BTreeMap<String, Object>,
     revision: u64,
     targets: BTreeMap<String, TargetInfo>,
-    /// Past lists of targets, oldest first, for the lag.
-    lists: Vec<(Instant, Vec<TargetInfo>)>,
+    /// History of the target list, oldest first, for serving it with a lag.
+    target_list_history: Vec<(Instant, Vec<TargetInfo>)>,
     faults: Faults,
     counts: Counts,
 }
 
-/// `Platform` is the context of the stand-in.
+/// State of the stand-in, shared by its request handlers.
 #[derive(Debug, Default)]
 pub struct Platform {
     state: Mutex<State>,
@@ -66,7 +66,7 @@
 }
 
 impl Platform {
-    /// Makes a platform without objects.
+    /// Creates a platform without objects or targets.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -76,7 +76,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn enter(&self) -> Result<(), HttpError> {
+    async fn apply_call_faults(&self) -> Result<(), HttpError> {
         let faults = self.state().faults.clone();
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         if self.state().faults.is_out {
@@ -85,8 +85,8 @@
         Ok(())
     }
 
-    /// Counts a watch; returns whether it is lost.
-    fn take_watch(&self) -> bool {
+    /// Counts a watch call and returns whether it is to remain unanswered.
+    fn count_watch(&self) -> bool {
         let mut state = self.state();
         state.counts.watches += 1;
         let is_lost = state.faults.lose_watches > 0;
@@ -123,9 +123,9 @@
 
 /// Reads an object.
 #[endpoint { method = GET, path = "/objects/{key:.*}", unpublished = true }]
-async fn read_object(rqctx: RequestContext<Platform>, path: Path<KeyPath>) -> Answer {
+async fn read_object(rqctx: RequestContext<Platform>, path: Path<KeyPath>) -> HandlerResult {
     let platform = rqctx.context();
-    platform.enter().await?;
+    platform.apply_call_faults().await?;
     let key = path.into_inner().key.join("/");
     let found = {
         let mut state = platform.state();
@@ -138,16 +138,16 @@
     }
 }
 
-/// Writes an object if the expected version stands.
+/// Writes an object if its current version is the expected one; 0 expects no object.
 #[endpoint { method = PUT, path = "/objects/{key:.*}", unpublished = true }]
 async fn write_object(
     rqctx: RequestContext<Platform>,
     path: Path<KeyPath>,
     query: Query<WriteQuery>,
     body: UntypedBody,
-) -> Answer {
+) -> HandlerResult {
     let platform = rqctx.context();
-    platform.enter().await?;
+    platform.apply_call_faults().await?;
     let key = path.into_inner().key.join("/");
     let expected = query.into_inner().expected_version;
     let value = body.as_str()?.to_owned();
@@ -157,8 +157,8 @@
     let (is_lost, answer) = {
         let mut state = platform.state();
         state.counts.writes += 1;
-        let standing = state.objects.get(&key).cloned();
-        let version = standing.as_ref().map_or(0, |object| object.version);
+        let current = state.objects.get(&key).cloned();
+        let version = current.as_ref().map_or(0, |object| object.version);
         if version == expected {
             state.revision += 1;
             let version = state.revision;
@@ -168,7 +168,7 @@
             (is_lost, Ok(version))
         } else {
             state.counts.conflicts += 1;
-            (false, Err(standing))
+            (false, Err(current))
         }
     };
     platform.changed.notify_waiters();
@@ -180,23 +180,23 @@
             StatusCode::OK,
             &serde_json::json!({"key": key, "version": version}),
         ),
-        Err(standing) => json(StatusCode::CONFLICT, &standing),
+        Err(current) => json(StatusCode::CONFLICT, &current),
     }
 }
 
-/// Waits for a newer version of an object.
+/// Waits for a newer version of an object; answers `null` after `wait_ms` without one.
 #[endpoint { method = GET, path = "/watch/{key:.*}", unpublished = true }]
 async fn watch_object(
     rqctx: RequestContext<Platform>,
     path: Path<KeyPath>,
     query: Query<WatchQuery>,
-) -> Answer {
+) -> HandlerResult {
     let platform = rqctx.context();
-    platform.enter().await?;
+    platform.apply_call_faults().await?;
     let key = path.into_inner().key.join("/");
     let query = query.into_inner();
     let until = Instant::now() + Duration::from_millis(query.wait_ms);
-    if platform.take_watch() {
+    if platform.count_watch() {
         std::future::pending::<()>().await;
     }
     loop {
@@ -209,7 +209,7 @@
         };
         if newer.is_some() {
             tokio::time::sleep(Duration::from_millis(lag_ms)).await;
-            platform.enter().await?;
+            platform.apply_call_faults().await?;
             return json(StatusCode::OK, &newer);
         }
         let left = until.saturating_duration_since(Instant::now());
@@ -220,11 +220,11 @@
     }
 }
 
-/// Lists keys and versions.
+/// Lists the keys and versions of the objects whose keys start with a prefix.
 #[endpoint { method = GET, path = "/list" }]
-async fn list_objects(rqctx: RequestContext<Platform>, query: Query<ListQuery>) -> Answer {
+async fn list_objects(rqctx: RequestContext<Platform>, query: Query<ListQuery>) -> HandlerResult {
     let platform = rqctx.context();
-    platform.enter().await?;
+    platform.apply_call_faults().await?;
     let prefix = query.into_inner().prefix;
     let keys: Vec<serde_json::Value> = {
         let mut state = platform.state();
@@ -239,17 +239,17 @@
     json(StatusCode::OK, &keys)
 }
 
-/// Gives the list of targets as it was a while ago.
+/// Lists the targets as of `list_lag_ms` ago.
 #[endpoint { method = GET, path = "/targets" }]
-async fn list_targets(rqctx: RequestContext<Platform>) -> Answer {
+async fn list_targets(rqctx: RequestContext<Platform>) -> HandlerResult {
     let platform = rqctx.context();
-    platform.enter().await?;
+    platform.apply_call_faults().await?;
     let list = {
         let mut state = platform.state();
         state.counts.reads += 1;
         let lag = Duration::from_millis(state.faults.list_lag_ms);
         state
-            .lists
+            .target_list_history
             .iter()
             .rev()
             .find(|(at, _)| at.elapsed() >= lag)
@@ -259,54 +259,54 @@
     json(StatusCode::OK, &list)
 }
 
-/// Puts a target on the list, or changes it.
+/// Adds a target to the list or replaces its entry.
 #[endpoint { method = PUT, path = "/targets/{name}" }]
 async fn put_target(
     rqctx: RequestContext<Platform>,
     path: Path<NamePath>,
     body: UntypedBody,
-) -> Answer {
+) -> HandlerResult {
     let info: TargetInfo = serde_json::from_str(body.as_str()?)
         .map_err(|error| HttpError::for_bad_request(None, error.to_string()))?;
     let mut state = rqctx.context().state();
     state.targets.insert(path.into_inner().name, info);
-    keep_list(&mut state);
+    record_target_list(&mut state);
     json(StatusCode::OK, &"put")
 }
 
-/// Takes a target off the list.
+/// Removes a target from the list.
 #[endpoint { method = DELETE, path = "/targets/{name}" }]
-async fn delete_target(rqctx: RequestContext<Platform>, path: Path<NamePath>) -> Answer {
+async fn delete_target(rqctx: RequestContext<Platform>, path: Path<NamePath>) -> HandlerResult {
     let mut state = rqctx.context().state();
     state.targets.remove(&path.into_inner().name);
-    keep_list(&mut state);
+    record_target_list(&mut state);
     json(StatusCode::OK, &"deleted")
 }
 
-fn keep_list(state: &mut State) {
+fn record_target_list(state: &mut State) {
     let list = state.targets.values().cloned().collect();
-    state.lists.push((Instant::now(), list));
+    state.target_list_history.push((Instant::now(), list));
 }
 
-/// Sets the faults.
+/// Replaces the faults.
 #[endpoint { method = PUT, path = "/faults" }]
-async fn put_faults(rqctx: RequestContext<Platform>, body: TypedBody<Faults>) -> Answer {
+async fn put_faults(rqctx: RequestContext<Platform>, body: TypedBody<Faults>) -> HandlerResult {
     rqctx.context().state().faults = body.into_inner();
     json(StatusCode::OK, &"set")
 }
 
-/// Gives the counts of calls.
+/// Returns the number of calls since the start, by kind.
 #[endpoint { method = GET, path = "/counts" }]
-async fn get_counts(rqctx: RequestContext<Platform>) -> Answer {
+async fn get_counts(rqctx: RequestContext<Platform>) -> HandlerResult {
     let counts = rqctx.context().state().counts.clone();
     json(StatusCode::OK, &counts)
 }
 
-/// Makes the API of the stand-in.
+/// Builds the API of the stand-in.
 ///
 /// # Errors
 ///
-/// Returns an error where endpoints clash.
+/// Returns an error if two endpoints conflict.
 pub fn api() -> anyhow::Result<ApiDescription<Platform>> {
     let mut api = ApiDescription::new();
     api.register(read_object)?;
--- a/crates/damaskstile-standins/src/target.rs
+++ b/crates/damaskstile-standins/src/target.rs
@@ -1,4 +1,4 @@
-//! `target` stands in for a target: a model engine's replica or a plain service.
+//! HTTP API of the stand-in for a target: a replica of a model engine or a plain service.
 
 mod engine;
 
@@ -16,17 +16,17 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use crate::{Answer, json};
+use crate::{HandlerResult, json};
 
 pub use engine::{Engine, Faults, Run, StartError};
 
-/// Header that names the run.
+/// Header with the identifier of the run.
 pub const RUN_HEADER: &str = "x-damaskstile-run";
-/// Header that names the client account.
+/// Header with the name of the client account.
 pub const ACCOUNT_HEADER: &str = "x-damaskstile-account";
-/// Header that names the request's key.
+/// Header with the key of the request.
 pub const KEY_HEADER: &str = "x-damaskstile-key";
-/// Header that says from which chunk on a run is resumed.
+/// Header with the index of the chunk from which a run is resumed.
 pub const RESUME_HEADER: &str = "x-damaskstile-resume-from";
 
 #[derive(Debug, Deserialize, JsonSchema)]
@@ -39,15 +39,16 @@
     path: Vec<String>,
 }
 
-/// `Order` changes what a target serves; it carries a fencing number.
+/// A platform's order to a target, such as to load a model, with a fencing number.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// Fencing number; a target that checks refuses one below the highest it has seen.
+    /// Fencing number; a target that checks it refuses an order unless its number is higher than
+    /// those of all orders accepted before.
     pub fencing: u64,
-    /// What to do, such as `load_model`.
+    /// Action, such as `load_model`.
     pub order: String,
-    /// What to do it with, such as the model's name.
+    /// Argument of the action, such as the name of a model.
     pub argument: String,
 }
 
@@ -62,13 +63,13 @@
 
 /// Runs a completion, or resumes one.
 #[endpoint { method = POST, path = "/v1/chat/completions", unpublished = true }]
-async fn complete(rqctx: RequestContext<Arc<Engine>>, body: UntypedBody) -> Answer {
+async fn complete(rqctx: RequestContext<Arc<Engine>>, body: UntypedBody) -> HandlerResult {
     let engine = Arc::clone(rqctx.context());
     let text = body.as_str()?.to_owned();
     let resume_from: usize = header(&rqctx, RESUME_HEADER).parse().unwrap_or(0);
     let mut run = header(&rqctx, RUN_HEADER).to_owned();
     if run.is_empty() {
-        run = engine.own_run_name();
+        run = engine.generate_run_id();
     }
     let account = header(&rqctx, ACCOUNT_HEADER).to_owned();
     let key = header(&rqctx, KEY_HEADER).to_owned();
@@ -100,7 +101,7 @@
     rqctx: RequestContext<Arc<Engine>>,
     path: Path<CallPath>,
     body: UntypedBody,
-) -> Answer {
+) -> HandlerResult {
     let engine = rqctx.context();
     let path = path.into_inner().path.join("/");
     let run = header(&rqctx, RUN_HEADER).to_owned();
@@ -116,63 +117,63 @@
     )
 }
 
-/// Tells how a run went. A run that was never seen cannot start any more afterwards.
+/// Returns the state of a run. An unknown run is fenced, so that it cannot start later.
 #[endpoint { method = GET, path = "/v1/runs/{run}" }]
-async fn get_run(rqctx: RequestContext<Arc<Engine>>, path: Path<RunPath>) -> Answer {
+async fn get_run(rqctx: RequestContext<Arc<Engine>>, path: Path<RunPath>) -> HandlerResult {
     let state = rqctx.context().state_of(&path.into_inner().run);
     json(StatusCode::OK, &state)
 }
 
 /// Cancels a run.
 #[endpoint { method = DELETE, path = "/v1/runs/{run}" }]
-async fn cancel_run(rqctx: RequestContext<Arc<Engine>>, path: Path<RunPath>) -> Answer {
+async fn cancel_run(rqctx: RequestContext<Arc<Engine>>, path: Path<RunPath>) -> HandlerResult {
     rqctx.context().cancel(&path.into_inner().run);
     json(StatusCode::OK, &"cancelled")
 }
 
-/// Reports the load, which lags.
+/// Returns the status of the target, with its load as of `report_lag_ms` ago.
 #[endpoint { method = GET, path = "/status" }]
-async fn get_status(rqctx: RequestContext<Arc<Engine>>) -> Answer {
+async fn get_status(rqctx: RequestContext<Arc<Engine>>) -> HandlerResult {
     json(StatusCode::OK, &rqctx.context().status())
 }
 
-/// Gives the list of what truly ran.
+/// Returns all runs that the target executed, as the reference for billing.
 #[endpoint { method = GET, path = "/ledger" }]
-async fn get_ledger(rqctx: RequestContext<Arc<Engine>>) -> Answer {
+async fn get_ledger(rqctx: RequestContext<Arc<Engine>>) -> HandlerResult {
     json(StatusCode::OK, &rqctx.context().ledger())
 }
 
-/// Sets the faults.
+/// Replaces the faults.
 #[endpoint { method = PUT, path = "/faults" }]
-async fn put_faults(rqctx: RequestContext<Arc<Engine>>, body: TypedBody<Faults>) -> Answer {
+async fn put_faults(rqctx: RequestContext<Arc<Engine>>, body: TypedBody<Faults>) -> HandlerResult {
     rqctx.context().set_faults(body.into_inner());
     json(StatusCode::OK, &"set")
 }
 
-/// Takes an order.
+/// Executes an order.
 #[endpoint { method = PUT, path = "/orders" }]
-async fn put_order(rqctx: RequestContext<Arc<Engine>>, body: TypedBody<Order>) -> Answer {
+async fn put_order(rqctx: RequestContext<Arc<Engine>>, body: TypedBody<Order>) -> HandlerResult {
     let order = body.into_inner();
-    // A real order takes a while; the stand-in only keeps it.
+    // A real order takes a while; the stand-in records it and applies only `drain` and `return`.
     tokio::time::sleep(Duration::from_millis(1)).await;
-    if rqctx.context().order(order) {
+    if rqctx.context().execute_order(order) {
         json(StatusCode::OK, &"done")
     } else {
         json(StatusCode::CONFLICT, &"old fencing number")
     }
 }
 
-/// Lists the orders that were taken.
+/// Lists the accepted orders.
 #[endpoint { method = GET, path = "/orders" }]
-async fn get_orders(rqctx: RequestContext<Arc<Engine>>) -> Answer {
+async fn get_orders(rqctx: RequestContext<Arc<Engine>>) -> HandlerResult {
     json(StatusCode::OK, &rqctx.context().orders())
 }
 
-/// Makes the API of the stand-in.
+/// Builds the API of the stand-in.
 ///
 /// # Errors
 ///
-/// Returns an error where endpoints clash.
+/// Returns an error if two endpoints conflict.
 pub fn api() -> anyhow::Result<ApiDescription<Arc<Engine>>> {
     let mut api = ApiDescription::new();
     api.register(complete)?;
--- a/crates/damaskstile-standins/src/target/engine.rs
+++ b/crates/damaskstile-standins/src/target/engine.rs
@@ -1,4 +1,4 @@
-//! `engine` runs requests with paced tokens and keeps the truth of what ran.
+//! Simulated model engine that generates tokens at a set rate and records what it ran.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,30 +11,31 @@
 
 use super::Order;
 
-/// Tokens of an answer whose prompt names no number.
-const TOKENS_USUAL: u64 = 16;
+/// Output tokens of an answer whose prompt does not contain `n=` and a number.
+const DEFAULT_OUTPUT_TOKENS: u64 = 16;
 
-/// `Faults` are set while the target runs.
+/// Behaviour and faults of the target, which can be changed while it runs.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Time between two tokens, in milliseconds.
+    /// Time between two tokens, in milliseconds; also the duration of a plain call.
     pub pace_ms: u64,
-    /// Tokens that a call of a plain service counts as.
+    /// Price of a call of a plain service, in tokens.
     pub price_tokens: u64,
-    /// Requests that run at a time; more are refused at twice the number.
+    /// Number of slots that the target reports. All accepted requests run at once; new ones are
+    /// refused once twice this number are running.
     pub slots_requests: u64,
     /// Whether the target is leaving and refuses new work.
     pub is_leaving: bool,
-    /// Runs from now on that are refused.
+    /// Number of upcoming runs that are refused.
     pub refuse_runs: u64,
-    /// Runs from now on whose stream is cut after so many chunks.
+    /// Number of upcoming runs whose stream is cut after `cut_after_chunks` chunks.
     pub cut_runs: u64,
-    /// Chunks after which streams are cut.
+    /// Number of chunks after which a stream is cut.
     pub cut_after_chunks: u64,
-    /// Age of load reports, in milliseconds.
+    /// Age of the reported load, in milliseconds.
     pub report_lag_ms: u64,
-    /// Whether fencing numbers are checked.
+    /// Whether the fencing numbers of orders are checked.
     pub checks_fencing: bool,
 }
 
@@ -54,11 +55,11 @@
     }
 }
 
-/// `Run` is what truly ran.
+/// A run as the target executed it, whatever instances know of it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// Name of the run.
+    /// Identifier of the run.
     pub run: String,
     /// Client account.
     pub account: String,
@@ -66,44 +67,44 @@
     pub key: String,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens that were generated.
+    /// Output tokens generated so far.
     pub output_tokens: u64,
-    /// Whether it is over.
+    /// Whether the run has finished or was cancelled.
     pub has_ended: bool,
 }
 
 #[derive(Debug)]
-struct Live {
+struct TrackedRun {
     run: Run,
-    wanted_tokens: u64,
+    requested_tokens: u64,
     cut_after: Option<usize>,
     changed: Arc<Notify>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    runs: BTreeMap<String, Live>,
+    runs: BTreeMap<String, TrackedRun>,
     fenced: BTreeSet<String>,
     faults: Faults,
-    loads: Vec<(Instant, u64)>,
+    load_history: Vec<(Instant, u64)>,
     orders: Vec<Order>,
-    own_runs: u64,
+    generated_ids: u64,
 }
 
-/// `StartError` tells why a run was refused.
+/// Reason for which a run was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartError {
-    /// All slots and the queue are taken.
+    /// Twice as many runs as slots are in progress, or the refusal is an injected fault.
     Busy,
     /// The target is leaving.
     Leaving,
-    /// A run that was to be resumed is not known, or the run was fenced off.
+    /// The run to be resumed is unknown, or the run is fenced.
     Unknown,
-    /// The body is no request.
+    /// The body is not a valid completion request.
     Malformed,
 }
 
-/// `Engine` runs requests.
+/// Simulated engine with its runs, faults and orders.
 #[derive(Debug, Default)]
 pub struct Engine {
     state: Mutex<State>,
@@ -121,7 +122,7 @@
 }
 
 impl Engine {
-    /// Makes an engine that runs with these faults.
+    /// Creates an engine with the given faults.
     #[must_use]
     pub fn new(faults: Faults) -> Arc<Self> {
         let engine = Self::default();
@@ -133,18 +134,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes a name for a run that came without one.
-    pub fn own_run_name(&self) -> String {
+    /// Generates an identifier for a run that was sent without one.
+    pub fn generate_run_id(&self) -> String {
         let mut state = self.state();
-        state.own_runs += 1;
-        format!("own-{}", state.own_runs)
+        state.generated_ids += 1;
+        format!("own-{}", state.generated_ids)
     }
 
-    /// Starts a run, or finds the one that is to be resumed.
+    /// Starts a run. A run that is known already is accepted and goes on.
     ///
     /// # Errors
     ///
-    /// Returns why the run was refused; then it has not run.
+    /// Returns the reason for which the run was refused; a refused run has not started.
     pub fn start(
         self: &Arc<Self>,
         run: &str,
@@ -154,8 +155,8 @@
         is_resumed: bool,
     ) -> Result<(), StartError> {
         let mut state = self.state();
-        if let Some(live) = state.runs.get_mut(run) {
-            live.cut_after = None;
+        if let Some(tracked) = state.runs.get_mut(run) {
+            tracked.cut_after = None;
             return Ok(());
         }
         if is_resumed || state.fenced.contains(run) {
@@ -176,30 +177,30 @@
             .map(|message| message.content.as_str())
             .collect();
         let prompt_tokens = u64::try_from(text.len().div_ceil(4)).unwrap_or(u64::MAX);
-        let asked = text
+        let prompted_tokens = text
             .split("n=")
             .nth(1)
             .and_then(|rest| rest.split_whitespace().next()?.parse().ok())
-            .unwrap_or(TOKENS_USUAL);
-        let wanted_tokens = asked.min(body.max_tokens.unwrap_or(u64::MAX));
+            .unwrap_or(DEFAULT_OUTPUT_TOKENS);
+        let requested_tokens = prompted_tokens.min(body.max_tokens.unwrap_or(u64::MAX));
         let cut_after = (state.faults.cut_runs > 0)
             .then(|| usize::try_from(state.faults.cut_after_chunks).unwrap_or(0));
         state.faults.cut_runs = state.faults.cut_runs.saturating_sub(1);
-        let live = Live {
+        let tracked = TrackedRun {
             run: Run {
                 run: run.to_owned(),
                 account: account.to_owned(),
                 key: key.to_owned(),
                 prompt_tokens,
                 output_tokens: 0,
-                has_ended: wanted_tokens == 0,
+                has_ended: requested_tokens == 0,
             },
-            wanted_tokens,
+            requested_tokens,
             cut_after,
             changed: Arc::new(Notify::new()),
         };
-        state.runs.insert(run.to_owned(), live);
-        note_load(&mut state);
+        state.runs.insert(run.to_owned(), tracked);
+        record_load(&mut state);
         drop(state);
         let engine = Arc::clone(self);
         let run = run.to_owned();
@@ -209,32 +210,32 @@
 
     async fn generate(&self, run: &str) {
         loop {
-            let pace = Duration::from_millis(self.state().faults.pace_ms);
-            tokio::time::sleep(pace).await;
+            let token_interval = Duration::from_millis(self.state().faults.pace_ms);
+            tokio::time::sleep(token_interval).await;
             let mut state = self.state();
-            let Some(live) = state.runs.get_mut(run) else {
+            let Some(tracked) = state.runs.get_mut(run) else {
                 return;
             };
-            if !live.run.has_ended {
-                live.run.output_tokens += 1;
-                live.run.has_ended = live.run.output_tokens >= live.wanted_tokens;
+            if !tracked.run.has_ended {
+                tracked.run.output_tokens += 1;
+                tracked.run.has_ended = tracked.run.output_tokens >= tracked.requested_tokens;
             }
-            live.changed.notify_waiters();
-            if live.run.has_ended {
-                note_load(&mut state);
+            tracked.changed.notify_waiters();
+            if tracked.run.has_ended {
+                record_load(&mut state);
                 return;
             }
         }
     }
 
-    /// Runs a call of a plain service; returns whether it may run.
+    /// Executes a call of a plain service. Returns `false` without executing it if it is fenced.
     pub async fn start_plain(&self, run: &str, account: &str, key: &str) -> bool {
-        let pace = {
+        let token_interval = {
             let mut state = self.state();
             if state.fenced.contains(run) {
                 return false;
             }
-            let live = Live {
+            let tracked = TrackedRun {
                 run: Run {
                     run: run.to_owned(),
                     account: account.to_owned(),
@@ -243,55 +244,56 @@
                     output_tokens: 0,
                     has_ended: true,
                 },
-                wanted_tokens: 0,
+                requested_tokens: 0,
                 cut_after: None,
                 changed: Arc::new(Notify::new()),
             };
-            state.runs.insert(run.to_owned(), live);
+            state.runs.insert(run.to_owned(), tracked);
             Duration::from_millis(state.faults.pace_ms)
         };
-        tokio::time::sleep(pace).await;
+        tokio::time::sleep(token_interval).await;
         true
     }
 
-    /// Waits for the event at a position of a run's stream; `None` ends the stream.
+    /// Waits for the event at a position of a run's stream: the chunks, then the usage, then
+    /// `[DONE]`. `None` ends the stream.
     pub async fn next_event(&self, run: &str, position: usize) -> Option<String> {
         loop {
             let changed = {
                 let state = self.state();
-                let live = state.runs.get(run)?;
-                if live.cut_after == Some(position) {
+                let tracked = state.runs.get(run)?;
+                if tracked.cut_after == Some(position) {
                     return None;
                 }
-                let generated = usize::try_from(live.run.output_tokens).unwrap_or(usize::MAX);
+                let generated = usize::try_from(tracked.run.output_tokens).unwrap_or(usize::MAX);
                 if position < generated {
                     return Some(chunk_event(run, position));
                 }
-                if live.run.has_ended {
+                if tracked.run.has_ended {
                     return match position - generated {
-                        0 => Some(usage_event(&live.run)),
+                        0 => Some(usage_event(&tracked.run)),
                         1 => Some("data: [DONE]\n\n".to_owned()),
                         _ => None,
                     };
                 }
-                Arc::clone(&live.changed)
+                Arc::clone(&tracked.changed)
             };
             let wait = changed.notified();
-            // The change may have come between the look and the wait; so the wait is short.
+            // A notification between the check and the wait is missed, so the wait is short.
             let _ = tokio::time::timeout(Duration::from_millis(5), wait).await;
         }
     }
 
-    /// Tells how a run went. A run that was never seen is fenced off.
+    /// Returns the state of a run. An unknown run is fenced, so that it cannot start later.
     pub fn state_of(&self, run: &str) -> RunState {
         let mut state = self.state();
         match state.runs.get_mut(run) {
-            Some(live) if live.run.has_ended => RunState::Ended {
-                prompt_tokens: live.run.prompt_tokens,
-                output_tokens: live.run.output_tokens,
+            Some(tracked) if tracked.run.has_ended => RunState::Ended {
+                prompt_tokens: tracked.run.prompt_tokens,
+                output_tokens: tracked.run.output_tokens,
             },
-            Some(live) => {
-                live.cut_after = None;
+            Some(tracked) => {
+                tracked.cut_after = None;
                 RunState::Running
             }
             None => {
@@ -301,22 +303,22 @@
         }
     }
 
-    /// Ends a run where it is.
+    /// Cancels a run; the tokens generated so far still count.
     pub fn cancel(&self, run: &str) {
         let mut state = self.state();
-        if let Some(live) = state.runs.get_mut(run) {
-            live.run.has_ended = true;
-            live.changed.notify_waiters();
+        if let Some(tracked) = state.runs.get_mut(run) {
+            tracked.run.has_ended = true;
+            tracked.changed.notify_waiters();
         }
-        note_load(&mut state);
+        record_load(&mut state);
     }
 
-    /// Reports the load as it was a while ago.
+    /// Returns the status of the target, with its load as of `report_lag_ms` ago.
     pub fn status(&self) -> TargetStatus {
         let state = self.state();
         let lag = Duration::from_millis(state.faults.report_lag_ms);
         let in_flight_requests = state
-            .loads
+            .load_history
             .iter()
             .rev()
             .find(|(at, _)| at.elapsed() >= lag)
@@ -329,19 +331,23 @@
         }
     }
 
-    /// Returns what truly ran.
+    /// Returns all runs that the target executed.
     pub fn ledger(&self) -> Vec<Run> {
         let state = self.state();
-        state.runs.values().map(|live| live.run.clone()).collect()
+        state
+            .runs
+            .values()
+            .map(|tracked| tracked.run.clone())
+            .collect()
     }
 
-    /// Sets the faults.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: Faults) {
         self.state().faults = faults;
     }
 
-    /// Takes an order. Returns whether its fencing number was accepted.
-    pub fn order(&self, order: Order) -> bool {
+    /// Executes an order. Returns whether its fencing number was accepted.
+    pub fn execute_order(&self, order: Order) -> bool {
         let mut state = self.state();
         let highest = state.orders.iter().map(|order| order.fencing).max();
         let is_old = highest.is_some_and(|highest| order.fencing <= highest);
@@ -357,22 +363,22 @@
         true
     }
 
-    /// Returns the orders that were taken.
+    /// Returns the accepted orders.
     pub fn orders(&self) -> Vec<Order> {
         self.state().orders.clone()
     }
 }
 
 fn running(state: &State) -> u64 {
-    let count = state.runs.values().filter(|live| !live.run.has_ended);
+    let count = state.runs.values().filter(|tracked| !tracked.run.has_ended);
     u64::try_from(count.count()).unwrap_or(u64::MAX)
 }
 
-fn note_load(state: &mut State) {
+fn record_load(state: &mut State) {
     let load = running(state);
-    state.loads.push((Instant::now(), load));
-    if state.loads.len() > 10_000 {
-        state.loads.drain(..5_000);
+    state.load_history.push((Instant::now(), load));
+    if state.load_history.len() > 10_000 {
+        state.load_history.drain(..5_000);
     }
 }
 
--- a/crates/damaskstile/src/instance/fleet.rs
+++ b/crates/damaskstile/src/instance/fleet.rs
@@ -4,7 +4,7 @@
 use damaskstile_core::peer::{Gossip, PullSettings, SettingsUpdate, TargetNote};
 use damaskstile_core::prelude::*;
 use damaskstile_fleet::settings::{SETTINGS_KEY, StoredSettings};
-use damaskstile_fleet::spread::Applied;
+use damaskstile_fleet::settings_in_force::Applied;
 
 use super::timers::Timer;
 use super::{Effects, Instance, StorePurpose};
@@ -23,7 +23,8 @@
         if from == &self.options.identity.instance {
             return;
         }
-        self.membership.hear_directly(self.now, from, incarnation);
+        self.membership
+            .note_direct_message(self.now, from, incarnation);
         match message {
             PeerMessage::Record(record) => self.on_record(from, incarnation, record, effects),
             PeerMessage::RecordAck(ack) => {
@@ -39,7 +40,7 @@
             PeerMessage::Give(give) => self.on_transfer_received(from, &give, effects),
             PeerMessage::Take(take) => {
                 if let Some(holder) = self.holders.get_mut(&take.budget) {
-                    holder.on_take(&take.transfer);
+                    holder.on_transfer_confirmed(&take.transfer);
                 }
             }
             PeerMessage::Gossip(gossip) => self.on_gossip(from, &gossip, effects),
@@ -51,7 +52,7 @@
     }
 
     fn on_gossip(&mut self, from: &InstanceId, gossip: &Gossip, effects: &mut Effects) {
-        let merged = self.membership.hear(self.now, gossip);
+        let merged = self.membership.merge_gossip(self.now, gossip);
         for state in &gossip.members {
             let peer = (state.instance.clone(), state.incarnation);
             self.keeper.forget_below(&peer, state.settled_runs_below);
@@ -84,7 +85,7 @@
         let own = self.membership.own_mut();
         own.settled_runs_below = lowest.unwrap_or(next_number + 1);
         own.settings_version = version;
-        let silent = self.membership.next_silent(self.now);
+        let silent = self.membership.take_newly_silent(self.now);
         for instance in &silent {
             Self::log(effects, EventCode::MemberSilent, &[("instance", instance)]);
         }
@@ -106,7 +107,11 @@
     /// pass on does not count.
     fn send_heartbeats(&self, already_sent: &BTreeSet<InstanceId>, effects: &mut Effects) {
         let mut partners = self.witnesses_in_use();
-        partners.extend(self.keeper.lives().map(|(instance, _)| instance.clone()));
+        partners.extend(
+            self.keeper
+                .unsealed_holders()
+                .map(|(instance, _)| instance.clone()),
+        );
         let heartbeat = Gossip {
             members: vec![self.membership.own().clone()],
             targets: Vec::new(),
@@ -167,7 +172,7 @@
     }
 
     pub(super) fn peers_for_budgets(&self) -> Peers {
-        let askable = self
+        let token_sources = self
             .membership
             .live()
             .filter(|state| !state.is_stopping)
@@ -178,7 +183,7 @@
             .all()
             .any(|(state, is_silent)| is_silent && !state.is_stopping);
         Peers {
-            askable,
+            token_sources,
             witnesses: self.membership.witnesses(),
             has_silent,
         }
@@ -189,7 +194,7 @@
         let seal_after = Duration::from_millis(self.settings.settings().system.seal_after_ms);
         let silent: Vec<_> = self
             .keeper
-            .lives()
+            .unsealed_holders()
             .filter(|(instance, incarnation)| {
                 self.membership
                     .direct_silence(self.now, instance, *incarnation)
@@ -295,7 +300,7 @@
             }
             if is_spreading {
                 self.with_holder(&budget, effects, |holder, now, fx| {
-                    holder.take_share(now, fx);
+                    holder.request_share(now, fx);
                 });
             }
         }
--- a/crates/damaskstile/src/instance/transfers.rs
+++ b/crates/damaskstile/src/instance/transfers.rs
@@ -1,7 +1,7 @@
 //! Transfers of tokens to and from peers.
 
 use damaskstile_budgets::DrawPlan;
-use damaskstile_core::peer::{AskTokens, ForgetRuns, GiveTokens, RecordAck, RunRecord};
+use damaskstile_core::peer::{DiscardRecords, RecordAck, RunRecord, TokenRequest, TokenTransfer};
 use damaskstile_core::prelude::*;
 
 use super::timers::Timer;
@@ -24,7 +24,7 @@
     ) {
         if plan.witnesses.is_empty() {
             self.with_holder(budget, effects, |holder, now, fx| {
-                holder.send_give(now, &transfer, fx);
+                holder.send_transfer(now, &transfer, fx);
             });
             return;
         }
@@ -76,7 +76,7 @@
         if let Some(pending) = self.pending_transfers.remove(&ack.run) {
             let transfer = ack.run.clone();
             self.with_holder(&pending.budget, effects, |holder, now, fx| {
-                holder.send_give(now, &transfer, fx);
+                holder.send_transfer(now, &transfer, fx);
             });
         }
     }
@@ -86,13 +86,13 @@
             return;
         };
         self.with_holder(&pending.budget, effects, |holder, now, fx| {
-            holder.cancel_give(transfer, fx);
+            holder.cancel_transfer(transfer, fx);
             holder.tick(now, fx);
         });
         for witness in pending.witnesses.into_keys() {
             effects.push(Effect::Send {
                 to: witness,
-                message: PeerMessage::Forget(ForgetRuns {
+                message: PeerMessage::Forget(DiscardRecords {
                     runs: vec![transfer.clone()],
                 }),
             });
@@ -102,19 +102,19 @@
     pub(super) fn on_token_request(
         &mut self,
         from: &InstanceId,
-        ask: &AskTokens,
+        ask: &TokenRequest,
         effects: &mut Effects,
     ) {
         if self.holders.contains_key(&ask.budget) {
             self.with_holder(&ask.budget, effects, |holder, now, fx| {
-                holder.on_ask(now, from, ask, fx);
+                holder.on_token_request(now, from, ask, fx);
             });
             return;
         }
-        let none = GiveTokens {
+        let none = TokenTransfer {
             ask: ask.ask,
             budget: ask.budget.clone(),
-            ..GiveTokens::default()
+            ..TokenTransfer::default()
         };
         effects.push(Effect::Send {
             to: from.clone(),
@@ -125,13 +125,13 @@
     pub(super) fn on_transfer_received(
         &mut self,
         from: &InstanceId,
-        give: &GiveTokens,
+        give: &TokenTransfer,
         effects: &mut Effects,
     ) {
         let budget = give.budget.clone();
         if self.holders.contains_key(&budget) {
             self.with_holder(&budget, effects, |holder, now, fx| {
-                holder.on_give(now, from, give, fx);
+                holder.on_transfer(now, from, give, fx);
             });
         }
     }
