--- a/crates/damaskstile-core/src/log.rs
+++ b/crates/damaskstile-core/src/log.rs
@@ -81,7 +81,7 @@
     MemberJoined = 402, "info", "A peer was seen for the first time, or with a new incarnation.";
     MemberSilent = 403, "warn", "No sign of a peer was received for too long.";
     CatalogueFromPeer = 404, "info", "A newer catalogue or list of targets came from a peer.";
-    PeerBytesNoted = 405, "info", "Bytes sent to peers since the start by background task, as duty:bytes.";
+    PeerBytesNoted = 405, "info", "Bytes sent to peers since the start by purpose, as duty:bytes.";
     SettingsApplied = 501, "info", "A newer version of the settings is in force.";
     SettingsRefused = 502, "error", "A stored version of the settings is invalid; the version in force stays.";
     CatalogueApplied = 503, "info", "A newer catalogue of routes and accounts is in force.";
